--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -19,7 +19,7 @@
 use coursestile::gateway::decisions::stores::{Placing, Stores};
 use coursestile::gateway::decisions::upstream::{Entry, Load};
 use coursestile::gateway::decisions::upstreams::Upstreams;
-use coursestile::gateway::decisions::view::Mark;
+use coursestile::gateway::decisions::view::ViewDigest;
 
 use crate::figures::ratio;
 
@@ -55,7 +55,7 @@
         let change_bytes = encoded_bytes(&changes(boxes, 1, 1));
         let hear_us = mean_us(|round| {
             let peer = 1 + round % (boxes - 1);
-            peers.hear(2, address(peer), gossip(boxes, peer + round), Mark::default());
+            peers.hear(2, address(peer), gossip(boxes, peer + round), ViewDigest::default());
         });
         let change_us = mean_us(|round| {
             let peer = 1 + round % (boxes - 1);
@@ -113,7 +113,7 @@
         Own { number: 0, address: SocketAddr::new(address(0), 7000), hall: 0, millicores: 120 };
     let mut peers = Peers::new(own, &[]);
     for peer in 1..boxes {
-        peers.hear(0, address(peer), gossip(boxes, peer), Mark::default());
+        peers.hear(0, address(peer), gossip(boxes, peer), ViewDigest::default());
     }
     let told = peers.next_targets(0, Audience::All, Reach::OwnHall).whole.len();
     (peers, told)
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -14,7 +14,7 @@
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::connections::tune;
-use crate::gateway::decisions::view::{CatchUp, Mark};
+use crate::gateway::decisions::view::{CatchUp, ViewDigest};
 use crate::gateway::follow;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::settings::Bounds;
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Question {
     /// What it lacks of the metadata store's items.
-    CatchUp(Mark),
+    CatchUp(ViewDigest),
     /// What stores of context keep, from now on.
     Stores,
 }
@@ -53,7 +53,7 @@
         let _ = timeout(COMPARE_PERIOD, gateway.peer_ahead.notified()).await;
         let (peer, own) = {
             let state = gateway.state();
-            let own = state.view.mark();
+            let own = state.view.digest();
             (state.peers.ahead(now_ms(), own, state.store_link()), own)
         };
         let Some(peer) = peer else { continue };
@@ -76,7 +76,7 @@
     SNAPSHOT_TIMEOUT.min(Duration::from_millis(change_ms * SNAPSHOT_PERCENT / 100))
 }
 
-async fn fetch(peer: SocketAddr, own: Mark, longest: Duration) -> Result<CatchUp> {
+async fn fetch(peer: SocketAddr, own: ViewDigest, longest: Duration) -> Result<CatchUp> {
     let question = postcard::to_stdvec(&Question::CatchUp(own))
         .map_err(|error| Error::Message(error.to_string()))?;
     let read = async {
@@ -122,8 +122,8 @@
     let mut limited = (&mut *stream).take(MAX_QUESTION_BYTES);
     in_time(timeout(SNAPSHOT_TIMEOUT, limited.read_to_end(&mut question)).await)?;
     match postcard::from_bytes(&question).map_err(unreadable)? {
-        Question::CatchUp(mark) => {
-            let told = gateway.state().view.catch_up(mark);
+        Question::CatchUp(digest) => {
+            let told = gateway.state().view.catch_up(digest);
             let bytes = postcard::to_stdvec(&told).map_err(unreadable)?;
             let written = timeout(SNAPSHOT_TIMEOUT, async {
                 stream.write_all(&bytes).await?;
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -62,10 +62,10 @@
 
 /// Notes who leads, as this box knows it.
 pub fn note_leader(state: &mut State, now_ms: u64) {
-    if !state.view.is_known() {
+    if !state.view.is_loaded() {
         return;
     }
-    let leader = state.view.written(&keys::lease(NAME)).map(|written| written.revision);
+    let leader = state.view.get(&keys::lease(NAME)).map(|written| written.revision);
     let at_revision = state.view.at_revision();
     state.terms.note(now_ms, leader, at_revision);
 }
@@ -89,7 +89,7 @@
 /// What is written. Where nothing is that can be read, though another box led before, that one
 /// may have ordered all: it may be of a version that writes nothing down.
 fn written(state: &State, fence: u64) -> (Claims, u64) {
-    let item = state.view.written(&keys::claims());
+    let item = state.view.get(&keys::claims());
     let revision = item.map_or(0, |item| item.revision);
     let read = item.map(|item| postcard::from_bytes::<Claims>(&item.value));
     match read {
@@ -215,7 +215,7 @@
         let state = gateway.state();
         let known = state.book.as_ref().filter(|book| book.fence == fence);
         let known = known.map_or(u64::MAX, |book| book.revision);
-        let item = state.view.written(&keys::claims()).filter(|item| item.revision > known);
+        let item = state.view.get(&keys::claims()).filter(|item| item.revision > known);
         if let Some(item) = item
             && postcard::from_bytes::<Claims>(&item.value).is_ok_and(|told| told == *claims)
         {
@@ -248,7 +248,7 @@
 
 /// Takes up a write of this box whose answer was lost.
 fn refresh(state: &mut State) {
-    let Some(item) = state.view.written(&keys::claims()) else { return };
+    let Some(item) = state.view.get(&keys::claims()) else { return };
     let revision = item.revision;
     let claims = match postcard::from_bytes::<Claims>(&item.value) {
         Ok(claims) => claims,
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::decisions::upstream::{Load, SILENT_MS};
-use crate::gateway::decisions::view::Mark;
+use crate::gateway::decisions::view::ViewDigest;
 use crate::quarantine::{ToldAnswer, ToldCrash};
 
 /// Upstreams whose load is told in one message.
@@ -22,7 +22,7 @@
     /// Processor share that it has, in thousandths of a core.
     pub millicores: u32,
     /// What it knows of the metadata store.
-    pub mark: Mark,
+    pub view_digest: ViewDigest,
     /// Version of the configuration that is in force there.
     pub site_version: u64,
     /// Whether the metadata store answers it.
@@ -71,7 +71,7 @@
             incarnation: self.incarnation,
             hall: self.hall,
             millicores: self.millicores,
-            mark: self.mark,
+            view_digest: self.view_digest,
             site_version: self.site_version,
             store_link: self.store_link,
             follows_caches: self.follows_caches,
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -114,8 +114,9 @@
             *fetches.entry(*store).or_default() += u64::from(*tokens);
         }
         let alive = self.alive(now_ms).filter(|(_, peer)| peer.gossip.hall == self.own.hall);
-        let revisions =
-            alive.map(|(address, peer)| (*address, peer.gossip.mark.changed_revision)).collect();
+        let revisions = alive
+            .map(|(address, peer)| (*address, peer.gossip.view_digest.last_change_revision))
+            .collect();
         HallNews {
             hall: self.own.hall,
             loads: self.told(now_ms, &loads),
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -17,7 +17,7 @@
 use crate::gateway::decisions::peers::halls::Halls;
 use crate::gateway::decisions::peers::sums::Sums;
 pub use crate::gateway::decisions::peers::targets::{Audience, Reach, Targets};
-use crate::gateway::decisions::view::Mark;
+use crate::gateway::decisions::view::ViewDigest;
 use crate::names::number;
 
 /// Time between two messages to the same peers.
@@ -136,7 +136,7 @@
     }
 
     /// Takes gossip; true when a box is known now that was not told of this one.
-    pub fn hear(&mut self, now_ms: u64, from: IpAddr, gossip: Gossip, own: Mark) -> bool {
+    pub fn hear(&mut self, now_ms: u64, from: IpAddr, gossip: Gossip, own: ViewDigest) -> bool {
         for address in &gossip.peers {
             self.learn(now_ms, *address);
         }
@@ -151,7 +151,7 @@
         self.has_untold |= !peer.told;
         peer.heard_at_ms = now_ms;
         self.first_heard_at_ms.get_or_insert(now_ms);
-        if is_ahead(gossip.mark, own) {
+        if is_ahead(gossip.view_digest, own) {
             peer.ahead_since_ms.get_or_insert(now_ms);
         } else {
             peer.ahead_since_ms = None;
@@ -202,11 +202,12 @@
 
     /// Whether a peer knows something of the metadata store that this box does not.
     #[must_use]
-    pub fn differs(&self, address: IpAddr, own: Mark) -> bool {
+    pub fn differs(&self, address: IpAddr, own: ViewDigest) -> bool {
         self.known.get(&address).is_some_and(|peer| {
-            let mark = peer.gossip.mark;
-            is_ahead(mark, own)
-                || mark.changed_revision == own.changed_revision && mark.checksum != own.checksum
+            let view_digest = peer.gossip.view_digest;
+            is_ahead(view_digest, own)
+                || view_digest.last_change_revision == own.last_change_revision
+                    && view_digest.checksum != own.checksum
         })
     }
 
@@ -214,24 +215,24 @@
     /// not follow the store itself believes its publisher at once, and keeps to
     /// it when two followers differ: removals in doubt end at different times.
     #[must_use]
-    pub fn ahead(&self, now_ms: u64, own: Mark, link: StoreLink) -> Option<SocketAddr> {
+    pub fn ahead(&self, now_ms: u64, own: ViewDigest, link: StoreLink) -> Option<SocketAddr> {
         let publisher = self.publisher(now_ms).filter(|_| link == StoreLink::Unasked);
         let ahead = self.alive(now_ms).filter(|(address, peer)| {
-            let mark = peer.gossip.mark;
+            let view_digest = peer.gossip.view_digest;
             let believed = publisher.is_some_and(|publisher| publisher.ip() == **address);
-            if believed && mark.changed_revision == own.changed_revision {
-                return mark.checksum != own.checksum;
+            if believed && view_digest.last_change_revision == own.last_change_revision {
+                return view_digest.checksum != own.checksum;
             }
             let at_once = believed || link == StoreLink::Fails;
             let least_ms = if at_once { 0 } else { BEHIND_MS };
-            let since_ms = peer.ahead_since_ms.filter(|_| is_ahead(mark, own));
+            let since_ms = peer.ahead_since_ms.filter(|_| is_ahead(view_digest, own));
             since_ms.is_some_and(|since_ms| now_ms >= since_ms + least_ms)
         });
         let (address, _) = ahead.max_by_key(|(_, peer)| {
             (
                 peer.answers_at(now_ms),
                 peer.gossip.hall == self.own.hall,
-                peer.gossip.mark.changed_revision,
+                peer.gossip.view_digest.last_change_revision,
             )
         })?;
         Some(SocketAddr::new(*address, self.own.address.port()))
@@ -303,7 +304,7 @@
     pub fn knows(&self, address: IpAddr, revision: u64) -> bool {
         let peer = self.known.get(&address).filter(|peer| peer.gossip.incarnation > 0);
         peer.is_some_and(|peer| {
-            peer.gossip.mark.changed_revision.max(peer.bridged_revision) >= revision
+            peer.gossip.view_digest.last_change_revision.max(peer.bridged_revision) >= revision
         })
     }
 
@@ -348,6 +349,6 @@
     }
 }
 
-fn is_ahead(mark: Mark, own: Mark) -> bool {
-    mark.changed_revision > own.changed_revision
+fn is_ahead(view_digest: ViewDigest, own: ViewDigest) -> bool {
+    view_digest.last_change_revision > own.last_change_revision
 }
--- a/src/gateway/decisions/view.rs
+++ b/src/gateway/decisions/view.rs
@@ -20,7 +20,7 @@
 
 /// An item as it was written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Written {
+pub struct VersionedValue {
     /// Revision of its last change.
     pub revision: u64,
     /// Content.
@@ -33,20 +33,20 @@
     /// Revision of the store up to which it is complete.
     pub at_revision: u64,
     /// Revision of the newest change that the giver knows.
-    pub changed_revision: u64,
+    pub last_change_revision: u64,
     /// Items by key.
-    pub items: BTreeMap<String, Written>,
+    pub items: BTreeMap<String, VersionedValue>,
 }
 
 /// What a peer that is behind gets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatchUp {
     /// All that is known.
-    Whole(Snapshot),
+    Full(Snapshot),
     /// What has changed since the revision that the peer named.
-    Since {
+    Delta {
         /// Items that were written since.
-        written: Snapshot,
+        changed: Snapshot,
         /// Keys that were removed since, with the revisions.
         removed: Vec<(String, u64)>,
     },
@@ -54,16 +54,16 @@
 
 /// State of the view by which two boxes see whether theirs are alike.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ViewDigest {
     /// Revision of the newest change.
-    pub changed_revision: u64,
+    pub last_change_revision: u64,
     /// Sum over all items; differs when items do, almost surely.
     pub checksum: u32,
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changed {
+pub enum ViewChange {
     /// An item is new or has changed.
     Put {
         /// Key.
@@ -80,10 +80,10 @@
 
 /// Items of the metadata store, as far as this box knows.
 #[derive(Debug, Default)]
-pub struct View {
+pub struct MetadataView {
     at_revision: u64,
-    changed_revision: u64,
-    items: BTreeMap<String, Written>,
+    last_change_revision: u64,
+    items: BTreeMap<String, VersionedValue>,
     removals: HashMap<String, u64>,
     /// The last removals, oldest first.
     removed: VecDeque<(String, u64)>,
@@ -100,7 +100,7 @@
     least_trouble_ms: u64,
 }
 
-impl View {
+impl MetadataView {
     /// An empty view. Items can lapse once the store has been away for
     /// `least_trouble_ms`, or has said that it does not serve.
     #[must_use]
@@ -110,7 +110,7 @@
 
     /// Whether anything is known yet.
     #[must_use]
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.at_revision > 0
     }
 
@@ -122,50 +122,50 @@
 
     /// Revision of the newest change in the view.
     #[must_use]
-    pub fn changed_revision(&self) -> u64 {
-        self.changed_revision
+    pub fn last_change_revision(&self) -> u64 {
+        self.last_change_revision
     }
 
     /// Whether the store answered this box's last call.
     #[must_use]
-    pub fn store_answers(&self) -> bool {
+    pub fn is_store_available(&self) -> bool {
         self.store_answers
     }
 
     /// When the store told this box all that there was to know; `None` before the first
     /// listing.
     #[must_use]
-    pub fn complete_at_ms(&self) -> Option<u64> {
+    pub fn synced_at_ms(&self) -> Option<u64> {
         self.complete_at_ms
     }
 
     /// Notes that the store has told all that there is to know.
-    pub fn completed(&mut self, now_ms: u64) {
+    pub fn mark_synced(&mut self, now_ms: u64) {
         self.complete_at_ms = Some(now_ms);
     }
 
     /// Whether the store has answered this box for a while.
     #[must_use]
-    pub fn has_answered_for(&self, now_ms: u64, least_ms: u64) -> bool {
+    pub fn store_available_for(&self, now_ms: u64, least_ms: u64) -> bool {
         self.store_answers && now_ms >= self.answers_since_ms + least_ms
     }
 
     /// Whether there is an item under `key`.
     #[must_use]
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains_key(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
 
     /// The item under `key`, as it was written.
     #[must_use]
-    pub fn written(&self, key: &str) -> Option<&Written> {
+    pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.items.get(key)
     }
 
     /// What tells whether another view is like this one.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark { changed_revision: self.changed_revision, checksum: self.checksum }
+    pub fn digest(&self) -> ViewDigest {
+        ViewDigest { last_change_revision: self.last_change_revision, checksum: self.checksum }
     }
 
     /// A copy for a peer.
@@ -174,38 +174,38 @@
         self.copy_of(self.items.clone())
     }
 
-    fn copy_of(&self, items: BTreeMap<String, Written>) -> Snapshot {
-        let (at_revision, changed_revision) = (self.at_revision, self.changed_revision);
-        Snapshot { at_revision, changed_revision, items }
+    fn copy_of(&self, items: BTreeMap<String, VersionedValue>) -> Snapshot {
+        let (at_revision, last_change_revision) = (self.at_revision, self.last_change_revision);
+        Snapshot { at_revision, last_change_revision, items }
     }
 
     /// What a peer with `mark` lacks.
     #[must_use]
-    pub fn catch_up(&self, mark: Mark) -> CatchUp {
-        let after = mark.changed_revision;
+    pub fn catch_up(&self, mark: ViewDigest) -> CatchUp {
+        let after = mark.last_change_revision;
         // With the same changes known, it is the items that differ.
-        if after < self.log_from_revision || after >= self.changed_revision {
-            return CatchUp::Whole(self.snapshot());
+        if after < self.log_from_revision || after >= self.last_change_revision {
+            return CatchUp::Full(self.snapshot());
         }
         let items = self.items.iter().filter(|(_, written)| written.revision > after);
         let items = items.map(|(key, written)| (key.clone(), written.clone())).collect();
         let removed = self.removed.iter().filter(|(_, revision)| *revision > after);
-        CatchUp::Since { written: self.copy_of(items), removed: removed.cloned().collect() }
+        CatchUp::Delta { changed: self.copy_of(items), removed: removed.cloned().collect() }
     }
 
     /// Notes that the store did not answer as it should; true when it did
     /// before.
-    pub fn store_failed(&mut self) -> bool {
+    pub fn note_store_failure(&mut self) -> bool {
         std::mem::replace(&mut self.store_answers, false)
     }
 
     /// Notes that the store has said itself that it does not serve.
-    pub fn store_unable(&mut self) {
+    pub fn note_store_unavailable(&mut self) {
         self.said_unable = true;
     }
 
     /// Notes an answer of the store; true when it did not answer before.
-    pub fn store_answered(&mut self, now_ms: u64) -> bool {
+    pub fn note_store_answer(&mut self, now_ms: u64) -> bool {
         let was_away = !std::mem::replace(&mut self.store_answers, true);
         let away_since_ms = std::mem::replace(&mut self.answered_at_ms, now_ms);
         let away_ms = now_ms.saturating_sub(away_since_ms);
@@ -216,7 +216,7 @@
         let may_have_lapsed = said_unable || away_ms >= self.least_trouble_ms;
         // After a mere reset, what is gone has left: held in doubt, it got work for up to
         // 3.3 s more, where 2 s were allowed.
-        if was_away && may_have_lapsed && self.is_known() {
+        if was_away && may_have_lapsed && self.is_loaded() {
             self.trouble_ended_at_ms = Some(now_ms);
             for until_ms in self.removals.values_mut() {
                 *until_ms = (*until_ms).max(now_ms + REWRITE_MS);
@@ -226,9 +226,9 @@
     }
 
     /// Takes an item that was written.
-    pub fn put(&mut self, key: String, written: Written) -> Option<Changed> {
+    pub fn put(&mut self, key: String, written: VersionedValue) -> Option<ViewChange> {
         self.at_revision = self.at_revision.max(written.revision);
-        self.changed_revision = self.changed_revision.max(written.revision);
+        self.last_change_revision = self.last_change_revision.max(written.revision);
         self.removals.remove(&key);
         if self.items.get(&key).is_some_and(|known| known.revision >= written.revision) {
             return None;
@@ -238,7 +238,7 @@
         self.forget_item(&key);
         self.checksum = self.checksum.wrapping_add(item_checksum(&key, written.revision));
         self.items.insert(key.clone(), written);
-        (!same).then_some(Changed::Put { key, value })
+        (!same).then_some(ViewChange::Put { key, value })
     }
 
     /// Takes a removal. `lapses` says that the item goes by itself when its
@@ -249,9 +249,9 @@
         key: &str,
         revision: u64,
         lapses: bool,
-    ) -> Option<Changed> {
+    ) -> Option<ViewChange> {
         self.at_revision = self.at_revision.max(revision);
-        self.changed_revision = self.changed_revision.max(revision);
+        self.last_change_revision = self.last_change_revision.max(revision);
         if self.items.get(key).is_none_or(|known| known.revision > revision) {
             return None;
         }
@@ -265,13 +265,13 @@
     }
 
     /// Takes a listing or snapshot of all items whose keys `covers` accepts.
-    pub fn replace(
+    pub fn apply_snapshot(
         &mut self,
         now_ms: u64,
         snapshot: Snapshot,
         covers: impl Fn(&str) -> bool,
         lapses: impl Fn(&str) -> bool,
-    ) -> Vec<Changed> {
+    ) -> Vec<ViewChange> {
         let mut changes = Vec::new();
         let at_revision = snapshot.at_revision;
         // It does not say what was removed in between.
@@ -292,22 +292,22 @@
         for (key, written) in snapshot.items {
             changes.extend(self.put(key, written));
         }
-        self.changed_revision = self.changed_revision.max(snapshot.changed_revision);
+        self.last_change_revision = self.last_change_revision.max(snapshot.last_change_revision);
         self.at_revision = complete_to;
         changes
     }
 
     /// Takes what a peer that follows the store itself has told.
-    pub fn take(
+    pub fn apply_catch_up(
         &mut self,
         now_ms: u64,
         told: CatchUp,
         covers: impl Fn(&str) -> bool,
-    ) -> Vec<Changed> {
+    ) -> Vec<ViewChange> {
         match told {
             // The peer keeps items whose removal is in doubt, so none is here.
-            CatchUp::Whole(snapshot) => self.replace(now_ms, snapshot, covers, |_| false),
-            CatchUp::Since { written, removed } => {
+            CatchUp::Full(snapshot) => self.apply_snapshot(now_ms, snapshot, covers, |_| false),
+            CatchUp::Delta { changed: written, removed } => {
                 let mut changes = Vec::new();
                 // Its items may be newer than what it knows of all keys.
                 let complete_to = self.at_revision.max(written.at_revision);
@@ -318,19 +318,20 @@
                     changes.extend(self.put(key, item));
                 }
                 self.at_revision = complete_to;
-                self.changed_revision = self.changed_revision.max(written.changed_revision);
+                self.last_change_revision =
+                    self.last_change_revision.max(written.last_change_revision);
                 changes
             }
         }
     }
 
     /// Notes that the view is complete up to a revision.
-    pub fn complete_to(&mut self, revision: u64) {
+    pub fn advance_to(&mut self, revision: u64) {
         self.at_revision = self.at_revision.max(revision);
     }
 
     /// Carries out the removals that are due.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Changed> {
+    pub fn apply_due_removals(&mut self, now_ms: u64) -> Vec<ViewChange> {
         if !self.store_answers {
             return Vec::new();
         }
@@ -354,9 +355,9 @@
         (now_ms < until_ms + TROUBLE_ECHO_MS).then_some(until_ms.max(now_ms))
     }
 
-    fn take_out(&mut self, key: &str) -> Option<Changed> {
+    fn take_out(&mut self, key: &str) -> Option<ViewChange> {
         self.removals.remove(key);
-        self.forget_item(key).then(|| Changed::Removed { key: key.to_owned() })
+        self.forget_item(key).then(|| ViewChange::Removed { key: key.to_owned() })
     }
 
     fn forget_item(&mut self, key: &str) -> bool {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -18,7 +18,7 @@
 use crate::error::{Error, Result};
 use crate::gateway::claims;
 use crate::gateway::decisions::units::whole_ms;
-use crate::gateway::decisions::view::{CatchUp, Changed, Snapshot, Written};
+use crate::gateway::decisions::view::{CatchUp, Snapshot, VersionedValue, ViewChange};
 use crate::gateway::decisions::weights::LONG_AGO_MS;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
@@ -130,7 +130,7 @@
         choose_role(&gateway, &mut state, now_ms);
         state.take_others(now_ms);
         state.limits.recover(TICK.as_secs_f64());
-        let changes = state.view.tick(now_ms);
+        let changes = state.view.apply_due_removals(now_ms);
         apply(&gateway, &mut state, now_ms, Named::Now, changes);
         metrics::gauge!("coursestile_weights_behind_seconds").set(behind_s(&state, now_ms));
         for (store, count) in state.stores.tick(now_ms) {
@@ -156,15 +156,15 @@
 pub fn take_from_peer(gateway: &Gateway, told: CatchUp) {
     let mut state = gateway.state();
     let (at_revision, whole) = match &told {
-        CatchUp::Whole(snapshot) => (snapshot.at_revision, true),
-        CatchUp::Since { written, .. } => (written.at_revision, false),
+        CatchUp::Full(snapshot) => (snapshot.at_revision, true),
+        CatchUp::Delta { changed: written, .. } => (written.at_revision, false),
     };
-    if at_revision < state.view.changed_revision() {
+    if at_revision < state.view.last_change_revision() {
         return;
     }
     let now_ms = now_ms();
     let named = named_since(gateway, &state, now_ms);
-    let changes = state.view.take(now_ms, told, is_covered);
+    let changes = state.view.apply_catch_up(now_ms, told, is_covered);
     info!(target: "follow",
         "event=caught_up at_revision={at_revision} whole={whole} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
@@ -188,18 +188,18 @@
         // The watch goes on from the oldest listing, so nothing is missed.
         snapshot.at_revision = snapshot.at_revision.min(listing.at_revision);
         for Item { key, value, revision } in listing.items {
-            snapshot.items.insert(key, Written { revision, value });
+            snapshot.items.insert(key, VersionedValue { revision, value });
         }
     }
     answered(gateway);
     let mut state = gateway.state();
     let now_ms = now_ms();
-    let named = Named::After(state.view.complete_at_ms().unwrap_or(LONG_AGO_MS));
+    let named = Named::After(state.view.synced_at_ms().unwrap_or(LONG_AGO_MS));
     if freshness == Freshness::Latest {
-        state.view.completed(now_ms);
+        state.view.mark_synced(now_ms);
     }
     let (at_revision, items) = (snapshot.at_revision, snapshot.items.len());
-    let changes = state.view.replace(now_ms, snapshot, is_covered, lapses);
+    let changes = state.view.apply_snapshot(now_ms, snapshot, is_covered, lapses);
     info!(target: "follow",
         "event=listed at_revision={at_revision} items={items} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
@@ -210,7 +210,7 @@
 async fn watch(gateway: &Gateway) -> Result<Followed> {
     let (after, answers) = {
         let state = gateway.state();
-        (state.view.at_revision(), state.view.store_answers())
+        (state.view.at_revision(), state.view.is_store_available())
     };
     let wait = if answers { usual_wait(&gateway.settings.bounds) } else { AFTER_FAILURE };
     let watched = tokio::select! {
@@ -232,7 +232,7 @@
     for change in changes {
         match change {
             Change::Put(Item { key, value, revision }) if is_covered(&key) => {
-                applied.extend(state.view.put(key, Written { revision, value }));
+                applied.extend(state.view.put(key, VersionedValue { revision, value }));
             }
             Change::Removed { key, revision } if is_covered(&key) => {
                 let lapses = lapses(&key);
@@ -241,9 +241,9 @@
             Change::Put(_) | Change::Removed { .. } => {}
         }
     }
-    state.view.complete_to(at_revision);
+    state.view.advance_to(at_revision);
     let named = named_since(gateway, &state, now_ms);
-    state.view.completed(now_ms);
+    state.view.mark_synced(now_ms);
     apply(gateway, &mut state, now_ms, named, applied);
     Ok(Followed::Answered)
 }
@@ -278,7 +278,7 @@
 }
 
 fn answered(gateway: &Gateway) {
-    if gateway.state().view.store_answered(now_ms()) {
+    if gateway.state().view.note_store_answer(now_ms()) {
         info!(target: "follow", "event=dependency_regained dependency=metadata_store");
     }
 }
@@ -289,9 +289,9 @@
     let after_revision = state.view.at_revision();
     let waited_ms = now_ms().saturating_sub(asked_at_ms);
     if matches!(error, Error::PlatformUnable(_)) {
-        state.view.store_unable();
+        state.view.note_store_unavailable();
     }
-    if state.view.store_failed() {
+    if state.view.note_store_failure() {
         warn!(target: "follow",
             "event=dependency_lost dependency=metadata_store after_revision={after_revision} \
              waited_ms={waited_ms} cause=\"{error}\"");
@@ -314,19 +314,25 @@
 /// When what is told now was named: after the store told all before, if that is longer ago
 /// than a watch explains.
 fn named_since(gateway: &Gateway, state: &State, now_ms: u64) -> Named {
-    let complete_at_ms = state.view.complete_at_ms();
+    let complete_at_ms = state.view.synced_at_ms();
     let late_ms = lost_watch_ms(&gateway.settings.bounds);
     match complete_at_ms {
         Some(at_ms) if now_ms > at_ms + late_ms => Named::After(at_ms),
         Some(_) => Named::Now,
         // It learns from peers only, or has just started.
-        None if state.view.is_known() => Named::Now,
+        None if state.view.is_loaded() => Named::Now,
         None => Named::After(LONG_AGO_MS),
     }
 }
 
 /// Puts changes of the view in force.
-fn apply(gateway: &Gateway, state: &mut State, now_ms: u64, named: Named, changes: Vec<Changed>) {
+fn apply(
+    gateway: &Gateway,
+    state: &mut State,
+    now_ms: u64,
+    named: Named,
+    changes: Vec<ViewChange>,
+) {
     claims::note_leader(state, now_ms);
     if !changes.is_empty() && state.follows_store {
         // Others learn from this box.
@@ -335,8 +341,8 @@
     let mut upstreams_changed = false;
     for change in changes {
         let (key, value) = match &change {
-            Changed::Put { key, value } => (key, Some(value.as_slice())),
-            Changed::Removed { key } => (key, None),
+            ViewChange::Put { key, value } => (key, Some(value.as_slice())),
+            ViewChange::Removed { key } => (key, None),
         };
         match (keys::kind(key), value) {
             (Kind::Configuration, Some(value)) => {
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -160,7 +160,7 @@
         incarnation,
         hall: state.peers.own().hall,
         millicores: state.peers.own().millicores,
-        mark: state.view.mark(),
+        view_digest: state.view.digest(),
         site_version: state.site.as_ref().map_or(0, |site| site.version),
         store_link: state.store_link(),
         follows_caches: state.follows_caches,
@@ -288,7 +288,7 @@
 fn hear(gateway: &Gateway, from: IpAddr, gossip: Gossip) {
     let mut state = gateway.state();
     let now_ms = now_ms();
-    let own = state.view.mark();
+    let own = state.view.digest();
     if take_weights(&mut state, now_ms, &gossip) && state.is_bridge() {
         // The own hall hears it from this bridge.
         gateway.gossip_now.notify_one();
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -19,7 +19,7 @@
 use crate::gateway::decisions::stores::Stores;
 use crate::gateway::decisions::upstreams::Upstreams;
 use crate::gateway::decisions::urgency::UsualLimits;
-use crate::gateway::decisions::view::View;
+use crate::gateway::decisions::view::MetadataView;
 use crate::gateway::decisions::weights::NamedWeights;
 use crate::gateway::follow;
 use crate::gateway::helpers::HelpReply;
@@ -45,7 +45,7 @@
 /// State that decisions read and change; no call is awaited under its lock.
 pub struct State {
     /// Items of the metadata store.
-    pub view: View,
+    pub view: MetadataView,
     /// Configuration in force.
     pub site: Option<Arc<Site>>,
     /// Weight versions named by operators, by model.
@@ -157,7 +157,7 @@
     /// How the metadata store answers this box.
     #[must_use]
     pub fn store_link(&self) -> StoreLink {
-        match (self.follows_store, self.view.store_answers()) {
+        match (self.follows_store, self.view.is_store_available()) {
             (false, _) => StoreLink::Unasked,
             (true, true) => StoreLink::Answers,
             (true, false) => StoreLink::Fails,
@@ -239,7 +239,7 @@
         };
         let http = Http::new()?;
         let state = State {
-            view: View::new(least_trouble_ms(bounds)),
+            view: MetadataView::new(least_trouble_ms(bounds)),
             site: None,
             weights: HashMap::new(),
             upstreams: Upstreams::default(),
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -99,7 +99,7 @@
         && !is_way_cut(&state)
         && state.store_link() == StoreLink::Answers
         && state.site.is_some()
-        && !state.view.has(&keys::lease(NAME))
+        && !state.view.contains_key(&keys::lease(NAME))
 }
 
 /// Whether this box does not reach the engines of some model that others hear: a leader so
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -84,7 +84,7 @@
         if state.leadership.is_none_or(|held| now_ms >= held.until_ms) {
             return Ok(());
         }
-        let written = state.view.written(&key);
+        let written = state.view.get(&key);
         // One that cannot be read, as `take` has logged, is written anew.
         let listed = written.and_then(|written| read(&written.value).ok());
         let next: Listed = state.quarantine.quarantined(now_ms).collect();
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -95,7 +95,7 @@
         for (model, named) in &state.weights {
             let version = named.newest();
             let is_known = |one: &Naming| one.model == *model && one.version >= version;
-            let written = state.view.written(&keys::weights(model));
+            let written = state.view.get(&keys::weights(model));
             if let Some(written) = written
                 && !self.namings.iter().any(is_known)
             {
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -6,7 +6,7 @@
 use coursestile::gateway::decisions::gossip_message::{Gossip, ToldLoad};
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach, Targets};
 use coursestile::gateway::decisions::upstream::Load;
-use coursestile::gateway::decisions::view::Mark;
+use coursestile::gateway::decisions::view::ViewDigest;
 
 const HALLS: u32 = 5;
 /// Boxes of a hall: three strong ones first, as on a fleet of 295.
@@ -26,13 +26,13 @@
 
 fn gossip(hall: u32, host: u8, requests: u32) -> Gossip {
     let loads = if requests > 0 { vec![told(requests)] } else { Vec::new() };
-    let mark = Mark { changed_revision: 5, checksum: 0 };
+    let view_digest = ViewDigest { last_change_revision: 5, checksum: 0 };
     Gossip {
         incarnation: 1,
         hall,
         millicores: if host <= STRONG { 500 } else { 120 },
         loads,
-        mark,
+        view_digest,
         fetches: vec![(STORE, 10)],
         ..Gossip::default()
     }
@@ -48,7 +48,7 @@
             let heard = gossip(other_hall, other, requests);
             let heard = if other_hall == hall { heard } else { heard.brief() };
             if (other_hall, other) != (hall, host) {
-                peers.hear(0, address(other_hall, other), heard, Mark::default());
+                peers.hear(0, address(other_hall, other), heard, ViewDigest::default());
             }
         }
     }
@@ -87,7 +87,7 @@
 fn new_bridge_reached() {
     let mut peers = fleet_box(0, 1, 0);
     let successor = Gossip { follows_caches: true, ..gossip(1, 3, 0) };
-    peers.hear(300, address(1, 3), successor, Mark::default());
+    peers.hear(300, address(1, 3), successor, ViewDigest::default());
     let targets = peers.next_targets(310, Audience::All, Reach::Bridges);
     assert!(ips(&targets.bridges).contains(&address(1, 3)), "it says that it is one");
 }
@@ -122,10 +122,10 @@
 fn revisions_cross_halls() {
     let mut leader = fleet_box(0, 1, 0);
     let mut south = fleet_box(1, 1, 0);
-    let mark = Mark { changed_revision: 9, checksum: 0 };
+    let view_digest = ViewDigest { last_change_revision: 9, checksum: 0 };
     for host in 2..=BOXES {
-        let heard = Gossip { mark, ..gossip(1, host, 0) };
-        south.hear(1000, address(1, host), heard, Mark::default());
+        let heard = Gossip { view_digest, ..gossip(1, host, 0) };
+        south.hear(1000, address(1, host), heard, ViewDigest::default());
     }
     assert!(!leader.knows(address(1, 50), 9), "its turn has not come");
     leader.hear_hall(1010, south.hall_news(1000, std::iter::empty(), &[]));
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -4,7 +4,7 @@
 
 use coursestile::gateway::decisions::gossip_message::{Gossip, StoreLink};
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
-use coursestile::gateway::decisions::view::{Mark, View, Written};
+use coursestile::gateway::decisions::view::{MetadataView, VersionedValue, ViewDigest};
 use proptest::prelude::*;
 
 const HALL: u32 = 1;
@@ -35,7 +35,7 @@
     for host in 1..=count {
         let gossip =
             Gossip { incarnation: 1, hall, millicores, store_link: link, ..Gossip::default() };
-        peers.hear(now_ms, address(hall, host), gossip, Mark::default());
+        peers.hear(now_ms, address(hall, host), gossip, ViewDigest::default());
     }
 }
 
@@ -50,9 +50,9 @@
     let other = IpAddr::from([10, 0, 0, 2]);
     let mut peers = Peers::new(own, &[other, own.address.ip()]);
     assert_eq!(addresses_told(&mut peers, 0, Audience::All), [SocketAddr::new(other, 7000)]);
-    let known = Mark { changed_revision: 5, checksum: 1 };
-    let mark = Mark { changed_revision: 9, checksum: 2 };
-    let news = Gossip { incarnation: 1, mark, ..Gossip::default() };
+    let known = ViewDigest { last_change_revision: 5, checksum: 1 };
+    let view_digest = ViewDigest { last_change_revision: 9, checksum: 2 };
+    let news = Gossip { incarnation: 1, view_digest, ..Gossip::default() };
     peers.hear(1000, other, news, known);
     assert_eq!(peers.boxes(1000), 2);
     let asked = StoreLink::Answers;
@@ -82,12 +82,12 @@
     let mut peers = Peers::new(own(), &[address(HALL, 1)]);
     let named = (2..40).map(|host| address(OTHER_HALL, host)).collect();
     let gossip = Gossip { incarnation: 1, hall: HALL, peers: named, ..Gossip::default() };
-    assert!(peers.hear(0, address(HALL, 1), gossip.clone(), Mark::default()));
+    assert!(peers.hear(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
     assert_eq!(addresses_told(&mut peers, 0, Audience::OwnHall).len(), 39, "all at once");
-    assert!(!peers.hear(0, address(HALL, 1), gossip.clone(), Mark::default()));
+    assert!(!peers.hear(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
     assert_eq!(addresses_told(&mut peers, 0, Audience::All).len(), 5, "the others in turn");
     let restarted = Gossip { incarnation: 2, ..gossip };
-    assert!(peers.hear(0, address(HALL, 1), restarted, Mark::default()), "it knows nothing");
+    assert!(peers.hear(0, address(HALL, 1), restarted, ViewDigest::default()), "it knows nothing");
 }
 
 #[test]
@@ -128,7 +128,7 @@
     assert_eq!(peers.cache_publisher(0), None, "nobody has said so");
     let follows_caches = true;
     let gossip = Gossip { incarnation: 1, hall: HALL, follows_caches, ..Gossip::default() };
-    peers.hear(0, address(HALL, 1), gossip, Mark::default());
+    peers.hear(0, address(HALL, 1), gossip, ViewDigest::default());
     assert_eq!(peers.cache_publisher(0).map(|found| found.ip()), Some(address(HALL, 1)));
 }
 
@@ -153,54 +153,55 @@
 
     #[test]
     fn views_alike(steps in steps()) {
-        let (mut follower, mut behind) = (View::default(), View::default());
+        let (mut follower, mut behind) = (MetadataView::default(), MetadataView::default());
         for (step, revision) in steps.into_iter().zip(1_u64..) {
             match step {
                 Step::Write { key } => {
-                    follower.put(key.to_string(), Written { revision, value: vec![key] });
+                    follower.put(key.to_string(), VersionedValue { revision, value: vec![key] });
                 }
                 Step::Remove { key } => drop(follower.remove(0, &key.to_string(), revision, false)),
-                Step::CatchUp => drop(behind.take(0, follower.catch_up(behind.mark()), |_| true)),
+                Step::CatchUp => drop(behind.apply_catch_up(0, follower.catch_up(behind.digest()), |_| true)),
             }
         }
-        behind.take(0, follower.catch_up(behind.mark()), |_| true);
-        prop_assert_eq!(behind.mark().checksum, follower.mark().checksum);
+        behind.apply_catch_up(0, follower.catch_up(behind.digest()), |_| true);
+        prop_assert_eq!(behind.digest().checksum, follower.digest().checksum);
         prop_assert_eq!(behind.snapshot().items, follower.snapshot().items);
     }
 }
 
 #[test]
 fn late_removal() {
-    let (mut follower, mut behind) = (View::default(), View::default());
-    follower.store_answered(0);
-    follower.put("u".to_owned(), Written { revision: 1, value: vec![1] });
-    follower.store_failed();
+    let (mut follower, mut behind) = (MetadataView::default(), MetadataView::default());
+    follower.note_store_answer(0);
+    follower.put("u".to_owned(), VersionedValue { revision: 1, value: vec![1] });
+    follower.note_store_failure();
     follower.remove(1000, "u", 2, true);
-    behind.take(1000, follower.catch_up(behind.mark()), |_| true);
-    assert!(behind.has("u"), "its removal is in doubt");
-    follower.store_answered(2000);
-    assert_eq!(follower.tick(9000).len(), 1);
-    assert_ne!(behind.mark(), follower.mark());
-    behind.take(9000, follower.catch_up(behind.mark()), |_| true);
-    assert!(!behind.has("u"));
+    behind.apply_catch_up(1000, follower.catch_up(behind.digest()), |_| true);
+    assert!(behind.contains_key("u"), "its removal is in doubt");
+    follower.note_store_answer(2000);
+    assert_eq!(follower.apply_due_removals(9000).len(), 1);
+    assert_ne!(behind.digest(), follower.digest());
+    behind.apply_catch_up(9000, follower.catch_up(behind.digest()), |_| true);
+    assert!(!behind.contains_key("u"));
 }
 
 #[test]
 fn one_believed() {
     let mut peers = Peers::new(own(), &[]);
     hear(&mut peers, 0, HALL, 20, 120, StoreLink::Unasked);
-    let known = Mark { changed_revision: 5, checksum: 1 };
-    let mut tell = |host: u8, mark: Mark| {
+    let known = ViewDigest { last_change_revision: 5, checksum: 1 };
+    let mut tell = |host: u8, view_digest: ViewDigest| {
         let store_link = StoreLink::Answers;
-        let gossip = Gossip { incarnation: 1, hall: HALL, store_link, mark, ..Gossip::default() };
+        let gossip =
+            Gossip { incarnation: 1, hall: HALL, store_link, view_digest, ..Gossip::default() };
         peers.hear(1000, address(HALL, host), gossip, known);
     };
     tell(1, known);
     tell(2, known);
     let publisher = peers.publisher(1000).unwrap().ip();
     let other = if publisher == address(HALL, 1) { 2 } else { 1 };
-    let differs = Mark { checksum: 2, ..known };
-    let gossip = Gossip { incarnation: 1, hall: HALL, mark: differs, ..Gossip::default() };
+    let differs = ViewDigest { checksum: 2, ..known };
+    let gossip = Gossip { incarnation: 1, hall: HALL, view_digest: differs, ..Gossip::default() };
     let answers = Gossip { store_link: StoreLink::Answers, ..gossip };
     peers.hear(1000, address(HALL, other), answers.clone(), known);
     assert_eq!(peers.ahead(2000, known, StoreLink::Unasked), None, "the publisher does not");
@@ -227,14 +228,14 @@
 fn unanswered_last() {
     let mut peers = Peers::new(own(), &[]);
     let mut tell = |hall: u32| {
-        let mark = Mark { changed_revision: 9, checksum: 2 };
-        let gossip = Gossip { incarnation: 1, hall, mark, ..Gossip::default() };
-        peers.hear(1000, address(hall, 1), gossip, Mark::default());
+        let view_digest = ViewDigest { last_change_revision: 9, checksum: 2 };
+        let gossip = Gossip { incarnation: 1, hall, view_digest, ..Gossip::default() };
+        peers.hear(1000, address(hall, 1), gossip, ViewDigest::default());
     };
     tell(HALL);
     tell(OTHER_HALL);
     let asked = |peers: &Peers, now_ms: u64| {
-        peers.ahead(now_ms, Mark::default(), StoreLink::Fails).map(|found| found.ip())
+        peers.ahead(now_ms, ViewDigest::default(), StoreLink::Fails).map(|found| found.ip())
     };
     assert_eq!(asked(&peers, 1000), Some(address(HALL, 1)));
     peers.unanswered(1000, address(HALL, 1));
@@ -253,7 +254,7 @@
     for number in 1..4 {
         let store_link = StoreLink::Answers;
         let gossip = Gossip { incarnation: 1, hall: HALL, store_link, ..Gossip::default() };
-        peers.hear(1000, address(HALL, number), gossip, Mark::default());
+        peers.hear(1000, address(HALL, number), gossip, ViewDigest::default());
     }
     let publisher = peers.publisher(1000).expect("some follow");
     peers.unanswered(1000, publisher.ip());
--- a/tests/gateway_removals.rs
+++ b/tests/gateway_removals.rs
@@ -1,48 +1,48 @@
 //! What a box believes of items that vanish, or are told in any order.
 
-use coursestile::gateway::decisions::view::{CatchUp, Snapshot, View, Written};
+use coursestile::gateway::decisions::view::{CatchUp, MetadataView, Snapshot, VersionedValue};
 use proptest::prelude::*;
 
-fn written(revision: u64) -> Written {
-    Written { revision, value: revision.to_string().into_bytes() }
+fn written(revision: u64) -> VersionedValue {
+    VersionedValue { revision, value: revision.to_string().into_bytes() }
 }
 
 #[test]
 fn removal_in_doubt() {
-    let mut view = View::default();
-    view.store_answered(0);
+    let mut view = MetadataView::default();
+    view.note_store_answer(0);
     view.put("u".to_owned(), written(1));
     view.put("v".to_owned(), written(2));
-    view.store_failed();
+    view.note_store_failure();
     assert_eq!(view.remove(1000, "u", 3, true), None);
     assert_eq!(view.remove(1000, "v", 4, true), None);
-    assert!(view.tick(60_000).is_empty(), "nothing goes while the store is away");
-    view.store_answered(60_000);
+    assert!(view.apply_due_removals(60_000).is_empty(), "nothing goes while the store is away");
+    view.note_store_answer(60_000);
     view.put("v".to_owned(), written(5));
-    assert!(view.tick(61_000).is_empty());
-    assert_eq!(view.tick(62_100).len(), 1);
-    assert!(view.has("v") && !view.has("u"));
+    assert!(view.apply_due_removals(61_000).is_empty());
+    assert_eq!(view.apply_due_removals(62_100).len(), 1);
+    assert!(view.contains_key("v") && !view.contains_key("u"));
     assert!(view.remove(90_000, "v", 6, true).is_some(), "the trouble is long over");
 }
 
 #[test]
 fn removal_after_reset() {
-    let mut view = View::new(2400);
-    view.store_answered(0);
+    let mut view = MetadataView::new(2400);
+    view.note_store_answer(0);
     view.put("u".to_owned(), written(1));
     view.put("v".to_owned(), written(2));
-    view.store_failed();
-    view.store_answered(2399);
+    view.note_store_failure();
+    view.note_store_answer(2399);
     assert!(view.remove(2400, "u", 3, true).is_some(), "nothing lapses in so short a time");
-    view.store_failed();
-    view.store_answered(4799);
+    view.note_store_failure();
+    view.note_store_answer(4799);
     assert_eq!(view.remove(4800, "v", 4, true), None);
-    let mut view = View::new(2400);
-    view.store_answered(0);
+    let mut view = MetadataView::new(2400);
+    view.note_store_answer(0);
     view.put("u".to_owned(), written(1));
-    view.store_unable();
-    view.store_failed();
-    view.store_answered(100);
+    view.note_store_unavailable();
+    view.note_store_failure();
+    view.note_store_answer(100);
     assert_eq!(view.remove(100, "u", 3, true), None, "the store has said that it was away");
 }
 
@@ -53,18 +53,18 @@
     /// revision of each item stays.
     #[test]
     fn view_only_rises(steps in prop::collection::vec((0_u8..3, 0_u8..4, 1_u64..40), 1..60)) {
-        let mut view = View::default();
-        view.store_answered(0);
+        let mut view = MetadataView::default();
+        view.note_store_answer(0);
         let mut newest = std::collections::BTreeMap::new();
         for (kind, key, revision) in steps {
             let key = format!("k{key}");
             let before = newest.get(&key).copied().unwrap_or(0);
             if kind == 2 {
-                let at_revision = view.changed_revision() + 1;
+                let at_revision = view.last_change_revision() + 1;
                 let mut items = view.snapshot().items;
                 items.insert(key.clone(), written(revision));
-                let snapshot = Snapshot { at_revision, changed_revision: at_revision, items };
-                view.replace(0, snapshot, |_| true, |_| false);
+                let snapshot = Snapshot { at_revision, last_change_revision: at_revision, items };
+                view.apply_snapshot(0, snapshot, |_| true, |_| false);
             } else {
                 view.put(key.clone(), written(revision));
             }
@@ -81,13 +81,13 @@
 /// for all that it knew, and its watch never told it of the first.
 #[test]
 fn listing_in_pages() {
-    let written = Written { revision: 12, value: b"page read later".to_vec() };
+    let written = VersionedValue { revision: 12, value: b"page read later".to_vec() };
     let items = [("own/b".to_owned(), written)].into();
-    let mut view = View::new(1000);
-    view.store_answered(0);
+    let mut view = MetadataView::new(1000);
+    view.note_store_answer(0);
     // The first page was read as of revision 10, and a change of revision 11 belongs to it.
-    let listing = Snapshot { at_revision: 10, changed_revision: 10, items };
-    view.replace(0, listing, |_| true, |_| false);
+    let listing = Snapshot { at_revision: 10, last_change_revision: 10, items };
+    view.apply_snapshot(0, listing, |_| true, |_| false);
     assert_eq!(view.at_revision(), 10, "the watch goes on from here");
 }
 
@@ -95,11 +95,11 @@
 /// items' own revisions: else the watch would pass over a change that neither had.
 #[test]
 fn since_is_complete() {
-    let mut view = View::new(1000);
-    view.store_answered(0);
+    let mut view = MetadataView::new(1000);
+    view.note_store_answer(0);
     view.put("own/a".to_owned(), written(10));
     let items = [("own/b".to_owned(), written(14))].into();
-    let told = Snapshot { at_revision: 12, changed_revision: 14, items };
-    view.take(0, CatchUp::Since { written: told, removed: Vec::new() }, |_| true);
+    let told = Snapshot { at_revision: 12, last_change_revision: 14, items };
+    view.apply_catch_up(0, CatchUp::Delta { changed: told, removed: Vec::new() }, |_| true);
     assert_eq!(view.at_revision(), 12, "the watch goes on from here");
 }
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -11,7 +11,7 @@
 
 use common::{Scene, scene, wait_ready};
 use coursestile::gateway::decisions::gossip_message::Gossip;
-use coursestile::gateway::decisions::view::Mark;
+use coursestile::gateway::decisions::view::ViewDigest;
 use coursestile::gateway::gossip::Datagram;
 use coursestile::names::number;
 use coursestile_standins::site::client::{Client, request};
@@ -220,8 +220,8 @@
     let store = Silencer::start(&scene.site.metadata.address).await;
     let cut = scene.site.gateway_at("north", &[&scene.gateway], &store.address);
     wait_ready(&cut).await;
-    let mark = Mark { changed_revision: 1_000_000, checksum: 1 };
-    let gossip = Gossip { incarnation: 1, hall: number("north"), mark, ..Gossip::default() };
+    let view_digest = ViewDigest { last_change_revision: 1_000_000, checksum: 1 };
+    let gossip = Gossip { incarnation: 1, hall: number("north"), view_digest, ..Gossip::default() };
     let deaf = DeafPeer::start(&cut.peers, DEAF_HOST, gossip).await;
     eventually("it is asked", async || deaf.asked() > 0).await;
     store.lead_to("127.0.0.1:1");
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -8,7 +8,7 @@
 };
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
 use coursestile::gateway::decisions::upstream::Load;
-use coursestile::gateway::decisions::view::Mark;
+use coursestile::gateway::decisions::view::ViewDigest;
 use proptest::prelude::*;
 
 const HALL: u32 = 1;
@@ -67,7 +67,7 @@
                 Step::Gossip { host, loads } => {
                     let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
                     let gossip = gossip(all.collect(), u32::from(host));
-                    peers.hear(now_ms, address(host), gossip, Mark::default());
+                    peers.hear(now_ms, address(host), gossip, ViewDigest::default());
                     last.insert(host, (now_ms, loads));
                 }
                 Step::Changes { host, loads } => {
@@ -115,12 +115,12 @@
         LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], resting: vec![] };
     peers.hear_loads(0, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "it has not introduced itself");
-    peers.hear(0, address(1), gossip(Vec::new(), 0), Mark::default());
+    peers.hear(0, address(1), gossip(Vec::new(), 0), ViewDigest::default());
     peers.hear_loads(0, address(1), &changes);
     assert_eq!(peers.load(1).requests, 4);
     // It starts again, and an old message arrives late.
     let reborn = Gossip { incarnation: 2, ..gossip(Vec::new(), 0) };
-    peers.hear(10, address(1), reborn, Mark::default());
+    peers.hear(10, address(1), reborn, ViewDigest::default());
     peers.hear_loads(20, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "of an earlier start");
 }
@@ -128,7 +128,7 @@
 #[test]
 fn hearing_remembered() {
     let mut peers = peers();
-    peers.hear(1000, address(1), gossip(vec![told(1, 1)], 0), Mark::default());
+    peers.hear(1000, address(1), gossip(vec![told(1, 1)], 0), ViewDigest::default());
     peers.lapse(1000 + SILENT_MS);
     assert_eq!(peers.load(1), Load::default(), "the peer is silent");
     assert_eq!(peers.heard_at_ms(1), 1000, "the upstream was heard all the same");
