--- a/src/gateway/decisions/incarnation.rs
+++ b/src/gateway/decisions/incarnation.rs
@@ -26,6 +26,6 @@
 /// Whether two starts are known and differ. Which of them is later is not asked: clocks
 /// may be off.
 #[must_use]
-pub fn is_other_run(one_ms: Option<u64>, other_ms: Option<u64>) -> bool {
+pub fn is_other_incarnation(one_ms: Option<u64>, other_ms: Option<u64>) -> bool {
     matches!((one_ms, other_ms), (Some(one_ms), Some(other_ms)) if one_ms != other_ms)
 }
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::decisions::holder::Holder;
-use crate::gateway::decisions::incarnation::{Incarnation, is_other_run};
-use crate::gateway::decisions::notice::Notices;
+use crate::gateway::decisions::incarnation::{Incarnation, is_other_incarnation};
+use crate::gateway::decisions::notice::NoticeState;
 use crate::names::number;
 
 pub use soundness::SILENT_MS;
@@ -109,7 +109,7 @@
     unreached_at_ms: Option<u64>,
     superseded: bool,
     /// What its answers asked.
-    notices: Notices,
+    notices: NoticeState,
     /// Until when it rests, by the word of other boxes.
     rests_for_others_until_ms: u64,
     turned_away_until_ms: u64,
@@ -142,7 +142,7 @@
             unreachable: false,
             unreached_at_ms: None,
             superseded: false,
-            notices: Notices::default(),
+            notices: NoticeState::default(),
             rests_for_others_until_ms: 0,
             turned_away_until_ms: 0,
             turned_away: 0,
@@ -151,13 +151,13 @@
 
     /// What its answers asked.
     #[must_use]
-    pub fn notices(&self) -> Notices {
+    pub fn notices(&self) -> NoticeState {
         self.notices
     }
 
     /// Takes what its answers asked.
-    pub fn heed(&mut self, asked: Notices) {
-        self.notices.add(asked);
+    pub fn heed(&mut self, asked: NoticeState) {
+        self.notices.merge(asked);
     }
 
     /// Whether it is about to leave, by its entry or its answers.
@@ -181,14 +181,15 @@
     /// Whether a run may be its present one.
     #[must_use]
     pub fn is(&self, incarnation: &Incarnation) -> bool {
-        self.id == incarnation.id && !is_other_run(self.started_at_ms, incarnation.started_at_ms)
+        self.id == incarnation.id
+            && !is_other_incarnation(self.started_at_ms, incarnation.started_at_ms)
     }
 
     /// Takes an entry of the metadata store, where what is newer comes later.
     pub fn take_entry(&mut self, now_ms: u64, entry: Entry) -> Told {
         // One run tells its start in all entries or in none.
         let begins_to_tell = self.started_at_ms.is_none() && entry.started_at_ms.is_some();
-        if !begins_to_tell && !is_other_run(self.started_at_ms, entry.started_at_ms) {
+        if !begins_to_tell && !is_other_incarnation(self.started_at_ms, entry.started_at_ms) {
             self.entry = entry;
             return Told::Known;
         }
@@ -207,7 +208,7 @@
         started_at_ms: Option<u64>,
         asked_at_ms: u64,
     ) -> Told {
-        if !is_other_run(self.started_at_ms, started_at_ms) {
+        if !is_other_incarnation(self.started_at_ms, started_at_ms) {
             self.learn_start(started_at_ms);
             return Told::Known;
         }
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::gateway::decisions::incarnation::Incarnation;
-use crate::gateway::decisions::notice::{Notices, Unlisted};
+use crate::gateway::decisions::notice::{NoticeState, UnlistedNotices};
 use crate::gateway::decisions::upstream::{Entry, Told, Upstream};
 
 /// The upstreams of all services.
@@ -14,7 +14,7 @@
     /// Ids by the numbers that stand for them in messages.
     ids: HashMap<u32, String>,
     /// What those asked that are not listed.
-    unlisted: Unlisted,
+    unlisted: UnlistedNotices,
 }
 
 impl Upstreams {
@@ -25,7 +25,7 @@
             known.take_entry(now_ms, entry)
         } else {
             let mut upstream = Upstream::new(now_ms, id, entry);
-            upstream.heed(self.unlisted.take(&upstream.incarnation()));
+            upstream.heed(self.unlisted.remove(&upstream.incarnation()));
             self.by_id.insert(id.to_owned(), upstream);
             Told::Known
         };
@@ -93,7 +93,7 @@
     /// Takes an upstream out; what runs there goes on.
     pub fn remove(&mut self, now_ms: u64, id: &str) {
         if let Some(upstream) = self.by_id.remove(id) {
-            self.unlisted.keep(now_ms, &upstream.incarnation(), upstream.notices());
+            self.unlisted.insert(now_ms, &upstream.incarnation(), upstream.notices());
         }
         self.ids.retain(|_, known| known != id);
     }
@@ -131,11 +131,11 @@
     }
 
     /// Takes what the run of an upstream asked in an answer.
-    pub fn heed(&mut self, now_ms: u64, upstream: &Incarnation, asked: Notices) {
+    pub fn heed(&mut self, now_ms: u64, upstream: &Incarnation, asked: NoticeState) {
         match self.by_id.get_mut(&upstream.id) {
             Some(known) if known.is(upstream) => known.heed(asked),
             Some(_) => {}
-            None => self.unlisted.keep(now_ms, upstream, asked),
+            None => self.unlisted.insert(now_ms, upstream, asked),
         }
     }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -16,7 +16,7 @@
     Gossip, LoadChanges, ToldLoad, ToldNaming, changed_loads, told_loads,
 };
 use crate::gateway::decisions::hall_news::{HallNews, OtherHalls};
-use crate::gateway::decisions::notice::Notices;
+use crate::gateway::decisions::notice::NoticeState;
 use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, Reach};
 use crate::gateway::decisions::weights::Naming;
 use crate::gateway::helpers::{HelpReply, HelpRequest, help};
@@ -342,7 +342,7 @@
 fn take_leaving(state: &mut State, leaving: &[u32]) {
     for number in leaving {
         if let Some(upstream) = state.upstreams.numbered_mut(*number) {
-            upstream.heed(Notices { leaving: true, ..Notices::default() });
+            upstream.heed(NoticeState { leaving: true, ..NoticeState::default() });
         }
     }
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -10,7 +10,7 @@
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::incarnation::Incarnation;
-use crate::gateway::decisions::notice::{Notice, Notices};
+use crate::gateway::decisions::notice::{Notice, NoticeState};
 use crate::gateway::decisions::units::as_f64;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::silence;
@@ -177,7 +177,7 @@
         let now_ms = now_ms();
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
             self.upstream.id, notice.leaving, notice.rest_ms.unwrap_or_default());
-        let asked = Notices::new(now_ms, notice);
+        let asked = NoticeState::from_notice(now_ms, notice);
         self.gateway.state().upstreams.heed(now_ms, &self.upstream, asked);
         self.gateway.gossip_now.notify_one();
     }
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::{Scene, scene_at, wait_ready};
-use coursestile::gateway::decisions::notice::{Notice, Notices};
+use coursestile::gateway::decisions::notice::{Notice, NoticeState};
 use coursestile::platform::exchange::answer_head;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
@@ -222,8 +222,8 @@
 
 #[test]
 fn longest_rest() {
-    let asked = Notices::new(1000, Notice { leaving: false, rest_ms: Some(u64::MAX) });
+    let asked = NoticeState::from_notice(1000, Notice { leaving: false, rest_ms: Some(u64::MAX) });
     assert_eq!(asked.rest_until_ms, 601_000);
-    let nothing = Notices::new(1000, Notice { leaving: false, rest_ms: Some(0) });
-    assert_eq!(nothing, Notices::default());
+    let nothing = NoticeState::from_notice(1000, Notice { leaving: false, rest_ms: Some(0) });
+    assert_eq!(nothing, NoticeState::default());
 }
