--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -5,7 +5,7 @@
 use crate::gateway::decisions::look::Look;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::stores::Placing;
-use crate::gateway::decisions::weights::NamedWeights;
+use crate::gateway::decisions::weights::NamedVersions;
 
 /// Time by which a request may begin after it was sent, whatever is expected: an engine short
 /// of memory began with one 1.1 s later, 83 ms after its weights should have been gone.
@@ -28,7 +28,7 @@
     /// Account whose context is kept apart.
     pub isolated_account: Option<&'a str>,
     /// Weight versions named for the prompt's model.
-    pub weights: Option<&'a NamedWeights>,
+    pub weights: Option<&'a NamedVersions>,
     /// Time in which a named version must be everywhere.
     pub weights_apply_ms: u64,
     /// Whether overdue weights are out of the question, not only the last resort.
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -125,7 +125,7 @@
     /// The version.
     pub version: u64,
     /// The one that it replaced, 0 for none.
-    pub replaced: u64,
+    pub previous: u64,
     /// Time since it was named, in milliseconds: clocks of boxes may differ.
     pub age_ms: u32,
 }
--- a/src/gateway/decisions/release.rs
+++ b/src/gateway/decisions/release.rs
@@ -14,18 +14,18 @@
 use crate::gateway::decisions::context::OLD_STORES_MS;
 
 /// Time that any transfer named under old weights takes at most, and more.
-pub const TRANSFERS_OVER_MS: u64 = 2600;
+pub const MAX_TRANSFER_MS: u64 = 2600;
 /// Time for which a box that says nothing any more may still be there: far over the
 /// longest cut.
 const ABSENT_MS: u64 = 600_000;
 
 /// The boxes that may be there, with when each was heard of last.
 #[derive(Debug, Default)]
-pub struct Boxes {
+pub struct KnownBoxes {
     heard_of_at_ms: HashMap<IpAddr, u64>,
 }
 
-impl Boxes {
+impl KnownBoxes {
     /// Notes boxes that are heard or listed now.
     pub fn note(&mut self, now_ms: u64, boxes: impl IntoIterator<Item = IpAddr>) {
         for address in boxes {
@@ -41,7 +41,7 @@
 
 /// A weight version that was named, and who knows of it.
 #[derive(Debug)]
-pub struct Naming {
+pub struct ContextRelease {
     /// Model.
     pub model: String,
     /// Version; the context of all before it is old.
@@ -52,17 +52,17 @@
     known_to_all_at_ms: Option<u64>,
 }
 
-impl Naming {
+impl ContextRelease {
     /// A version that all `boxes` have to learn of.
     #[must_use]
-    pub fn new(model: &str, version: u64, revision: u64, boxes: &Boxes) -> Self {
+    pub fn new(model: &str, version: u64, revision: u64, boxes: &KnownBoxes) -> Self {
         let unaware = boxes.all();
         Self { model: model.to_owned(), version, revision, unaware, known_to_all_at_ms: None }
     }
 
     /// Takes out the boxes that know of it: what a box knows, it does not forget, and one
     /// that starts again learns of it before it serves.
-    pub fn learned(&mut self, now_ms: u64, knows: impl Fn(IpAddr) -> bool) {
+    pub fn note_informed(&mut self, now_ms: u64, knows: impl Fn(IpAddr) -> bool) {
         self.unaware.retain(|address| !knows(*address));
         if self.unaware.is_empty() {
             self.known_to_all_at_ms.get_or_insert(now_ms);
@@ -71,8 +71,8 @@
 
     /// Whether nobody can read older context from a store any more.
     #[must_use]
-    pub fn is_over(&self, now_ms: u64) -> bool {
+    pub fn is_safe(&self, now_ms: u64) -> bool {
         let over_at_ms = self.known_to_all_at_ms.map(|at_ms| at_ms + OLD_STORES_MS);
-        over_at_ms.is_some_and(|at_ms| now_ms >= at_ms + TRANSFERS_OVER_MS)
+        over_at_ms.is_some_and(|at_ms| now_ms >= at_ms + MAX_TRANSFER_MS)
     }
 }
--- a/src/gateway/decisions/weights.rs
+++ b/src/gateway/decisions/weights.rs
@@ -14,43 +14,43 @@
 /// not have old weights for one and a half of it, and the load itself takes a second.
 const MAKE_WAY_PART: u64 = 4;
 /// Stands for a time that is not known: before all others.
-pub const LONG_AGO_MS: u64 = 0;
+pub const UNKNOWN_TIME_MS: u64 = 0;
 
 /// A version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Naming {
+pub struct NamedVersion {
     /// The version.
     pub version: u64,
     /// The one that it replaced, 0 for none: no other was named between them.
-    pub replaced: u64,
+    pub previous: u64,
     /// When the first box learned of it.
-    pub at_ms: u64,
+    pub named_at_ms: u64,
 }
 
 /// A version that was named, as this box knows of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Known {
-    naming: Naming,
+    naming: NamedVersion,
     /// Whether its time is only the latest before which it was not named.
     estimated: bool,
 }
 
 /// The weight versions named for one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct NamedWeights {
+pub struct NamedVersions {
     /// Rising, by version.
     named: Vec<Known>,
 }
 
-impl NamedWeights {
+impl NamedVersions {
     /// Takes a version that has just been named; false when it is not newer than all before.
-    pub fn learn(&mut self, at_ms: u64, version: u64) -> bool {
+    pub fn add_named_at(&mut self, at_ms: u64, version: u64) -> bool {
         self.add(version, at_ms, false)
     }
 
     /// Takes a version that was named at some time after `after_ms`, which may be
     /// [`LONG_AGO_MS`].
-    pub fn find(&mut self, after_ms: u64, version: u64) -> bool {
+    pub fn add_named_after(&mut self, after_ms: u64, version: u64) -> bool {
         self.add(version, after_ms, true)
     }
 
@@ -59,7 +59,10 @@
         if version <= replaced {
             return false;
         }
-        self.named.push(Known { naming: Naming { version, replaced, at_ms }, estimated });
+        self.named.push(Known {
+            naming: NamedVersion { version, previous: replaced, named_at_ms: at_ms },
+            estimated,
+        });
         if self.named.len() > REMEMBERED {
             self.named.remove(0);
         }
@@ -67,7 +70,7 @@
     }
 
     /// Takes what a peer tells of a version. The newest comes from the metadata store alone.
-    pub fn hear(&mut self, told: Naming) {
+    pub fn merge(&mut self, told: NamedVersion) {
         if told.version > self.newest() {
             return;
         }
@@ -77,8 +80,8 @@
             }
             Ok(known) => {
                 let known = &mut self.named[known].naming;
-                known.at_ms = known.at_ms.min(told.at_ms);
-                known.replaced = known.replaced.max(told.replaced);
+                known.named_at_ms = known.named_at_ms.min(told.named_at_ms);
+                known.previous = known.previous.max(told.previous);
             }
             Err(place) if self.named.len() < REMEMBERED => {
                 self.named.insert(place, Known { naming: told, estimated: false });
@@ -89,9 +92,9 @@
 
     /// The versions that were named after a time, as far as a box that was there knows it: an
     /// estimate that spread would count for all.
-    pub fn named_after(&self, at_ms: u64) -> impl Iterator<Item = Naming> {
+    pub fn named_after(&self, at_ms: u64) -> impl Iterator<Item = NamedVersion> {
         let known = self.named.iter().filter(|one| !one.estimated).map(|one| one.naming);
-        known.filter(move |one| one.at_ms > at_ms)
+        known.filter(move |one| one.named_at_ms > at_ms)
     }
 
     /// The newest version; 0 when none was named.
@@ -105,14 +108,14 @@
     pub fn behind_since_ms(&self, version: u64) -> Option<u64> {
         let newer = self.named.iter().map(|one| one.naming).find(|one| one.version > version)?;
         // Else another may have been named before that one.
-        let is_next = newer.replaced <= version;
-        Some(if is_next { newer.at_ms } else { LONG_AGO_MS })
+        let is_next = newer.previous <= version;
+        Some(if is_next { newer.named_at_ms } else { UNKNOWN_TIME_MS })
     }
 
     /// Whether an engine with `version` is held up by what runs there: it is behind for
     /// longer than `apply_ms`, in which it should have had newer weights, and a part of it.
     #[must_use]
-    pub fn is_held_up(&self, now_ms: u64, version: u64, apply_ms: u64) -> bool {
+    pub fn is_load_overdue(&self, now_ms: u64, version: u64, apply_ms: u64) -> bool {
         let behind_since_ms = self.behind_since_ms(version);
         behind_since_ms
             .is_some_and(|since_ms| now_ms >= since_ms + apply_ms + apply_ms / MAKE_WAY_PART)
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -19,7 +19,7 @@
 use crate::gateway::claims;
 use crate::gateway::decisions::units::whole_ms;
 use crate::gateway::decisions::view::{CatchUp, Snapshot, VersionedValue, ViewChange};
-use crate::gateway::decisions::weights::LONG_AGO_MS;
+use crate::gateway::decisions::weights::UNKNOWN_TIME_MS;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::members;
@@ -146,7 +146,7 @@
     let since_ms = state.weights.iter().flat_map(|(model, named)| {
         let engines = state.upstreams.current().map(|engine| engine.version(model));
         let since_ms = engines.filter_map(|version| named.behind_since_ms(version));
-        since_ms.filter(|since_ms| *since_ms != LONG_AGO_MS)
+        since_ms.filter(|since_ms| *since_ms != UNKNOWN_TIME_MS)
     });
     let first_ms = since_ms.min().unwrap_or(now_ms);
     Duration::from_millis(now_ms.saturating_sub(first_ms)).as_secs_f64()
@@ -194,7 +194,7 @@
     answered(gateway);
     let mut state = gateway.state();
     let now_ms = now_ms();
-    let named = Named::After(state.view.synced_at_ms().unwrap_or(LONG_AGO_MS));
+    let named = Named::After(state.view.synced_at_ms().unwrap_or(UNKNOWN_TIME_MS));
     if freshness == Freshness::Latest {
         state.view.mark_synced(now_ms);
     }
@@ -321,7 +321,7 @@
         Some(_) => Named::Now,
         // It learns from peers only, or has just started.
         None if state.view.is_loaded() => Named::Now,
-        None => Named::After(LONG_AGO_MS),
+        None => Named::After(UNKNOWN_TIME_MS),
     }
 }
 
@@ -401,8 +401,8 @@
         Ok(version) => {
             let known = state.weights.entry(model.to_owned()).or_default();
             let is_new = match named {
-                Named::Now => known.learn(now_ms, version),
-                Named::After(after_ms) => known.find(after_ms, version),
+                Named::Now => known.add_named_at(now_ms, version),
+                Named::After(after_ms) => known.add_named_after(after_ms, version),
             };
             if is_new {
                 info!(target: "follow", "event=weights_named model={model} version={version} named={named:?}");
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -18,7 +18,7 @@
 use crate::gateway::decisions::hall_news::{HallNews, OtherHalls};
 use crate::gateway::decisions::notice::NoticeState;
 use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, Reach};
-use crate::gateway::decisions::weights::Naming;
+use crate::gateway::decisions::weights::NamedVersion;
 use crate::gateway::helpers::{HelpReply, HelpRequest, help};
 use crate::gateway::kernel::{Gateway, State, ToldVersion};
 use crate::gateway::loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
@@ -236,8 +236,8 @@
         named.named_after(since_ms).map(move |naming| ToldNaming {
             model,
             version: naming.version,
-            replaced: naming.replaced,
-            age_ms: age_ms(now_ms, naming.at_ms),
+            previous: naming.previous,
+            age_ms: age_ms(now_ms, naming.named_at_ms),
         })
     });
     models.collect()
@@ -400,8 +400,9 @@
         let mut known = state.weights.iter_mut();
         if let Some((_, named)) = known.find(|(model, _)| number(model) == told.model) {
             let at_ms = now_ms.saturating_sub(u64::from(told.age_ms));
-            let naming = Naming { version: told.version, replaced: told.replaced, at_ms };
-            named.hear(naming);
+            let naming =
+                NamedVersion { version: told.version, previous: told.previous, named_at_ms: at_ms };
+            named.merge(naming);
         }
     }
 }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::upstreams::Upstreams;
 use crate::gateway::decisions::urgency::UsualLimits;
 use crate::gateway::decisions::view::MetadataView;
-use crate::gateway::decisions::weights::NamedWeights;
+use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::follow;
 use crate::gateway::helpers::HelpReply;
 use crate::gateway::leadership::Leadership;
@@ -49,7 +49,7 @@
     /// Configuration in force.
     pub site: Option<Arc<Site>>,
     /// Weight versions named by operators, by model.
-    pub weights: HashMap<String, NamedWeights>,
+    pub weights: HashMap<String, NamedVersions>,
     /// Upstreams of all services.
     pub upstreams: Upstreams,
     /// Stores of kept context.
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -11,7 +11,7 @@
 use crate::clock::now_ms;
 use crate::gateway::claims;
 use crate::gateway::decisions::rollout::{self, Candidate};
-use crate::gateway::decisions::weights::NamedWeights;
+use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::loads::{LOADING_GOSSIP_MS, Load, note_loading, replace_weights};
 use crate::gateway::space::Space;
@@ -71,7 +71,7 @@
 
 /// What is left of the time in which an engine with `version` must have newer
 /// weights.
-fn left_ms(gateway: &Gateway, named: Option<&NamedWeights>, now_ms: u64, version: u64) -> u64 {
+fn left_ms(gateway: &Gateway, named: Option<&NamedVersions>, now_ms: u64, version: u64) -> u64 {
     let bound_ms = gateway.settings.bounds.weights_apply_ms;
     let behind_since_ms = named.and_then(|named| named.behind_since_ms(version));
     let Some(behind_since_ms) = behind_since_ms else { return bound_ms };
@@ -132,6 +132,6 @@
 /// Engines that load at once, so that all have the version in time.
 #[must_use]
 pub fn permits(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> usize {
-    let version = state.weights.get(model).map_or(0, NamedWeights::newest);
+    let version = state.weights.get(model).map_or(0, NamedVersions::newest);
     rollout::at_once(&candidates(gateway, state, now_ms, model), version)
 }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -200,7 +200,7 @@
         let Some(upstream) = state.upstreams.get_run(&self.upstream) else { return false };
         state.weights.iter().any(|(model, named)| {
             let version = upstream.version(model);
-            version > 0 && named.is_held_up(now_ms, version, apply_ms)
+            version > 0 && named.is_load_overdue(now_ms, version, apply_ms)
         })
     }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::site::Repeat;
 use crate::gateway::decisions::stores::Placing;
 use crate::gateway::decisions::upstream::Upstream;
-use crate::gateway::decisions::weights::NamedWeights;
+use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::overdue;
 use crate::gateway::quarantine;
@@ -376,7 +376,7 @@
         return;
     };
     let mut state = gateway.state();
-    let named = state.weights.get(&prompt.model).map_or(0, NamedWeights::newest);
+    let named = state.weights.get(&prompt.model).map_or(0, NamedVersions::newest);
     let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) else { return };
     if choice.context.as_ref().is_some_and(|plan| plan.version >= named) {
         // It has started again with older weights, or was brought back to them.
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -17,7 +17,7 @@
 use crate::gateway::decisions::context::{scope_model, scope_version};
 use crate::gateway::decisions::holder::PartKey;
 use crate::gateway::decisions::kept::{CacheListing, Freed, KeptPart};
-use crate::gateway::decisions::release::{Boxes, Naming, TRANSFERS_OVER_MS};
+use crate::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use crate::gateway::kernel::{Gateway, State};
 use crate::names::number;
 use crate::platform::keys;
@@ -36,8 +36,8 @@
 /// What the holder remembers of the stores.
 #[derive(Default)]
 pub struct Space {
-    boxes: Boxes,
-    namings: Vec<Naming>,
+    boxes: KnownBoxes,
+    namings: Vec<ContextRelease>,
     settled_at_ms: HashMap<String, u64>,
     /// Oldest version that may still be read, by model.
     oldest_read: HashMap<String, u64>,
@@ -94,25 +94,30 @@
         self.boxes.note(now_ms, state.peers.addresses());
         for (model, named) in &state.weights {
             let version = named.newest();
-            let is_known = |one: &Naming| one.model == *model && one.version >= version;
+            let is_known = |one: &ContextRelease| one.model == *model && one.version >= version;
             let written = state.view.get(&keys::weights(model));
             if let Some(written) = written
                 && !self.namings.iter().any(is_known)
             {
-                self.namings.push(Naming::new(model, version, written.revision, &self.boxes));
+                self.namings.push(ContextRelease::new(
+                    model,
+                    version,
+                    written.revision,
+                    &self.boxes,
+                ));
                 let first = self.namings.len().saturating_sub(REMEMBERED_NAMINGS);
                 self.namings.drain(..first);
             }
         }
         for naming in &mut self.namings {
             let revision = naming.revision;
-            naming.learned(now_ms, |address| state.peers.knows(address, revision));
+            naming.note_informed(now_ms, |address| state.peers.knows(address, revision));
         }
     }
 
     /// Models with the oldest version that boxes may read from stores.
     fn unread(&self, now_ms: u64) -> Vec<(String, u64)> {
-        let over = self.namings.iter().filter(|naming| naming.is_over(now_ms));
+        let over = self.namings.iter().filter(|naming| naming.is_safe(now_ms));
         over.map(|naming| (naming.model.clone(), naming.version)).collect()
     }
 
@@ -127,7 +132,7 @@
                 continue;
             }
             let settled_at_ms = *self.settled_at_ms.entry(model.clone()).or_insert(now_ms);
-            if now_ms >= settled_at_ms + TRANSFERS_OVER_MS {
+            if now_ms >= settled_at_ms + MAX_TRANSFER_MS {
                 settled.push((model.clone(), newest));
             }
         }
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use coursestile::gateway::decisions::claims::{Claims, Terms};
-use coursestile::gateway::decisions::weights::{LONG_AGO_MS, NamedWeights, Naming};
+use coursestile::gateway::decisions::weights::{NamedVersion, NamedVersions, UNKNOWN_TIME_MS};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
@@ -213,7 +213,7 @@
 struct OneBox {
     view: Option<Store>,
     terms: Terms,
-    weights: NamedWeights,
+    weights: NamedVersions,
     held: Option<Held>,
     book: Option<Book>,
     waiting: Option<Waiting>,
@@ -240,9 +240,9 @@
     /// ago.
     fn behind_by_ms(&self, version: u64) -> u64 {
         let newer = || self.named_by_ms.range(version + 1..).map(|(_, by_ms)| *by_ms);
-        let mut told = newer().filter(|by_ms| *by_ms != LONG_AGO_MS);
+        let mut told = newer().filter(|by_ms| *by_ms != UNKNOWN_TIME_MS);
         let by_ms = if self.was_told { told.next() } else { newer().next() };
-        by_ms.unwrap_or(LONG_AGO_MS)
+        by_ms.unwrap_or(UNKNOWN_TIME_MS)
     }
 
     fn open(&mut self) {
@@ -301,9 +301,9 @@
     fn take_view(&mut self, now_ms: u64, store: &Store) {
         // What it finds at its start may have been named at any time.
         let (is_new, named_at_ms) = if self.view.is_some() {
-            (self.weights.learn(now_ms, store.version), now_ms)
+            (self.weights.add_named_at(now_ms, store.version), now_ms)
         } else {
-            (self.weights.find(LONG_AGO_MS, store.version), LONG_AGO_MS)
+            (self.weights.add_named_after(UNKNOWN_TIME_MS, store.version), UNKNOWN_TIME_MS)
         };
         if is_new {
             self.named_by_ms.insert(store.version, named_at_ms);
@@ -336,7 +336,7 @@
     arrives_at_ms: u64,
     delay_ms: u64,
     terms: Vec<(u64, u64)>,
-    named: Vec<Naming>,
+    named: Vec<NamedVersion>,
     seen_at_ms: BTreeMap<u64, u64>,
     named_by_ms: BTreeMap<u64, u64>,
 }
@@ -443,17 +443,17 @@
                 *known = (*known).min(at_ms + told.delay_ms);
             }
             for naming in told.named {
-                let at_ms = naming.at_ms + told.delay_ms;
-                one.weights.hear(Naming { at_ms, ..naming });
+                let at_ms = naming.named_at_ms + told.delay_ms;
+                one.weights.merge(NamedVersion { named_at_ms: at_ms, ..naming });
             }
             for (version, by_ms) in told.named_by_ms {
-                if version > one.weights.newest() || by_ms == LONG_AGO_MS {
+                if version > one.weights.newest() || by_ms == UNKNOWN_TIME_MS {
                     continue;
                 }
                 one.was_told = true;
                 let by_ms = by_ms + told.delay_ms;
                 let known = one.named_by_ms.entry(version).or_insert(by_ms);
-                *known = if *known == LONG_AGO_MS { by_ms } else { by_ms.min(*known) };
+                *known = if *known == UNKNOWN_TIME_MS { by_ms } else { by_ms.min(*known) };
             }
         }
     }
@@ -632,7 +632,7 @@
                 .told(now_ms, PAUSE_MS)
                 .map(|(revision, at_ms)| (revision, now_ms - at_ms))
                 .collect(),
-            named: one.weights.named_after(LONG_AGO_MS).collect(),
+            named: one.weights.named_after(UNKNOWN_TIME_MS).collect(),
             seen_at_ms: one.seen_at_ms.clone(),
             named_by_ms: one.named_by_ms.clone(),
         });
@@ -712,7 +712,7 @@
                 let first_ms =
                     self.learned_at_ms.range(version + 1..).map(|(_, at_ms)| *at_ms).min();
                 assert!(
-                    since_ms == LONG_AGO_MS
+                    since_ms == UNKNOWN_TIME_MS
                         || first_ms.is_some_and(|first_ms| first_ms <= since_ms),
                     "version {version} is behind since {since_ms}, learned at {first_ms:?}"
                 );
@@ -854,21 +854,24 @@
 
 #[test]
 fn first_naming() {
-    let mut named = NamedWeights::default();
-    named.hear(Naming { version: 1, replaced: 0, at_ms: 50 });
+    let mut named = NamedVersions::default();
+    named.merge(NamedVersion { version: 1, previous: 0, named_at_ms: 50 });
     assert_eq!((named.newest(), named.behind_since_ms(0)), (0, None));
-    assert!(named.find(LONG_AGO_MS, 1) && !named.learn(70, 1));
-    assert_eq!(named.behind_since_ms(0), Some(LONG_AGO_MS));
-    named.hear(Naming { version: 1, replaced: 0, at_ms: 50 });
+    assert!(named.add_named_after(UNKNOWN_TIME_MS, 1) && !named.add_named_at(70, 1));
+    assert_eq!(named.behind_since_ms(0), Some(UNKNOWN_TIME_MS));
+    named.merge(NamedVersion { version: 1, previous: 0, named_at_ms: 50 });
     assert_eq!(named.behind_since_ms(0), Some(50));
 }
 
 #[test]
 fn passed_over_version() {
-    let mut named = NamedWeights::default();
-    assert!(named.find(LONG_AGO_MS, 3));
-    named.hear(Naming { version: 3, replaced: 2, at_ms: 90 });
-    assert_eq!((named.behind_since_ms(2), named.behind_since_ms(1)), (Some(90), Some(LONG_AGO_MS)));
-    named.hear(Naming { version: 2, replaced: 1, at_ms: 40 });
+    let mut named = NamedVersions::default();
+    assert!(named.add_named_after(UNKNOWN_TIME_MS, 3));
+    named.merge(NamedVersion { version: 3, previous: 2, named_at_ms: 90 });
+    assert_eq!(
+        (named.behind_since_ms(2), named.behind_since_ms(1)),
+        (Some(90), Some(UNKNOWN_TIME_MS))
+    );
+    named.merge(NamedVersion { version: 2, previous: 1, named_at_ms: 40 });
     assert_eq!(named.behind_since_ms(1), Some(40));
 }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -17,7 +17,7 @@
 use coursestile::gateway::decisions::stores::{Placing, Stores};
 use coursestile::gateway::decisions::upstream::Entry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
-use coursestile::gateway::decisions::weights::NamedWeights;
+use coursestile::gateway::decisions::weights::NamedVersions;
 use coursestile::gateway::heads::Forward;
 use coursestile::platform::exchange;
 use hyper::{HeaderMap, Method, Uri};
@@ -255,8 +255,12 @@
     upstreams.get_mut("a").unwrap().holder.note(PartKey::new("1.m", "aa"), 5000);
     upstreams.get_mut("b").unwrap().sent(0, 40_000, 0);
     upstreams.get_mut("b").unwrap().heard(10_000);
-    let mut weights = NamedWeights::default();
-    assert!(weights.learn(0, 1) && weights.learn(1000, 2) && !weights.learn(1500, 2));
+    let mut weights = NamedVersions::default();
+    assert!(
+        weights.add_named_at(0, 1)
+            && weights.add_named_at(1000, 2)
+            && !weights.add_named_at(1500, 2)
+    );
     let stores = Stores::default();
     let mut asked = demand(Some(&prompt), &[]);
     asked.weights = Some(&weights);
--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -8,7 +8,7 @@
 
 use common::{start_engines, wait_ready};
 use coursestile::gateway::decisions::context::OLD_STORES_MS;
-use coursestile::gateway::decisions::release::{Boxes, Naming, TRANSFERS_OVER_MS};
+use coursestile::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::{Site, document, engine_services, eventually};
 
@@ -16,8 +16,8 @@
     Ipv4Addr::new(10, 0, 0, last).into()
 }
 
-fn boxes(count: u8) -> Boxes {
-    let mut boxes = Boxes::default();
+fn boxes(count: u8) -> KnownBoxes {
+    let mut boxes = KnownBoxes::default();
     boxes.note(0, (1..=count).map(address));
     boxes
 }
@@ -25,26 +25,26 @@
 #[test]
 fn all_must_know() {
     let boxes = boxes(3);
-    let mut naming = Naming::new("m", 2, 40, &boxes);
-    naming.learned(100, |one| one != address(3));
-    assert!(!naming.is_over(1_000_000), "one says nothing, and may read on");
-    naming.learned(5000, |one| one == address(3));
-    let over_at_ms = 5000 + OLD_STORES_MS + TRANSFERS_OVER_MS;
-    assert!(!naming.is_over(over_at_ms - 1));
-    assert!(naming.is_over(over_at_ms));
+    let mut naming = ContextRelease::new("m", 2, 40, &boxes);
+    naming.note_informed(100, |one| one != address(3));
+    assert!(!naming.is_safe(1_000_000), "one says nothing, and may read on");
+    naming.note_informed(5000, |one| one == address(3));
+    let over_at_ms = 5000 + OLD_STORES_MS + MAX_TRANSFER_MS;
+    assert!(!naming.is_safe(over_at_ms - 1));
+    assert!(naming.is_safe(over_at_ms));
 }
 
 #[test]
 fn vanished_box_counts() {
     let mut boxes = boxes(2);
     boxes.note(60_000, [address(1)]);
-    let mut naming = Naming::new("m", 2, 40, &boxes);
-    naming.learned(61_000, |one| one == address(1));
-    assert!(!naming.is_over(1_000_000), "it was heard a minute before");
+    let mut naming = ContextRelease::new("m", 2, 40, &boxes);
+    naming.note_informed(61_000, |one| one == address(1));
+    assert!(!naming.is_safe(1_000_000), "it was heard a minute before");
     boxes.note(700_000, [address(1)]);
-    let mut naming = Naming::new("m", 3, 41, &boxes);
-    naming.learned(701_000, |one| one == address(1));
-    assert!(naming.is_over(710_000), "it was not heard for ten minutes");
+    let mut naming = ContextRelease::new("m", 3, 41, &boxes);
+    naming.note_informed(701_000, |one| one == address(1));
+    assert!(naming.is_safe(710_000), "it was not heard for ten minutes");
 }
 
 /// One engine takes no order: it keeps its weights, and what was kept under them kept the
