--- a/src/gateway/decisions/orders.rs
+++ b/src/gateway/decisions/orders.rs
@@ -23,7 +23,7 @@
     /// Version to load.
     pub version: u64,
     /// Box that gives it.
-    pub holder: &'a str,
+    pub leader: &'a str,
     /// Fencing token of the lease under which it is given.
     pub fence: u64,
     /// Orders that the engine has taken so far; the order is void otherwise.
@@ -32,15 +32,15 @@
 
 /// What became of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ordered {
+pub enum OrderOutcome {
     /// It is under way.
-    Taken,
+    Accepted,
     /// The engine already has that version.
-    AlreadyHolds,
+    AlreadyLoaded,
     /// Another order is under way, or has come in between.
     Conflict,
     /// A newer holder has given orders.
     Fenced,
     /// Another engine has the address.
-    OtherEngine,
+    WrongEngine,
 }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::now_ms;
 use crate::gateway::claims;
-use crate::gateway::decisions::rollout::{self, Candidate};
+use crate::gateway::decisions::rollout::{self, RolloutCandidate};
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::loads::{LOADING_GOSSIP_MS, Load, note_loading, replace_weights};
@@ -88,7 +88,7 @@
     let mut loads = Vec::new();
     for (model, version) in named {
         let candidates = candidates(gateway, &state, now_ms, &model);
-        for id in rollout::next(&candidates, version) {
+        for id in rollout::next_engines(&candidates, version) {
             let Some(engine) = state.upstreams.get(&id) else { continue };
             let (upstream, address) = (engine.incarnation(), engine.entry.address);
             state.loading.insert(id);
@@ -106,7 +106,7 @@
     loads
 }
 
-fn candidates(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> Vec<Candidate> {
+fn candidates(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> Vec<RolloutCandidate> {
     let named = state.weights.get(model);
     let bounds = &gateway.settings.bounds;
     let engines = state.upstreams.current().filter(|one| one.version(model) > 0);
@@ -114,11 +114,11 @@
         .filter(|engine| !engine.is_leaving())
         .map(|engine| {
             let failed = state.failed_orders.get(&engine.id).copied().unwrap_or_default();
-            Candidate {
+            RolloutCandidate {
                 id: engine.id.clone(),
                 version: engine.version(model),
-                left_ms: left_ms(gateway, named, now_ms, engine.version(model)),
-                under_way: state.loading.contains(&engine.id),
+                time_left_ms: left_ms(gateway, named, now_ms, engine.version(model)),
+                is_updating: state.loading.contains(&engine.id),
                 may_be_ordered: now_ms >= failed.again_at_ms
                     && claims::may_order(state, bounds, now_ms, number(&engine.id)),
                 failed_orders: failed.count,
@@ -133,5 +133,5 @@
 #[must_use]
 pub fn permits(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> usize {
     let version = state.weights.get(model).map_or(0, NamedVersions::newest);
-    rollout::at_once(&candidates(gateway, state, now_ms, model), version)
+    rollout::max_concurrent_loads(&candidates(gateway, state, now_ms, model), version)
 }
--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -13,7 +13,7 @@
 use crate::error::Result;
 use crate::gateway::claims;
 use crate::gateway::decisions::incarnation::Incarnation;
-use crate::gateway::decisions::orders::{EngineReport, Ordered, WeightsOrder};
+use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::gateway::decisions::upstream::Told;
 use crate::gateway::entries;
 use crate::gateway::invariants;
@@ -264,7 +264,7 @@
     if let Some(until_ms) = gateway.state().permits.get_mut(&load.upstream.id) {
         *until_ms = now_ms() + PERMIT_MS;
     }
-    let turned_away = matches!(ordered, Ordered::Fenced | Ordered::OtherEngine);
+    let turned_away = matches!(ordered, OrderOutcome::Fenced | OrderOutcome::WrongEngine);
     Ok(turned_away.then_some(LoadEnd::TurnedAway))
 }
 
@@ -284,12 +284,12 @@
     models.any(|(model, version)| *model == load.model && *version >= load.version)
 }
 
-async fn order(gateway: &Gateway, load: &Load, taken: u64) -> Result<Ordered> {
+async fn order(gateway: &Gateway, load: &Load, taken: u64) -> Result<OrderOutcome> {
     let order = WeightsOrder {
         engine_id: &load.upstream.id,
         model: &load.model,
         version: load.version,
-        holder: &gateway.settings.name,
+        leader: &gateway.settings.name,
         fence: load.fence,
         orders_taken: taken,
     };
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::error::{Error, Result};
-use crate::gateway::decisions::orders::{EngineReport, Ordered, WeightsOrder};
+use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::platform::entry::Model;
 use crate::platform::headers;
 use crate::platform::http::{Http, decoded};
@@ -68,14 +68,18 @@
     /// # Errors
     /// Fails when the engine does not answer as it should; it may have taken
     /// the order, or may carry it out later.
-    pub async fn order(&self, address: SocketAddr, order: &WeightsOrder<'_>) -> Result<Ordered> {
+    pub async fn order(
+        &self,
+        address: SocketAddr,
+        order: &WeightsOrder<'_>,
+    ) -> Result<OrderOutcome> {
         let url = format!("http://{address}/coursestile/order");
         let body = OrderBody {
             op: "version",
             model: order.model,
             version: order.version,
             mode: "queue",
-            holder: order.holder,
+            holder: order.leader,
             fence: order.fence,
             expected: order.orders_taken,
         };
@@ -83,11 +87,11 @@
         let request = request.header(headers::UPSTREAM_ID, order.engine_id);
         let answer = self.http.send(request).await?;
         match answer.status() {
-            StatusCode::ACCEPTED => Ok(Ordered::Taken),
-            StatusCode::OK => Ok(Ordered::AlreadyHolds),
-            StatusCode::CONFLICT => Ok(Ordered::Conflict),
-            StatusCode::PRECONDITION_FAILED => Ok(Ordered::Fenced),
-            StatusCode::MISDIRECTED_REQUEST => Ok(Ordered::OtherEngine),
+            StatusCode::ACCEPTED => Ok(OrderOutcome::Accepted),
+            StatusCode::OK => Ok(OrderOutcome::AlreadyLoaded),
+            StatusCode::CONFLICT => Ok(OrderOutcome::Conflict),
+            StatusCode::PRECONDITION_FAILED => Ok(OrderOutcome::Fenced),
+            StatusCode::MISDIRECTED_REQUEST => Ok(OrderOutcome::WrongEngine),
             status => Err(Error::Upstream(format!("{url}: {status}"))),
         }
     }
--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -2,36 +2,38 @@
 
 use std::net::SocketAddr;
 
-use coursestile::gateway::decisions::rollout::{Candidate, at_once, next};
+use coursestile::gateway::decisions::rollout::{
+    RolloutCandidate, max_concurrent_loads, next_engines,
+};
 use coursestile::gateway::decisions::upstream::Entry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 
 #[test]
 fn oldest_weights_first() {
-    let candidate = |id: &str, version, requests| Candidate {
+    let candidate = |id: &str, version, requests| RolloutCandidate {
         id: id.to_owned(),
         version,
-        left_ms: 10_000,
-        under_way: false,
+        time_left_ms: 10_000,
+        is_updating: false,
         may_be_ordered: true,
         failed_orders: 0,
         requests,
         doubtful: false,
     };
     let all = [candidate("a", 2, 0), candidate("b", 1, 9), candidate("c", 3, 0)];
-    assert_eq!(next(&all, 3), ["b", "a"]);
-    assert_eq!(at_once(&behind(18, 10_000), 2), 3);
-    assert_eq!(at_once(&behind(18, 3000), 2), 9, "a hurry, up to half of them");
-    assert_eq!(at_once(&behind(60, 10_000), 2), 12);
+    assert_eq!(next_engines(&all, 3), ["b", "a"]);
+    assert_eq!(max_concurrent_loads(&behind(18, 10_000), 2), 3);
+    assert_eq!(max_concurrent_loads(&behind(18, 3000), 2), 9, "a hurry, up to half of them");
+    assert_eq!(max_concurrent_loads(&behind(60, 10_000), 2), 12);
 }
 
 /// Engines with version 1 that must have a newer one in `left_ms`.
-fn behind(count: usize, left_ms: u64) -> Vec<Candidate> {
-    let engine = |number| Candidate {
+fn behind(count: usize, left_ms: u64) -> Vec<RolloutCandidate> {
+    let engine = |number| RolloutCandidate {
         id: format!("e-{number}"),
         version: 1,
-        left_ms,
-        under_way: false,
+        time_left_ms: left_ms,
+        is_updating: false,
         may_be_ordered: true,
         failed_orders: 0,
         requests: 0,
@@ -49,18 +51,18 @@
     }
     engines.extend(newer);
     // Six have three rounds, all have six.
-    assert_eq!(at_once(&engines, 3), 3);
-    let dark = behind(9, 0).into_iter().map(|one| Candidate { doubtful: true, ..one });
+    assert_eq!(max_concurrent_loads(&engines, 3), 3);
+    let dark = behind(9, 0).into_iter().map(|one| RolloutCandidate { doubtful: true, ..one });
     engines.extend(dark);
-    assert_eq!(at_once(&engines, 3), 5, "27 / 5; the dark ones hurry nobody");
+    assert_eq!(max_concurrent_loads(&engines, 3), 5, "27 / 5; the dark ones hurry nobody");
 }
 
 #[test]
 fn small_pool_serves() {
     for (count, expected) in [(1, 1), (2, 1), (3, 2), (4, 3), (6, 3), (9, 3), (18, 4)] {
-        assert_eq!(next(&behind(count, 10_000), 2).len(), expected, "of {count}");
+        assert_eq!(next_engines(&behind(count, 10_000), 2).len(), expected, "of {count}");
     }
-    assert_eq!(next(&behind(4, 0), 2).len(), 3, "one serves, also in a hurry");
+    assert_eq!(next_engines(&behind(4, 0), 2).len(), 3, "one serves, also in a hurry");
 }
 
 /// A leader whose way to the engines was cut found each of them doubtful, counted none of the
@@ -72,16 +74,16 @@
         one.doubtful = true;
     }
     for _ in 0..18 {
-        for id in next(&engines, 2) {
+        for id in next_engines(&engines, 2) {
             let begun = engines.iter_mut().find(|one| one.id == id).unwrap();
-            begun.under_way = true;
+            begun.is_updating = true;
         }
     }
-    assert_eq!(engines.iter().filter(|one| one.under_way).count(), 9, "half of them serve");
+    assert_eq!(engines.iter().filter(|one| one.is_updating).count(), 9, "half of them serve");
     let mut sound = behind(1, 10_000);
     sound[0].id = "sound".to_owned();
     engines.extend(sound);
-    assert_eq!(next(&engines, 2), ["sound"], "they hold up no other");
+    assert_eq!(next_engines(&engines, 2), ["sound"], "they hold up no other");
 }
 
 /// Such a leader is to leave the orders to a box that reaches the engines.
@@ -123,8 +125,8 @@
         one.version = 2;
     }
     engines[0].failed_orders = 1;
-    assert!(next(&engines, 3).contains(&engines[0].id), "the oldest weights go first");
+    assert!(next_engines(&engines, 3).contains(&engines[0].id), "the oldest weights go first");
     let mut alike = behind(18, 10_000);
     alike[0].failed_orders = 1;
-    assert!(!next(&alike, 2).contains(&alike[0].id), "of these, those never ordered");
+    assert!(!next_engines(&alike, 2).contains(&alike[0].id), "of these, those never ordered");
 }
