--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -67,7 +67,7 @@
     }
     let leader = state.view.get(&keys::lease(NAME)).map(|written| written.revision);
     let at_revision = state.view.at_revision();
-    state.terms.note(now_ms, leader, at_revision);
+    state.terms.note_leader(now_ms, leader, at_revision);
 }
 
 /// Takes up what the leaders before have written down; false until it is known.
@@ -107,7 +107,7 @@
     let engines = state.upstreams.iter().map(|engine| number(&engine.id));
     let stores = state.stores.iter().map(|(store, _)| number(&store.name));
     let all = engines.chain(stores).collect();
-    Claims::default().next(0, (fence.saturating_sub(1), &all), &state.terms, 0)
+    Claims::default().updated(0, (fence.saturating_sub(1), &all), &state.terms, 0)
 }
 
 /// Whether the leader may order `target` (the number of an engine's id or of a store's
@@ -115,7 +115,7 @@
 #[must_use]
 pub fn may_order(state: &State, bounds: &Bounds, now_ms: u64, target: u32) -> bool {
     let Some(book) = &state.book else { return false };
-    let from_ms = book.claims.orders_from_ms(target, book.fence, &state.terms, pause_ms(bounds));
+    let from_ms = book.claims.orderable_from_ms(target, book.fence, &state.terms, pause_ms(bounds));
     from_ms.is_some_and(|from_ms| now_ms >= from_ms)
 }
 
@@ -125,7 +125,7 @@
 pub fn has_waiting(state: &State, bounds: &Bounds, now_ms: u64) -> bool {
     let book = state.book.as_ref();
     book.is_some_and(|book| {
-        book.claims.has_waiting(now_ms, book.fence, &state.terms, pause_ms(bounds))
+        book.claims.has_paused_targets(now_ms, book.fence, &state.terms, pause_ms(bounds))
     })
 }
 
@@ -139,7 +139,7 @@
 #[must_use]
 pub fn is_claimed(state: &State, fence: u64, target: u32) -> bool {
     let book = state.book.as_ref().filter(|book| book.fence == fence);
-    book.is_some_and(|book| book.claims.fence(target) == Some(fence))
+    book.is_some_and(|book| book.claims.claimant(target) == Some(fence))
 }
 
 /// Claims `target`, which may be ordered, for the leader with `fence`; false when this box is
@@ -183,7 +183,7 @@
             return Ok(());
         };
         let recent = book.recent(now_ms(), pause_ms);
-        book.revision == 0 || book.claims.of(fence).any(|target| !recent.contains(&target))
+        book.revision == 0 || book.claims.targets_of(fence).any(|target| !recent.contains(&target))
     };
     if is_due { write(gateway, socket, fence).await } else { Ok(()) }
 }
@@ -231,8 +231,8 @@
     let book = book.as_mut().filter(|book| book.fence == fence)?;
     let (now_ms, pause_ms) = (now_ms(), pause_ms(&gateway.settings.bounds));
     let recent = book.recent(now_ms, pause_ms);
-    book.claims.keep(fence, &recent);
-    let claims = book.claims.next(now_ms, (fence, &recent), terms, pause_ms);
+    book.claims.retain(fence, &recent);
+    let claims = book.claims.updated(now_ms, (fence, &recent), terms, pause_ms);
     let call =
         LeaderCall::Claim { fence, expected_revision: book.revision, claims: claims.clone() };
     Some((call, claims))
--- a/src/gateway/decisions/claims.rs
+++ b/src/gateway/decisions/claims.rs
@@ -24,7 +24,7 @@
 impl Claims {
     /// The leader that may have ordered an engine last.
     #[must_use]
-    pub fn fence(&self, engine: u32) -> Option<u64> {
+    pub fn claimant(&self, engine: u32) -> Option<u64> {
         let claimed = self.engines.iter().rev().find(|(_, engines)| engines.contains(&engine));
         claimed.map(|(fence, _)| *fence)
     }
@@ -45,11 +45,11 @@
     /// order, just `engines`. Those that leaders before may have ordered stay for as long as
     /// these are not over for `pause_ms`.
     #[must_use]
-    pub fn next(
+    pub fn updated(
         &self,
         now_ms: u64,
         (fence, engines): (u64, &BTreeSet<u32>),
-        terms: &Terms,
+        terms: &LeaderTerms,
         pause_ms: u64,
     ) -> Self {
         let mut next = Self::default();
@@ -66,7 +66,13 @@
     /// Whether leaders before the one with `fence` have ordered so lately that some
     /// engines wait for their pause.
     #[must_use]
-    pub fn has_waiting(&self, now_ms: u64, fence: u64, terms: &Terms, pause_ms: u64) -> bool {
+    pub fn has_paused_targets(
+        &self,
+        now_ms: u64,
+        fence: u64,
+        terms: &LeaderTerms,
+        pause_ms: u64,
+    ) -> bool {
         self.earlier(now_ms, fence, terms, pause_ms).next().is_some()
     }
 
@@ -76,11 +82,11 @@
         &self,
         now_ms: u64,
         fence: u64,
-        terms: &Terms,
+        terms: &LeaderTerms,
         pause_ms: u64,
     ) -> impl Iterator<Item = (u64, &BTreeSet<u32>)> {
         let waits = move |earlier: u64| {
-            let over_ms = terms.over_since_ms(earlier);
+            let over_ms = terms.ended_at_ms(earlier);
             over_ms.is_none_or(|at_ms| now_ms < at_ms + pause_ms)
         };
         let all = self.engines.iter().map(|(earlier, claimed)| (*earlier, claimed));
@@ -88,31 +94,31 @@
     }
 
     /// Forgets engines of a leader but for those in `engines`.
-    pub fn keep(&mut self, fence: u64, engines: &BTreeSet<u32>) {
+    pub fn retain(&mut self, fence: u64, engines: &BTreeSet<u32>) {
         if let Some(claimed) = self.engines.get_mut(&fence) {
             claimed.retain(|engine| engines.contains(engine));
         }
     }
 
     /// The engines that a leader may have ordered.
-    pub fn of(&self, fence: u64) -> impl Iterator<Item = u32> {
+    pub fn targets_of(&self, fence: u64) -> impl Iterator<Item = u32> {
         self.engines.get(&fence).into_iter().flatten().copied()
     }
 
     /// When the leader with `fence` may order an engine; `None` while it is not known that
     /// the one that ordered it is over.
     #[must_use]
-    pub fn orders_from_ms(
+    pub fn orderable_from_ms(
         &self,
         engine: u32,
         fence: u64,
-        terms: &Terms,
+        terms: &LeaderTerms,
         pause_ms: u64,
     ) -> Option<u64> {
-        match self.fence(engine) {
+        match self.claimant(engine) {
             None => Some(0),
             Some(own) if own == fence => Some(0),
-            Some(earlier) => terms.over_since_ms(earlier).map(|at_ms| at_ms + pause_ms),
+            Some(earlier) => terms.ended_at_ms(earlier).map(|at_ms| at_ms + pause_ms),
         }
     }
 }
@@ -120,7 +126,7 @@
 /// When leaders were seen to be over, by any box. Their fencing tokens are revisions of the
 /// metadata store, so that all before the present one are over, also those that nobody saw.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Terms {
+pub struct LeaderTerms {
     /// Fencing tokens of leaders, and revisions at which there was none, with the time
     /// from which on that was known.
     changes: BTreeMap<u64, u64>,
@@ -131,9 +137,9 @@
     last_leader: Option<u64>,
 }
 
-impl Terms {
+impl LeaderTerms {
     /// Takes who leads, as of a revision of the metadata store.
-    pub fn note(&mut self, now_ms: u64, leader: Option<u64>, at_revision: u64) {
+    pub fn note_leader(&mut self, now_ms: u64, leader: Option<u64>, at_revision: u64) {
         let is_known = !self.changes.is_empty() && leader == self.leader;
         if is_known {
             return;
@@ -143,12 +149,12 @@
         self.last_leader = self.last_leader.max(leader);
         // Boxes see its end at different revisions; one entry for all keeps them few.
         let ended = self.last_leader.map_or(at_revision, |last| last + 1);
-        self.hear(leader.unwrap_or(ended), now_ms);
+        self.merge(leader.unwrap_or(ended), now_ms);
     }
 
     /// Takes from a peer since when leaders before a revision are over. The time that this was
     /// under way makes it look later, never earlier.
-    pub fn hear(&mut self, revision: u64, at_ms: u64) {
+    pub fn merge(&mut self, revision: u64, at_ms: u64) {
         let known_at_ms = self.changes.entry(revision).or_insert(at_ms);
         *known_at_ms = at_ms.min(*known_at_ms);
         if self.changes.len() > REMEMBERED {
@@ -158,7 +164,7 @@
 
     /// What a box that has just started has to know at `now_ms`, to go by pauses of
     /// `pause_ms`: the changes of that time and the last one before.
-    pub fn told(&self, now_ms: u64, pause_ms: u64) -> impl Iterator<Item = (u64, u64)> {
+    pub fn recent(&self, now_ms: u64, pause_ms: u64) -> impl Iterator<Item = (u64, u64)> {
         let is_recent = move |at_ms: u64| now_ms < at_ms + pause_ms;
         let before = self.changes.iter().rev().find(|(_, at_ms)| !is_recent(**at_ms));
         let recent = self.changes.iter().filter(move |(_, at_ms)| is_recent(**at_ms));
@@ -173,7 +179,7 @@
 
     /// Since when a leader is known to be over.
     #[must_use]
-    pub fn over_since_ms(&self, fence: u64) -> Option<u64> {
+    pub fn ended_at_ms(&self, fence: u64) -> Option<u64> {
         let later = self.changes.range(fence.saturating_add(1)..);
         later.map(|(_, at_ms)| *at_ms).min()
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -244,7 +244,7 @@
 }
 
 fn terms(state: &State, now_ms: u64, pause_ms: u64) -> Vec<(u64, u32)> {
-    let told = state.terms.told(now_ms, pause_ms);
+    let told = state.terms.recent(now_ms, pause_ms);
     told.map(|(revision, at_ms)| (revision, age_ms(now_ms, at_ms))).collect()
 }
 
@@ -295,7 +295,7 @@
     }
     take_namings(&mut state, now_ms, &gossip);
     for (revision, age_ms) in &gossip.terms {
-        state.terms.hear(*revision, now_ms.saturating_sub(u64::from(*age_ms)));
+        state.terms.merge(*revision, now_ms.saturating_sub(u64::from(*age_ms)));
     }
     supersede(&mut state, &gossip.superseded);
     take_leaving(&mut state, &gossip.leaving);
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -12,7 +12,7 @@
 use crate::gateway::connections::Connections;
 use crate::gateway::decisions::admission::Limits;
 use crate::gateway::decisions::budget::{self, Budget};
-use crate::gateway::decisions::claims::Terms;
+use crate::gateway::decisions::claims::LeaderTerms;
 use crate::gateway::decisions::gossip_message::StoreLink;
 use crate::gateway::decisions::peers::{Own, Peers};
 use crate::gateway::decisions::site::Site;
@@ -79,7 +79,7 @@
     /// The leadership, while this box has it.
     pub leadership: Option<Leadership>,
     /// When leaders were seen to be over.
-    pub terms: Terms,
+    pub terms: LeaderTerms,
     /// What leaders have written down, while this box leads.
     pub book: Option<Book>,
     /// Orders of this box that are not answered yet.
@@ -256,7 +256,7 @@
             upstream_clock_ahead_ms: None,
             serving: 0,
             leadership: None,
-            terms: Terms::default(),
+            terms: LeaderTerms::default(),
             book: None,
             orders_in_flight: 0,
             loading: HashSet::new(),
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use coursestile::gateway::decisions::claims::{Claims, Terms};
+use coursestile::gateway::decisions::claims::{Claims, LeaderTerms};
 use coursestile::gateway::decisions::weights::{NamedVersion, NamedVersions, UNKNOWN_TIME_MS};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -212,7 +212,7 @@
 #[derive(Default)]
 struct OneBox {
     view: Option<Store>,
-    terms: Terms,
+    terms: LeaderTerms,
     weights: NamedVersions,
     held: Option<Held>,
     book: Option<Book>,
@@ -255,7 +255,7 @@
             Some(written) => written.clone(),
             None if self.terms.saw_leader_before(held.fence) => {
                 let all = (0..ENGINES).collect();
-                (0, Claims::default().next(0, (held.fence - 1, &all), &self.terms, 0))
+                (0, Claims::default().updated(0, (held.fence - 1, &all), &self.terms, 0))
             }
             None => (0, Claims::default()),
         };
@@ -265,15 +265,15 @@
 
     fn may_order(&self, now_ms: u64, engine: u32) -> bool {
         let Some(book) = &self.book else { return false };
-        let from_ms = book.claims.orders_from_ms(engine, book.fence, &self.terms, PAUSE_MS);
+        let from_ms = book.claims.orderable_from_ms(engine, book.fence, &self.terms, PAUSE_MS);
         from_ms.is_some_and(|from_ms| now_ms >= from_ms)
     }
 
     fn next_write(&mut self, now_ms: u64) -> Option<ClaimWrite> {
         let book = self.book.as_mut()?;
         let recent = book.recent(now_ms);
-        book.claims.keep(book.fence, &recent);
-        let claims = book.claims.next(now_ms, (book.fence, &recent), &self.terms, PAUSE_MS);
+        book.claims.retain(book.fence, &recent);
+        let claims = book.claims.updated(now_ms, (book.fence, &recent), &self.terms, PAUSE_MS);
         Some(ClaimWrite { fence: book.fence, expected_revision: book.revision, claims })
     }
 
@@ -308,7 +308,7 @@
         if is_new {
             self.named_by_ms.insert(store.version, named_at_ms);
         }
-        self.terms.note(now_ms, store.lease, store.revision);
+        self.terms.note_leader(now_ms, store.lease, store.revision);
         // One whose whole term fell between two views is not seen to be over until the next.
         if self.view.as_ref().is_none_or(|view| view.lease != store.lease) {
             self.seen_at_ms.entry(store.lease.unwrap_or(store.revision)).or_insert(now_ms);
@@ -436,7 +436,7 @@
                 continue;
             }
             for (revision, age_ms) in told.terms {
-                one.terms.hear(revision, now_ms - age_ms);
+                one.terms.merge(revision, now_ms - age_ms);
             }
             for (revision, at_ms) in told.seen_at_ms {
                 let known = one.seen_at_ms.entry(revision).or_insert(u64::MAX);
@@ -512,7 +512,7 @@
             return;
         }
         let book = one.book.as_mut().unwrap();
-        let is_claimed = book.claims.fence(engine) == Some(book.fence);
+        let is_claimed = book.claims.claimant(engine) == Some(book.fence);
         if is_claimed || self.write(at, Some((engine, arrival_ms)), fate) {
             self.give(at, engine, arrival_ms);
         }
@@ -529,7 +529,7 @@
         let Some(book) = &mut one.book else { return false };
         if book.revision == 0 {
             // What nobody wrote down counts as claimed by the leader before.
-            for engine in book.claims.of(book.fence - 1) {
+            for engine in book.claims.targets_of(book.fence - 1) {
                 self.claimed.entry(engine).or_default().insert(book.fence - 1, now_ms);
             }
         }
@@ -586,7 +586,9 @@
         one.open();
         let Some(book) = &mut one.book else { return };
         let recent = book.recent(now_ms);
-        if book.revision == 0 || book.claims.of(book.fence).any(|one| !recent.contains(&one)) {
+        if book.revision == 0
+            || book.claims.targets_of(book.fence).any(|one| !recent.contains(&one))
+        {
             self.write(at, None, fate);
         }
     }
@@ -629,7 +631,7 @@
             delay_ms,
             terms: one
                 .terms
-                .told(now_ms, PAUSE_MS)
+                .recent(now_ms, PAUSE_MS)
                 .map(|(revision, at_ms)| (revision, now_ms - at_ms))
                 .collect(),
             named: one.weights.named_after(UNKNOWN_TIME_MS).collect(),
@@ -690,7 +692,7 @@
         for engine in engines {
             let is_claimed = (0..2).any(|_| {
                 let book = self.boxes[leader].book.as_ref();
-                book.is_some_and(|book| book.claims.fence(engine) == Some(book.fence))
+                book.is_some_and(|book| book.claims.claimant(engine) == Some(book.fence))
                     || self.write(leader, Some((engine, 0)), Fate::Answered)
             });
             assert!(is_claimed, "engine {engine} cannot be claimed");
@@ -790,65 +792,66 @@
 
 #[test]
 fn absent_claims() {
-    let (claims, terms) = (Claims::default(), Terms::default());
+    let (claims, terms) = (Claims::default(), LeaderTerms::default());
     assert!(claims.is_empty());
-    assert_eq!(claims.orders_from_ms(0, 7, &terms, PAUSE_MS), Some(0));
-    assert!(!claims.has_waiting(0, 7, &terms, PAUSE_MS));
+    assert_eq!(claims.orderable_from_ms(0, 7, &terms, PAUSE_MS), Some(0));
+    assert!(!claims.has_paused_targets(0, 7, &terms, PAUSE_MS));
     assert!(!terms.saw_leader_before(7));
 }
 
 #[test]
 fn unseen_end() {
-    let claims = Claims::default().next(0, (5, &engines(&[1])), &Terms::default(), PAUSE_MS);
-    assert_eq!(claims.orders_from_ms(1, 7, &Terms::default(), PAUSE_MS), None);
-    assert_eq!(claims.orders_from_ms(1, 5, &Terms::default(), PAUSE_MS), Some(0));
-    assert_eq!(claims.orders_from_ms(2, 7, &Terms::default(), PAUSE_MS), Some(0));
-    assert!(claims.has_waiting(u64::MAX, 7, &Terms::default(), PAUSE_MS));
-    let next = claims.next(u64::MAX, (7, &engines(&[2])), &Terms::default(), PAUSE_MS);
-    assert_eq!(next.fence(1), Some(5));
+    let claims =
+        Claims::default().updated(0, (5, &engines(&[1])), &LeaderTerms::default(), PAUSE_MS);
+    assert_eq!(claims.orderable_from_ms(1, 7, &LeaderTerms::default(), PAUSE_MS), None);
+    assert_eq!(claims.orderable_from_ms(1, 5, &LeaderTerms::default(), PAUSE_MS), Some(0));
+    assert_eq!(claims.orderable_from_ms(2, 7, &LeaderTerms::default(), PAUSE_MS), Some(0));
+    assert!(claims.has_paused_targets(u64::MAX, 7, &LeaderTerms::default(), PAUSE_MS));
+    let next = claims.updated(u64::MAX, (7, &engines(&[2])), &LeaderTerms::default(), PAUSE_MS);
+    assert_eq!(next.claimant(1), Some(5));
 }
 
 #[test]
 fn leader_before() {
-    let mut terms = Terms::default();
-    terms.note(10, None, 2);
-    terms.note(20, Some(3), 3);
+    let mut terms = LeaderTerms::default();
+    terms.note_leader(10, None, 2);
+    terms.note_leader(20, Some(3), 3);
     assert!(!terms.saw_leader_before(3) && terms.saw_leader_before(7));
     // What peers tell was not seen here.
-    let mut told = Terms::default();
-    told.hear(3, 20);
+    let mut told = LeaderTerms::default();
+    told.merge(3, 20);
     assert!(!told.saw_leader_before(7));
 }
 
 #[test]
 fn reclaimed_engine() {
-    let mut terms = Terms::default();
-    terms.note(100, Some(7), 7);
-    let first = Claims::default().next(0, (5, &engines(&[1, 2])), &terms, PAUSE_MS);
-    let second = first.next(100, (7, &engines(&[1])), &terms, PAUSE_MS);
-    assert_eq!((second.fence(1), second.fence(2), second.len()), (Some(7), Some(5), 2));
-    let third = second.next(100 + PAUSE_MS, (7, &engines(&[])), &terms, PAUSE_MS);
+    let mut terms = LeaderTerms::default();
+    terms.note_leader(100, Some(7), 7);
+    let first = Claims::default().updated(0, (5, &engines(&[1, 2])), &terms, PAUSE_MS);
+    let second = first.updated(100, (7, &engines(&[1])), &terms, PAUSE_MS);
+    assert_eq!((second.claimant(1), second.claimant(2), second.len()), (Some(7), Some(5), 2));
+    let third = second.updated(100 + PAUSE_MS, (7, &engines(&[])), &terms, PAUSE_MS);
     assert!(third.is_empty());
 }
 
 #[test]
 fn stale_terms() {
-    let mut terms = Terms::default();
-    terms.note(1000, Some(9), 9);
-    terms.hear(4, 10);
-    assert_eq!(terms.over_since_ms(5), Some(1000));
-    terms.hear(7, 800);
-    terms.hear(7, 900);
-    assert_eq!((terms.over_since_ms(5), terms.over_since_ms(9)), (Some(800), None));
+    let mut terms = LeaderTerms::default();
+    terms.note_leader(1000, Some(9), 9);
+    terms.merge(4, 10);
+    assert_eq!(terms.ended_at_ms(5), Some(1000));
+    terms.merge(7, 800);
+    terms.merge(7, 900);
+    assert_eq!((terms.ended_at_ms(5), terms.ended_at_ms(9)), (Some(800), None));
 }
 
 #[test]
 fn told_terms() {
-    let mut terms = Terms::default();
+    let mut terms = LeaderTerms::default();
     for (revision, at_ms) in [(3, 10), (5, 20), (7, 5000)] {
-        terms.note(at_ms, Some(revision), revision);
+        terms.note_leader(at_ms, Some(revision), revision);
     }
-    let told: Vec<_> = terms.told(5100, PAUSE_MS).collect();
+    let told: Vec<_> = terms.recent(5100, PAUSE_MS).collect();
     assert_eq!(told, [(5, 20), (7, 5000)]);
 }
 
