--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -191,7 +191,7 @@
             tokens: 5000,
         });
         let listing = CacheListing { boot: 1, next: 1, held: held.collect(), partial: Vec::new() };
-        state.holder.listed(&listing);
+        state.holder.apply_listing(&listing);
     }
     stores
 }
--- a/src/gateway/decisions/holder.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -24,7 +24,7 @@
 
     /// A number above 0 and up to 1 that depends on the part and `seed` only.
     #[must_use]
-    pub fn fraction(self, seed: u32) -> f64 {
+    pub fn hash_fraction(self, seed: u32) -> f64 {
         // The finalizer of splitmix64 spreads each bit over all others.
         let mut mixed = self.0 ^ (u64::from(seed) << 32 | u64::from(seed));
         mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,13 +40,13 @@
 
 /// What is told of a holder to another box.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Update {
+pub enum CacheUpdate {
     /// Nothing is known of it now.
     Unknown,
     /// All that it keeps.
-    Whole(Vec<(PartKey, u32)>),
+    Full(Vec<(PartKey, u32)>),
     /// What has changed, in order.
-    Changes(Vec<(PartKey, u32)>),
+    Delta(Vec<(PartKey, u32)>),
 }
 
 /// Changes of a holder, kept to be told to other boxes.
@@ -79,7 +79,7 @@
 
 /// What one engine or store is believed to keep.
 #[derive(Debug, Default)]
-pub struct Holder {
+pub struct CacheContents {
     boot: u64,
     next: u64,
     known: bool,
@@ -89,7 +89,7 @@
     log: Option<ChangeLog>,
 }
 
-impl Holder {
+impl CacheContents {
     /// A holder whose changes are kept to be told.
     #[must_use]
     pub fn with_log() -> Self {
@@ -99,48 +99,50 @@
     /// What has changed since the change with a number, if anything, and the
     /// number to go on from.
     #[must_use]
-    pub fn update_since(&self, after: Option<u64>) -> (Option<Update>, u64) {
+    pub fn update_since(&self, after: Option<u64>) -> (Option<CacheUpdate>, u64) {
         let Some(log) = &self.log else {
             return (None, 0);
         };
         let next = log.next();
         let update = match after {
             Some(after) if after == next => None,
-            _ if !self.known => Some(Update::Unknown),
+            _ if !self.known => Some(CacheUpdate::Unknown),
             Some(after) if (log.from..next).contains(&after) => {
                 let skip = usize::try_from(after - log.from).unwrap_or_default();
-                Some(Update::Changes(log.changes.iter().skip(skip).copied().collect()))
+                Some(CacheUpdate::Delta(log.changes.iter().skip(skip).copied().collect()))
             }
-            _ => Some(Update::Whole(self.tokens.iter().map(|(key, held)| (*key, *held)).collect())),
+            _ => Some(CacheUpdate::Full(
+                self.tokens.iter().map(|(key, held)| (*key, *held)).collect(),
+            )),
         };
         (update, next)
     }
 
     /// Takes what another box tells.
-    pub fn apply_update(&mut self, update: Update) {
+    pub fn apply_update(&mut self, update: CacheUpdate) {
         let changes = match update {
-            Update::Unknown => return self.lose(),
-            Update::Whole(all) => {
-                self.lose();
+            CacheUpdate::Unknown => return self.mark_unknown(),
+            CacheUpdate::Full(all) => {
+                self.mark_unknown();
                 self.set_known(true);
                 all
             }
-            Update::Changes(changes) => changes,
+            CacheUpdate::Delta(changes) => changes,
         };
         for (part, tokens) in changes {
-            self.note(part, tokens);
+            self.set_tokens(part, tokens);
         }
     }
 
     /// Forgets all that is known of it.
-    pub fn lose(&mut self) {
-        self.forget();
+    pub fn mark_unknown(&mut self) {
+        self.clear();
         self.set_known(false);
     }
 
     /// Place from which to ask for changes.
     #[must_use]
-    pub fn next(&self) -> u64 {
+    pub fn next_change(&self) -> u64 {
         self.next
     }
 
@@ -158,14 +160,14 @@
 
     /// Tokens that it keeps in all.
     #[must_use]
-    pub fn held_tokens(&self) -> u64 {
+    pub fn total_tokens(&self) -> u64 {
         self.held_tokens
     }
 
     /// Takes in changes; true when a listing is needed to know all.
-    pub fn changed(&mut self, changes: &CacheChanges) -> bool {
+    pub fn apply_changes(&mut self, changes: &CacheChanges) -> bool {
         if self.known && self.boot != changes.boot {
-            self.forget();
+            self.clear();
         }
         self.boot = changes.boot;
         self.next = changes.next;
@@ -177,8 +179,8 @@
     }
 
     /// Takes in a listing, which is the whole truth.
-    pub fn listed(&mut self, listing: &CacheListing) {
-        self.forget();
+    pub fn apply_listing(&mut self, listing: &CacheListing) {
+        self.clear();
         self.boot = listing.boot;
         self.next = listing.next;
         self.set_known(true);
@@ -188,7 +190,7 @@
     }
 
     /// Notes what it keeps of a part.
-    pub fn note(&mut self, part: PartKey, tokens: u32) {
+    pub fn set_tokens(&mut self, part: PartKey, tokens: u32) {
         let before =
             if tokens == 0 { self.tokens.remove(&part) } else { self.tokens.insert(part, tokens) };
         if let Some(log) = &mut self.log {
@@ -199,7 +201,7 @@
     }
 
     /// Forgets all that it kept.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         if let Some(log) = &mut self.log {
             log.restart();
         }
@@ -217,6 +219,6 @@
     }
 
     fn set(&mut self, change: &CacheChange) {
-        self.note(PartKey::new(&change.kept.scope, &change.kept.part), change.tokens);
+        self.set_tokens(PartKey::new(&change.kept.scope, &change.kept.part), change.tokens);
     }
 }
--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -1,7 +1,7 @@
 //! What an engine is told about kept context: a source for each part of the
 //! prompt, and a store that is to take it.
 
-use crate::gateway::decisions::holder::PartKey;
+use crate::gateway::decisions::cache_contents::PartKey;
 
 /// Time for which context of old weights is read from stores after newer ones were named;
 /// then its space is for theirs. Engines that are not loaded yet would have to read it
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - Where a request runs: `choose`, by `look`, `demand`, `prompt`, `upstream`, `upstreams`,
 //!   `notice` and `incarnation`.
-//! - Where its context comes from and goes: `sources`, `stores`, `holder`, `kept`, `context`.
+//! - Where its context comes from and goes: `sources`, `stores`, `cache_contents`, `kept`, `context`.
 //! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
 //! - Which weights engines get, and when old context may go: `rollout`, `weights`, `orders`,
 //!   `claims`, `release`.
@@ -12,13 +12,13 @@
 
 pub mod admission;
 pub mod budget;
+pub mod cache_contents;
 pub mod choose;
 pub mod claims;
 pub mod context;
 pub mod demand;
 pub mod gossip_message;
 pub mod hall_news;
-pub mod holder;
 pub mod incarnation;
 pub mod kept;
 pub mod look;
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -6,9 +6,9 @@
 //! it again is cheaper. Only a part that is known to be whole is fetched from a
 //! store.
 
+use crate::gateway::decisions::cache_contents::PartKey;
 use crate::gateway::decisions::context::{ContextPlan, OLD_STORES_MS, Save, Source, scope};
 use crate::gateway::decisions::demand::Demand;
-use crate::gateway::decisions::holder::PartKey;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::{EngineSpec, Store};
 use crate::gateway::decisions::stores::{StoreState, Stores};
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::gateway::decisions::holder::{Holder, PartKey};
+use crate::gateway::decisions::cache_contents::{CacheContents, PartKey};
 use crate::gateway::decisions::site::Store;
 use crate::gateway::decisions::units::as_f64;
 use crate::names::number;
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 pub struct StoreState {
     /// What it keeps.
-    pub holder: Holder,
+    pub holder: CacheContents,
     /// Tokens of parts that are not whole.
     pub partial_tokens: u64,
     avoid_until_ms: u64,
@@ -90,7 +90,7 @@
 impl StoreState {
     /// The state of a store of which other boxes are told.
     fn with_log() -> Self {
-        Self { holder: Holder::with_log(), ..Self::default() }
+        Self { holder: CacheContents::with_log(), ..Self::default() }
     }
 
     /// Whether it failed lately.
@@ -103,7 +103,7 @@
     /// whose draw, divided by its size, is least has a part, with a likelihood in
     /// proportion to that size.
     fn draw(&self, key: PartKey) -> f64 {
-        -key.fraction(self.seed).ln()
+        -key.hash_fraction(self.seed).ln()
     }
 
     /// Number that names it in messages between boxes.
@@ -171,7 +171,7 @@
     #[must_use]
     pub fn taken_tokens(&self) -> u64 {
         let saving: u64 = self.saves.values().map(|save| u64::from(save.tokens)).sum();
-        self.holder.held_tokens() + self.partial_tokens + saving
+        self.holder.total_tokens() + self.partial_tokens + saving
     }
 
     /// Settles saves: those that were told of, and those that found no room.
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::decisions::holder::Holder;
+use crate::gateway::decisions::cache_contents::CacheContents;
 use crate::gateway::decisions::incarnation::{Incarnation, is_other_incarnation};
 use crate::gateway::decisions::notice::NoticeState;
 use crate::names::number;
@@ -92,7 +92,7 @@
     /// Load from all other boxes, as they told last.
     pub others: Load,
     /// Kept context.
-    pub holder: Holder,
+    pub holder: CacheContents,
     /// Start of its run, as whoever told of it last has it.
     started_at_ms: Option<u64>,
     /// When this box learned of that run.
@@ -130,7 +130,7 @@
             entry,
             own: Load::default(),
             others: Load::default(),
-            holder: Holder::default(),
+            holder: CacheContents::default(),
             versions: HashMap::new(),
             avoid_until_ms: 0,
             avoid_ms: AVOID_MS,
@@ -243,7 +243,7 @@
     pub fn saw_version(&mut self, model: &str, version: u64) {
         if version > self.version(model) {
             self.versions.insert(model.to_owned(), version);
-            self.holder.forget();
+            self.holder.clear();
         }
     }
 
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::decisions::holder::Holder;
+use crate::gateway::decisions::cache_contents::CacheContents;
 use crate::gateway::decisions::kept::{CacheChanges, CacheListing};
 use crate::gateway::decisions::upstream::Told;
 use crate::gateway::entries;
@@ -55,7 +55,7 @@
             let keep = wanted.contains(holder_id);
             if !keep {
                 task.abort();
-                with_holder(&mut gateway.state(), &holder_id.0, Holder::lose);
+                with_holder(&mut gateway.state(), &holder_id.0, CacheContents::mark_unknown);
             }
             keep
         });
@@ -109,7 +109,7 @@
                 {
                     state.failed(now_ms());
                     // It may have lost all, and have a part written again.
-                    state.holder.lose();
+                    state.holder.mark_unknown();
                     known = false;
                 }
                 if matches!(error, Error::Busy(_)) {
@@ -134,7 +134,7 @@
         list(gateway, holder_id, address).await?;
         *known = true;
     }
-    let since = with_holder(&mut gateway.state(), holder_id, |holder| holder.next());
+    let since = with_holder(&mut gateway.state(), holder_id, |holder| holder.next_change());
     let Some(since) = since else {
         sleep(BUSY_PAUSE).await;
         return Ok(());
@@ -159,7 +159,7 @@
     let listing: CacheListing = gateway.caches.list(address).await?;
     info!(target: "caches", "event=holder_listed holder={holder_id:?} boot={} parts={} partial={}",
         listing.boot, listing.held.len(), listing.partial.len());
-    with_holder(&mut gateway.state(), holder_id, |holder| holder.listed(&listing));
+    with_holder(&mut gateway.state(), holder_id, |holder| holder.apply_listing(&listing));
     Ok(())
 }
 
@@ -168,13 +168,13 @@
     if let Some(clock_ms) = changes.clock_ms {
         state.take_upstream_clock(now_ms(), clock_ms);
     }
-    with_holder(&mut state, holder_id, |holder| holder.changed(changes)).unwrap_or_default()
+    with_holder(&mut state, holder_id, |holder| holder.apply_changes(changes)).unwrap_or_default()
 }
 
 fn with_holder<T>(
     state: &mut State,
     holder_id: &HolderId,
-    act: impl FnOnce(&mut Holder) -> T,
+    act: impl FnOnce(&mut CacheContents) -> T,
 ) -> Option<T> {
     match holder_id {
         HolderId::Engine(id) => state.upstreams.get_mut(id).map(|engine| act(&mut engine.holder)),
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -112,7 +112,7 @@
     /// Forgets what stores of context keep.
     pub fn lose_stores(&mut self) {
         for (_, store) in self.stores.iter_mut() {
-            store.holder.lose();
+            store.holder.mark_unknown();
         }
     }
 
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -14,8 +14,8 @@
 
 use crate::clock::now_ms;
 use crate::gateway::claims;
+use crate::gateway::decisions::cache_contents::PartKey;
 use crate::gateway::decisions::context::{scope_model, scope_version};
-use crate::gateway::decisions::holder::PartKey;
 use crate::gateway::decisions::kept::{CacheListing, Freed, KeptPart};
 use crate::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use crate::gateway::kernel::{Gateway, State};
@@ -216,7 +216,7 @@
                 info!(target: "leader", "event=parts_freed store={name} count={}", batch.len());
                 if let Some((_, state)) = gateway.state().stores.get_mut(name) {
                     for kept in batch {
-                        state.holder.note(PartKey::new(&kept.scope, &kept.part), 0);
+                        state.holder.set_tokens(PartKey::new(&kept.scope, &kept.part), 0);
                     }
                 }
             }
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -21,7 +21,7 @@
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::catch_up::Question;
-use crate::gateway::decisions::holder::Update;
+use crate::gateway::decisions::cache_contents::CacheUpdate;
 use crate::gateway::kernel::{Gateway, State};
 use crate::names::number;
 use crate::phase::Phase;
@@ -47,7 +47,7 @@
     /// Number of its name.
     pub store: u32,
     /// What has changed.
-    pub update: Update,
+    pub update: CacheUpdate,
 }
 
 /// Learns from a box that follows the stores, while this one does not.
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 
 use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::choose::{Choice, choose};
 use coursestile::gateway::decisions::context::Source;
 use coursestile::gateway::decisions::demand::Demand;
-use coursestile::gateway::decisions::holder::PartKey;
 use coursestile::gateway::decisions::kept::CacheListing;
 use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::prompt::Prompt;
@@ -42,7 +42,7 @@
     ]);
     for (_, state) in stores.iter_mut() {
         let listing = CacheListing { boot: 1, next: 1, held: Vec::new(), partial: Vec::new() };
-        state.holder.listed(&listing);
+        state.holder.apply_listing(&listing);
     }
     stores
 }
@@ -106,11 +106,11 @@
     let first = saved_at(&chosen(&stores, "north")).unwrap();
     assert!(first.starts_with('n'), "{first} is in another hall");
     let common = PartKey::new("1.m", COMMON);
-    stores.get_mut(&first).unwrap().1.holder.note(common, COMMON_TOKENS);
+    stores.get_mut(&first).unwrap().1.holder.set_tokens(common, COMMON_TOKENS);
     assert_eq!(saved_at(&chosen(&stores, "north")), None, "it is kept there");
     let second = saved_at(&chosen(&stores, "south")).unwrap();
     assert!(second.starts_with('s'), "{second} is in another hall");
-    stores.get_mut(&second).unwrap().1.holder.note(common, COMMON_TOKENS);
+    stores.get_mut(&second).unwrap().1.holder.set_tokens(common, COMMON_TOKENS);
     let choice = chosen(&stores, "south");
     let near = stores.get(&second).unwrap().0.address.to_string();
     assert_eq!(choice.context.unwrap().sources[0], Source::Kept { address: Some(near) });
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use coursestile::gateway::decisions::admission::Asked;
 use coursestile::gateway::decisions::budget::{Budget, Terms};
+use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::{scope_model, scope_version};
 use coursestile::gateway::decisions::demand::Demand;
-use coursestile::gateway::decisions::holder::PartKey;
 use coursestile::gateway::decisions::incarnation::Incarnation;
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::look::Look;
@@ -91,7 +91,7 @@
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
     let far = upstreams.get_mut("b").unwrap();
-    far.holder.note(PartKey::new("1.m", "aa"), 5000);
+    far.holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let choice =
         choose(0, &upstreams, &stores, Some(&spec()), &demand(Some(&prompt), &[])).unwrap();
     assert_eq!(choice.upstream.id, "b");
@@ -104,7 +104,7 @@
     upstreams.put(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let engine = upstreams.get_mut("a").unwrap();
-    engine.holder.note(PartKey::new("1.m", "aa"), 5000);
+    engine.holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let stores = Stores::default();
     let mut asked = demand(Some(&prompt), &[]);
     asked.isolated_account = Some("petra");
@@ -144,7 +144,7 @@
     for (name, part, tokens) in [("big", "bb", 4000), ("small", "aa", 1000)] {
         let listing =
             CacheListing { boot: 1, next: 0, held: vec![held(part, tokens)], partial: Vec::new() };
-        stores.get_mut(name).unwrap().1.holder.listed(&listing);
+        stores.get_mut(name).unwrap().1.holder.apply_listing(&listing);
     }
     let prompt = Prompt::parse("m", "5300,10", "aa:1000,bb:4000,cc:100,dd:200").unwrap();
     let spec = EngineSpec { per_part_sources, ..spec() };
@@ -201,7 +201,7 @@
     let mut stores = Stores::default();
     stores.configure(&[store("large", 2, 28_000.0)]);
     let (_, large) = stores.get_mut("large").unwrap();
-    large.holder.note(PartKey::new("1.m", "aa"), 500);
+    large.holder.set_tokens(PartKey::new("1.m", "aa"), 500);
     large.others_fetch(60_000);
     let read_tokens = |objective_ms| {
         let mut asked = demand(Some(&prompt), &[]);
@@ -252,7 +252,7 @@
     upstreams.put(0, "a", entry("north", 1, 1));
     upstreams.put(0, "b", entry("south", 2, 2));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
-    upstreams.get_mut("a").unwrap().holder.note(PartKey::new("1.m", "aa"), 5000);
+    upstreams.get_mut("a").unwrap().holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
     upstreams.get_mut("b").unwrap().sent(0, 40_000, 0);
     upstreams.get_mut("b").unwrap().heard(10_000);
     let mut weights = NamedVersions::default();
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use common::{Scene, is_ready, scene};
-use coursestile::gateway::decisions::holder::Holder;
+use coursestile::gateway::decisions::cache_contents::CacheContents;
 use coursestile::platform::{caches, engine, keys};
 use coursestile_standins::site::{entry, eventually};
 use proptest::prelude::*;
@@ -147,12 +147,12 @@
 
 /// Puts what one reads into a box's picture of a holder: no figure may stop it.
 fn take(text: &[u8]) {
-    let mut holder = Holder::with_log();
+    let mut holder = CacheContents::with_log();
     if let Ok(changes) = caches::read_changes(HOLDER, text) {
-        holder.changed(&changes);
+        holder.apply_changes(&changes);
     }
     if let Ok(listing) = caches::read_listing(HOLDER, text) {
-        holder.listed(&listing);
+        holder.apply_listing(&listing);
     }
     // What it says of such bytes is of no concern here.
     let _ = engine::read_report(text);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use common::wait_ready;
-use coursestile::gateway::decisions::holder::PartKey;
+use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::incarnation::Incarnation;
 use coursestile::gateway::decisions::upstream::{Entry, Told};
 use coursestile::gateway::decisions::upstreams::Upstreams;
@@ -218,7 +218,7 @@
     assert_eq!(upstreams.put(30, "e", told(Some(5))), Told::Restarted);
     let engine = upstreams.get("e").unwrap();
     assert_eq!(engine.version("m"), 1, "it lost its weights");
-    assert_eq!(engine.holder.held_tokens(), 0);
+    assert_eq!(engine.holder.total_tokens(), 0);
     assert!(!engine.is_superseded());
 }
 
@@ -229,7 +229,7 @@
     let engine = upstreams.get_mut("e").unwrap();
     engine.sent(20, 500, 900);
     engine.saw_version("m", 3);
-    engine.holder.note(PartKey::new("3.m", "aa"), 100);
+    engine.holder.set_tokens(PartKey::new("3.m", "aa"), 100);
     engine.supersede();
     let run = engine.incarnation();
     (upstreams, run)
@@ -242,7 +242,7 @@
     engine.load().requests == 0
         && engine.version("m") == 1
         && !engine.is_superseded()
-        && engine.holder.held_tokens() == 0
+        && engine.holder.total_tokens() == 0
         && engine.number != before.number()
 }
 
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use coursestile::gateway::decisions::holder::{Holder, PartKey, Update};
+use coursestile::gateway::decisions::cache_contents::{CacheContents, CacheUpdate, PartKey};
 use coursestile::gateway::decisions::kept::{CacheChange, CacheChanges, CacheListing, KeptPart};
 use coursestile::gateway::decisions::site::Store;
 use coursestile::gateway::decisions::stores::{Placing, Stores};
@@ -49,12 +49,12 @@
 /// A box that learns from another, as it is told now and then.
 #[derive(Default)]
 struct Subscriber {
-    holder: Holder,
+    holder: CacheContents,
     told: Option<u64>,
 }
 
 impl Subscriber {
-    fn hear(&mut self, publisher: &Holder) {
+    fn hear(&mut self, publisher: &CacheContents) {
         let (update, next) = publisher.update_since(self.told);
         self.told = Some(next);
         if let Some(update) = update {
@@ -68,22 +68,22 @@
 
     #[test]
     fn beliefs_alike(steps in steps()) {
-        let (mut publisher, mut subscriber) = (Holder::with_log(), Subscriber::default());
+        let (mut publisher, mut subscriber) = (CacheContents::with_log(), Subscriber::default());
         let mut boot = 1;
         for step in steps {
             match step {
                 Step::Keeps { part, tokens } => {
-                    publisher.changed(&changes(boot, vec![change(part, tokens)]));
+                    publisher.apply_changes(&changes(boot, vec![change(part, tokens)]));
                 }
                 Step::Restarts => boot += 1,
-                Step::Lost => publisher.lose(),
-                Step::Listed => publisher.listed(&listing(boot)),
+                Step::Lost => publisher.mark_unknown(),
+                Step::Listed => publisher.apply_listing(&listing(boot)),
                 Step::Told => subscriber.hear(&publisher),
             }
         }
         subscriber.hear(&publisher);
         prop_assert_eq!(subscriber.holder.is_known(), publisher.is_known());
-        prop_assert_eq!(subscriber.holder.held_tokens(), publisher.held_tokens());
+        prop_assert_eq!(subscriber.holder.total_tokens(), publisher.total_tokens());
         for part in 0..40 {
             prop_assert_eq!(subscriber.holder.tokens(key(part)), publisher.tokens(key(part)));
         }
@@ -92,24 +92,24 @@
 
 #[test]
 fn known_again() {
-    let (mut publisher, mut subscriber) = (Holder::with_log(), Subscriber::default());
+    let (mut publisher, mut subscriber) = (CacheContents::with_log(), Subscriber::default());
     subscriber.hear(&publisher);
-    publisher.changed(&changes(1, Vec::new()));
+    publisher.apply_changes(&changes(1, Vec::new()));
     subscriber.hear(&publisher);
     assert!(subscriber.holder.is_known(), "it keeps nothing, and that is known");
 }
 
 #[test]
 fn many_changes() {
-    let mut publisher = Holder::with_log();
-    publisher.listed(&listing(1));
+    let mut publisher = CacheContents::with_log();
+    publisher.apply_listing(&listing(1));
     let (_, told) = publisher.update_since(None);
     for part in 0..5000 {
-        publisher.changed(&changes(1, vec![change(part, 1)]));
+        publisher.apply_changes(&changes(1, vec![change(part, 1)]));
     }
     let (update, _) = publisher.update_since(Some(told));
     assert!(
-        matches!(update, Some(Update::Whole(all)) if all.len() == 5000),
+        matches!(update, Some(CacheUpdate::Full(all)) if all.len() == 5000),
         "too many to remember"
     );
 }
@@ -129,7 +129,7 @@
 fn known_stores() -> Stores {
     let mut stores = Stores::default();
     stores.configure(&[store("a", 3_000_000), store("b", 1_000_000)]);
-    stores.iter_mut().for_each(|(_, state)| state.holder.listed(&listing(1)));
+    stores.iter_mut().for_each(|(_, state)| state.holder.apply_listing(&listing(1)));
     stores
 }
 
@@ -148,11 +148,11 @@
 fn unknown_avoided() {
     let mut stores = known_stores();
     let part = key(7);
-    stores.get_mut("a").unwrap().1.holder.note(part, 100);
+    stores.get_mut("a").unwrap().1.holder.set_tokens(part, 100);
     assert_eq!(stores.holders(0, part, 100).count(), 1);
     assert_eq!(stores.holders(0, part, 101).count(), 0, "it is not whole");
     // A store that fails may come back empty, and have the part written again.
-    stores.get_mut("a").unwrap().1.holder.lose();
+    stores.get_mut("a").unwrap().1.holder.mark_unknown();
     assert_eq!(stores.holders(0, part, 100).count(), 0);
     let place = stores.place_for(0, part, 100, Placing::Quickest { hall: "north" });
     assert_eq!(place.map(|store| store.name.as_str()), Some("b"));
