--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -10,7 +10,7 @@
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::scope;
 use coursestile::gateway::decisions::demand::Demand;
-use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, ToldLoad};
+use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, LoadReport};
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
@@ -87,9 +87,9 @@
     IpAddr::V4(Ipv4Addr::from(0x0a00_0000 | number))
 }
 
-fn told(boxes: u32, upstream: u32, requests: u32) -> ToldLoad {
+fn told(boxes: u32, upstream: u32, requests: u32) -> LoadReport {
     let load = Load { requests, unread_tokens: 4000, memory_tokens: 6000 };
-    ToldLoad { upstream: upstream % engines(boxes), load, heard_age_ms: 40 }
+    LoadReport { upstream: upstream % engines(boxes), load, heard_age_ms: 40 }
 }
 
 fn engines(boxes: u32) -> u32 {
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -54,7 +54,7 @@
         let (peer, own) = {
             let state = gateway.state();
             let own = state.view.digest();
-            (state.peers.ahead(now_ms(), own, state.store_link()), own)
+            (state.peers.ahead(now_ms(), own, state.metadata_store_status()), own)
         };
         let Some(peer) = peer else { continue };
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -26,20 +26,20 @@
     /// Version of the configuration that is in force there.
     pub site_version: u64,
     /// Whether the metadata store answers it.
-    pub store_link: StoreLink,
+    pub metadata_store: MetadataStoreStatus,
     /// Whether it follows the stores of context.
     pub follows_caches: bool,
     /// Other boxes that it has heard of lately.
     pub peers: Vec<IpAddr>,
     /// Load that it puts on upstreams.
-    pub loads: Vec<ToldLoad>,
+    pub loads: Vec<LoadReport>,
     /// Tokens that it fetches from stores, by their numbers.
     pub fetches: Vec<(u32, u32)>,
     /// Limits of admission that it has found, in thousandths, by the numbers of
     /// services.
     pub limits: Vec<(u32, u16)>,
     /// Engines that load weights, by their numbers, and for how long still.
-    pub loading: Vec<(u32, u16)>,
+    pub loading_engines: Vec<(u32, u16)>,
     /// Upstreams whose address another incarnation has, by their numbers.
     pub superseded: Vec<u32>,
     /// Upstreams that say that they leave, by their numbers.
@@ -50,12 +50,12 @@
     /// The upstreams' clock as the message left, once the box was told.
     pub upstream_clock_ms: Option<u64>,
     /// Weight versions that engines have reached: engine, model, version.
-    pub versions: Vec<(u32, u32, u64)>,
+    pub engine_versions: Vec<(u32, u32, u64)>,
     /// Weight versions that were named lately.
-    pub named: Vec<ToldNaming>,
+    pub named_versions: Vec<NamedVersionReport>,
     /// Revisions of the metadata store before which all leaders are over, each with the
     /// time since that is known, in milliseconds.
-    pub terms: Vec<(u64, u32)>,
+    pub leader_terms: Vec<(u64, u32)>,
     /// Upstreams that crashed, with the requests that they had.
     pub crashes: Vec<ToldCrash>,
     /// Requests that were answered though upstreams had crashed under them.
@@ -66,14 +66,14 @@
     /// What boxes of other halls hear in turn: who the box is and what it knows, and not what
     /// it does, which bridges tell of whole halls.
     #[must_use]
-    pub fn brief(&self) -> Self {
+    pub fn abridged(&self) -> Self {
         Self {
             incarnation: self.incarnation,
             hall: self.hall,
             millicores: self.millicores,
             view_digest: self.view_digest,
             site_version: self.site_version,
-            store_link: self.store_link,
+            metadata_store: self.metadata_store,
             follows_caches: self.follows_caches,
             limits: self.limits.clone(),
             crashes: self.crashes.clone(),
@@ -83,7 +83,7 @@
     }
 
     /// Puts newer loads in the place of those that were told before.
-    pub fn change_loads(&mut self, changed: &[ToldLoad]) {
+    pub fn change_loads(&mut self, changed: &[LoadReport]) {
         for told in changed {
             match self.loads.iter_mut().find(|known| known.upstream == told.upstream) {
                 Some(known) => *known = *told,
@@ -99,7 +99,7 @@
     /// Start of the process that tells.
     pub incarnation: u64,
     /// The loads as they are now.
-    pub loads: Vec<ToldLoad>,
+    pub loads: Vec<LoadReport>,
     /// Upstreams whose address another incarnation has, by their numbers.
     pub superseded: Vec<u32>,
     /// Upstreams that the box leaves alone, as in its gossip.
@@ -108,7 +108,7 @@
 
 /// What a box has to do with one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldLoad {
+pub struct LoadReport {
     /// Number of the upstream.
     pub upstream: u32,
     /// The load that it puts on it.
@@ -119,7 +119,7 @@
 
 /// A weight version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldNaming {
+pub struct NamedVersionReport {
     /// Number of the model.
     pub model: u32,
     /// The version.
@@ -132,19 +132,22 @@
 
 /// How the metadata store answers a box.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreLink {
+pub enum MetadataStoreStatus {
     /// The box does not ask.
     #[default]
-    Unasked,
+    NotUsed,
     /// It answers.
-    Answers,
+    Available,
     /// It does not answer as it should.
-    Fails,
+    Failing,
 }
 
 /// Those of `now` that differ from what was told last, also where no load is left.
 #[must_use]
-pub fn changed_loads(last: &[ToldLoad], now: impl Iterator<Item = ToldLoad>) -> Vec<ToldLoad> {
+pub fn changed_loads(
+    last: &[LoadReport],
+    now: impl Iterator<Item = LoadReport>,
+) -> Vec<LoadReport> {
     let last: HashMap<u32, Load> = last.iter().map(|told| (told.upstream, told.load)).collect();
     let changed =
         now.filter(|one| last.get(&one.upstream).copied().unwrap_or_default() != one.load);
@@ -154,9 +157,10 @@
 /// The loads that fit one message, the largest first. An upstream without any is told of if
 /// it was heard lately, which shows others that it is not silent.
 #[must_use]
-pub fn told_loads(loads: impl Iterator<Item = ToldLoad>) -> Vec<ToldLoad> {
-    let is_told = |one: &ToldLoad| one.load.requests > 0 || u64::from(one.heard_age_ms) < SILENT_MS;
-    let mut told: Vec<ToldLoad> = loads.filter(is_told).collect();
+pub fn reported_loads(loads: impl Iterator<Item = LoadReport>) -> Vec<LoadReport> {
+    let is_told =
+        |one: &LoadReport| one.load.requests > 0 || u64::from(one.heard_age_ms) < SILENT_MS;
+    let mut told: Vec<LoadReport> = loads.filter(is_told).collect();
     told.sort_by_key(|one| std::cmp::Reverse(one.load.requests));
     told.truncate(NAMED_LOADS);
     told
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -7,7 +7,7 @@
 //! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
 //! - Which weights engines get, and when old context may go: `rollout`, `weights`, `orders`,
 //!   `claims`, `release`.
-//! - What is known, from whom: `view`, `peers`, `site`, `gossip_message`, `hall_news`.
+//! - What is known, from whom: `view`, `peers`, `site`, `gossip_message`, `hall_summary`.
 //! - Units that all share: `units`.
 
 pub mod admission;
@@ -18,7 +18,7 @@
 pub mod context;
 pub mod demand;
 pub mod gossip_message;
-pub mod hall_news;
+pub mod hall_summary;
 pub mod incarnation;
 pub mod kept;
 pub mod look;
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -6,8 +6,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::gateway::decisions::gossip_message::ToldLoad;
-use crate::gateway::decisions::hall_news::{HallNews, OtherHalls};
+use crate::gateway::decisions::gossip_message::LoadReport;
+use crate::gateway::decisions::hall_summary::{HallSummary, OtherHallsSummary};
 use crate::gateway::decisions::peers::{ALIVE_MS, Peers};
 use crate::gateway::decisions::upstream::Load;
 
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Halls {
     /// The last news of each other hall, with when it came; bridges alone hear it.
-    by_hall: BTreeMap<u32, (u64, HallNews)>,
+    by_hall: BTreeMap<u32, (u64, HallSummary)>,
     /// All other halls together.
     loads: HashMap<u32, Load>,
     fetch_tokens: HashMap<u32, u64>,
@@ -70,7 +70,7 @@
 
 impl Peers {
     /// Takes what the bridge of another hall tells of it.
-    pub fn hear_hall(&mut self, now_ms: u64, news: HallNews) {
+    pub fn hear_hall(&mut self, now_ms: u64, news: HallSummary) {
         if news.hall == self.own.hall {
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes what a bridge of the own hall tells of all others.
-    pub fn hear_other_halls(&mut self, now_ms: u64, news: &OtherHalls) {
+    pub fn hear_other_halls(&mut self, now_ms: u64, news: &OtherHallsSummary) {
         if !self.halls.by_hall.is_empty() {
             // This box hears the halls themselves.
             return;
@@ -102,9 +102,9 @@
     pub fn hall_news(
         &self,
         now_ms: u64,
-        own_loads: impl Iterator<Item = ToldLoad>,
+        own_loads: impl Iterator<Item = LoadReport>,
         own_fetches: &[(u32, u32)],
-    ) -> HallNews {
+    ) -> HallSummary {
         let mut loads = self.sums.loads().clone();
         for told in own_loads {
             loads.entry(told.upstream).or_default().add(told.load);
@@ -117,7 +117,7 @@
         let revisions = alive
             .map(|(address, peer)| (*address, peer.gossip.view_digest.last_change_revision))
             .collect();
-        HallNews {
+        HallSummary {
             hall: self.own.hall,
             loads: self.told(now_ms, &loads),
             fetches: told_fetches(&fetches),
@@ -127,19 +127,19 @@
 
     /// What this box tells its own hall of all others.
     #[must_use]
-    pub fn other_halls(&self, now_ms: u64) -> OtherHalls {
-        OtherHalls {
+    pub fn other_halls(&self, now_ms: u64) -> OtherHallsSummary {
+        OtherHallsSummary {
             loads: self.told(now_ms, &self.halls.loads),
             fetches: told_fetches(&self.halls.fetch_tokens),
         }
     }
 
-    fn told(&self, now_ms: u64, loads: &HashMap<u32, Load>) -> Vec<ToldLoad> {
+    fn told(&self, now_ms: u64, loads: &HashMap<u32, Load>) -> Vec<LoadReport> {
         let used = loads.iter().filter(|(_, load)| load.requests > 0);
         let told = used.map(|(upstream, load)| {
             let age_ms = now_ms.saturating_sub(self.heard_at_ms(*upstream));
             let heard_age_ms = u16::try_from(age_ms).unwrap_or(u16::MAX);
-            ToldLoad { upstream: *upstream, load: *load, heard_age_ms }
+            LoadReport { upstream: *upstream, load: *load, heard_age_ms }
         });
         told.collect()
     }
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
 
-use crate::gateway::decisions::gossip_message::{Gossip, LoadChanges, StoreLink};
+use crate::gateway::decisions::gossip_message::{Gossip, LoadChanges, MetadataStoreStatus};
 use crate::gateway::decisions::peers::halls::Halls;
 use crate::gateway::decisions::peers::sums::Sums;
 pub use crate::gateway::decisions::peers::targets::{Audience, Reach, Targets};
@@ -215,15 +215,20 @@
     /// not follow the store itself believes its publisher at once, and keeps to
     /// it when two followers differ: removals in doubt end at different times.
     #[must_use]
-    pub fn ahead(&self, now_ms: u64, own: ViewDigest, link: StoreLink) -> Option<SocketAddr> {
-        let publisher = self.publisher(now_ms).filter(|_| link == StoreLink::Unasked);
+    pub fn ahead(
+        &self,
+        now_ms: u64,
+        own: ViewDigest,
+        link: MetadataStoreStatus,
+    ) -> Option<SocketAddr> {
+        let publisher = self.publisher(now_ms).filter(|_| link == MetadataStoreStatus::NotUsed);
         let ahead = self.alive(now_ms).filter(|(address, peer)| {
             let view_digest = peer.gossip.view_digest;
             let believed = publisher.is_some_and(|publisher| publisher.ip() == **address);
             if believed && view_digest.last_change_revision == own.last_change_revision {
                 return view_digest.checksum != own.checksum;
             }
-            let at_once = believed || link == StoreLink::Fails;
+            let at_once = believed || link == MetadataStoreStatus::Failing;
             let least_ms = if at_once { 0 } else { BEHIND_MS };
             let since_ms = peer.ahead_since_ms.filter(|_| is_ahead(view_digest, own));
             since_ms.is_some_and(|since_ms| now_ms >= since_ms + least_ms)
@@ -274,7 +279,7 @@
     pub fn next_helpers(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         let mut able: Vec<IpAddr> = self
             .alive(now_ms)
-            .filter(|(_, peer)| peer.gossip.store_link == StoreLink::Answers)
+            .filter(|(_, peer)| peer.gossip.metadata_store == MetadataStoreStatus::Available)
             .map(|(address, _)| *address)
             .collect();
         if !able.is_empty() {
--- a/src/gateway/decisions/peers/roles.rs
+++ b/src/gateway/decisions/peers/roles.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use crate::gateway::decisions::gossip_message::{Gossip, StoreLink};
+use crate::gateway::decisions::gossip_message::{Gossip, MetadataStoreStatus};
 use crate::gateway::decisions::peers::{Peer, Peers, SMALL_FLEET};
 
 /// Boxes of a hall that follow the metadata store in a larger fleet; the others learn from
@@ -27,11 +27,13 @@
         if self.is_small_fleet() {
             return true;
         }
-        let stronger =
-            self.stronger(now_ms).filter(|(_, peer)| peer.gossip.store_link != StoreLink::Fails);
+        let stronger = self
+            .stronger(now_ms)
+            .filter(|(_, peer)| peer.gossip.metadata_store != MetadataStoreStatus::Failing);
         // Those that are to follow may not have begun to.
         let following = self.alive(now_ms).filter(|(_, peer)| {
-            peer.gossip.hall == self.own.hall && peer.gossip.store_link == StoreLink::Answers
+            peer.gossip.hall == self.own.hall
+                && peer.gossip.metadata_store == MetadataStoreStatus::Available
         });
         stronger.count() < FOLLOWERS || following.count() == 0
     }
@@ -59,7 +61,7 @@
     /// what is gone. Newer changes are fetched from any peer.
     #[must_use]
     pub fn publisher(&self, now_ms: u64) -> Option<SocketAddr> {
-        let answers = |gossip: &Gossip| gossip.store_link == StoreLink::Answers;
+        let answers = |gossip: &Gossip| gossip.metadata_store == MetadataStoreStatus::Available;
         self.nearest(self.of_hall(now_ms, answers), |_| true)
     }
 
--- a/src/gateway/decisions/peers/sums.rs
+++ b/src/gateway/decisions/peers/sums.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-use crate::gateway::decisions::gossip_message::{Gossip, ToldLoad};
+use crate::gateway::decisions::gossip_message::{Gossip, LoadReport};
 use crate::gateway::decisions::peers::{FORGET_MS, Peers};
 use crate::gateway::decisions::upstream::Load;
 
@@ -61,7 +61,7 @@
     }
 
     /// Notes when a peer heard upstreams. That stays true, whatever becomes of the peer.
-    pub(super) fn heard(&mut self, now_ms: u64, loads: &[ToldLoad]) {
+    pub(super) fn heard(&mut self, now_ms: u64, loads: &[LoadReport]) {
         for told in loads {
             let at_ms = now_ms.saturating_sub(told.heard_age_ms.into());
             let last_ms = self.heard_at_ms.entry(told.upstream).or_default();
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -13,9 +13,9 @@
 use crate::clock::now_ms;
 use crate::gateway::claims::pause_ms;
 use crate::gateway::decisions::gossip_message::{
-    Gossip, LoadChanges, ToldLoad, ToldNaming, changed_loads, told_loads,
+    Gossip, LoadChanges, LoadReport, NamedVersionReport, changed_loads, reported_loads,
 };
-use crate::gateway::decisions::hall_news::{HallNews, OtherHalls};
+use crate::gateway::decisions::hall_summary::{HallSummary, OtherHallsSummary};
 use crate::gateway::decisions::notice::NoticeState;
 use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, Reach};
 use crate::gateway::decisions::weights::NamedVersion;
@@ -44,9 +44,9 @@
     /// What has changed since the sender's gossip; for the own hall, many times a second.
     LoadChanges(LoadChanges),
     /// What the sender's hall does and knows.
-    HallNews(HallNews),
+    HallSummary(HallSummary),
     /// What all halls but the sender's do.
-    OtherHalls(OtherHalls),
+    OtherHallsSummary(OtherHallsSummary),
     /// The sender leads, and the metadata store does not answer it.
     HelpRequest(HelpRequest),
     /// The answer to that.
@@ -88,7 +88,7 @@
     gateway: &Gateway,
     incarnation: u64,
     audience: Audience,
-    told: &mut Vec<ToldLoad>,
+    told: &mut Vec<LoadReport>,
 ) -> Vec<(Datagram, Vec<SocketAddr>)> {
     let mut state = gateway.state();
     let now_ms = now_ms();
@@ -103,13 +103,13 @@
     if !targets.bridges.is_empty() {
         let fetches = fetches(&state);
         let news = state.peers.hall_news(now_ms, own_loads(&state, now_ms), &fetches);
-        composed.push((Datagram::HallNews(news), targets.bridges));
+        composed.push((Datagram::HallSummary(news), targets.bridges));
         let others = state.peers.other_halls(now_ms);
-        composed.push((Datagram::OtherHalls(others), targets.own_hall));
+        composed.push((Datagram::OtherHallsSummary(others), targets.own_hall));
     }
     let gossip = compose_gossip(gateway, &mut state, now_ms, incarnation);
     told.clone_from(&gossip.loads);
-    let brief = Datagram::Gossip(Box::new(gossip.brief()));
+    let brief = Datagram::Gossip(Box::new(gossip.abridged()));
     composed.push((Datagram::Gossip(Box::new(gossip)), targets.whole));
     composed.push((brief, targets.brief));
     composed
@@ -126,7 +126,7 @@
     state: &State,
     now_ms: u64,
     incarnation: u64,
-    told: &mut Vec<ToldLoad>,
+    told: &mut Vec<LoadReport>,
 ) -> LoadChanges {
     let loads = changed_loads(told, own_loads(state, now_ms));
     told.retain(|known| loads.iter().all(|one| one.upstream != known.upstream));
@@ -136,8 +136,8 @@
 }
 
 /// What this box has to do with each upstream.
-fn own_loads(state: &State, now_ms: u64) -> impl Iterator<Item = ToldLoad> {
-    state.upstreams.iter().map(move |one| ToldLoad {
+fn own_loads(state: &State, now_ms: u64) -> impl Iterator<Item = LoadReport> {
+    state.upstreams.iter().map(move |one| LoadReport {
         upstream: one.number,
         load: one.own,
         heard_age_ms: one.heard_age_ms(now_ms),
@@ -162,22 +162,22 @@
         millicores: state.peers.own().millicores,
         view_digest: state.view.digest(),
         site_version: state.site.as_ref().map_or(0, |site| site.version),
-        store_link: state.store_link(),
+        metadata_store: state.metadata_store_status(),
         follows_caches: state.follows_caches,
         peers: state.peers.named(now_ms),
-        loads: told_loads(own_loads(state, now_ms)),
+        loads: reported_loads(own_loads(state, now_ms)),
         fetches: fetches(state),
         limits: state.limits.found(),
-        loading: loading(state, now_ms),
+        loading_engines: loading(state, now_ms),
         superseded: superseded(state),
         leaving: leaving(state),
         resting: resting(state, now_ms),
         upstream_clock_ms: state
             .upstream_clock_ahead_ms
             .and_then(|ahead_ms| now_ms.checked_add_signed(ahead_ms)),
-        versions: versions(state, now_ms),
-        named: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
-        terms: terms(state, now_ms, pause_ms(&gateway.settings.bounds)),
+        engine_versions: versions(state, now_ms),
+        named_versions: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
+        leader_terms: terms(state, now_ms, pause_ms(&gateway.settings.bounds)),
         crashes: state.quarantine.told_crashes(now_ms),
         answers: state.quarantine.told_answers(now_ms),
     }
@@ -229,11 +229,11 @@
 
 /// The versions of weights that were named while an engine with older ones may still be in
 /// time, and as long again: all others are long overdue.
-fn named(state: &State, now_ms: u64, apply_ms: u64) -> Vec<ToldNaming> {
+fn named(state: &State, now_ms: u64, apply_ms: u64) -> Vec<NamedVersionReport> {
     let since_ms = now_ms.saturating_sub(2 * apply_ms);
     let models = state.weights.iter().flat_map(|(model, named)| {
         let model = number(model);
-        named.named_after(since_ms).map(move |naming| ToldNaming {
+        named.named_after(since_ms).map(move |naming| NamedVersionReport {
             model,
             version: naming.version,
             previous: naming.previous,
@@ -267,8 +267,8 @@
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Gossip(gossip)) => hear(&gateway, from.ip(), *gossip),
             Ok(Datagram::LoadChanges(changes)) => hear_loads(&gateway, from.ip(), &changes),
-            Ok(Datagram::HallNews(news)) => gateway.state().peers.hear_hall(now_ms(), news),
-            Ok(Datagram::OtherHalls(news)) => {
+            Ok(Datagram::HallSummary(news)) => gateway.state().peers.hear_hall(now_ms(), news),
+            Ok(Datagram::OtherHallsSummary(news)) => {
                 gateway.state().peers.hear_other_halls(now_ms(), &news);
             }
             Ok(Datagram::HelpRequest(request)) => {
@@ -294,7 +294,7 @@
         gateway.gossip_now.notify_one();
     }
     take_namings(&mut state, now_ms, &gossip);
-    for (revision, age_ms) in &gossip.terms {
+    for (revision, age_ms) in &gossip.leader_terms {
         state.terms.merge(*revision, now_ms.saturating_sub(u64::from(*age_ms)));
     }
     supersede(&mut state, &gossip.superseded);
@@ -304,7 +304,7 @@
     if let Some(clock_ms) = gossip.upstream_clock_ms {
         state.take_upstream_clock(now_ms, clock_ms);
     }
-    if !gossip.versions.is_empty() {
+    if !gossip.engine_versions.is_empty() {
         // Requests may wait for an engine that has its new weights now.
         gateway.places.notify_waiters();
     }
@@ -368,12 +368,12 @@
 /// Takes what the leader tells of engines' weights; whether some of it is new.
 fn take_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
     let mut is_new = false;
-    for (engine, left_ms) in &gossip.loading {
+    for (engine, left_ms) in &gossip.loading_engines {
         let Some(engine) = state.upstreams.numbered_mut(*engine) else { continue };
         is_new |= !engine.is_loading(now_ms);
         engine.loads_until(now_ms + u64::from(*left_ms));
     }
-    for (number, model, version) in &gossip.versions {
+    for (number, model, version) in &gossip.engine_versions {
         if let Some(engine) = state.upstreams.numbered_mut(*number)
             && let Some(name) = engine.model_of(*model)
             && *version > engine.version(&name)
@@ -396,7 +396,7 @@
 
 /// Takes since when versions of weights are named.
 fn take_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
-    for told in &gossip.named {
+    for told in &gossip.named_versions {
         let mut known = state.weights.iter_mut();
         if let Some((_, named)) = known.find(|(model, _)| number(model) == told.model) {
             let at_ms = now_ms.saturating_sub(u64::from(told.age_ms));
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -13,7 +13,7 @@
 use crate::gateway::decisions::admission::Limits;
 use crate::gateway::decisions::budget::{self, Budget};
 use crate::gateway::decisions::claims::LeaderTerms;
-use crate::gateway::decisions::gossip_message::StoreLink;
+use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
 use crate::gateway::decisions::peers::{Own, Peers};
 use crate::gateway::decisions::site::Site;
 use crate::gateway::decisions::stores::Stores;
@@ -156,11 +156,11 @@
 
     /// How the metadata store answers this box.
     #[must_use]
-    pub fn store_link(&self) -> StoreLink {
+    pub fn metadata_store_status(&self) -> MetadataStoreStatus {
         match (self.follows_store, self.view.is_store_available()) {
-            (false, _) => StoreLink::Unasked,
-            (true, true) => StoreLink::Answers,
-            (true, false) => StoreLink::Fails,
+            (false, _) => MetadataStoreStatus::NotUsed,
+            (true, true) => MetadataStoreStatus::Available,
+            (true, false) => MetadataStoreStatus::Failing,
         }
     }
 }
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -17,7 +17,7 @@
 use crate::clock::now_ms;
 use crate::error::Result;
 use crate::gateway::claims;
-use crate::gateway::decisions::gossip_message::StoreLink;
+use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
 use crate::gateway::helpers::{self, CallOutcome, LeaderCall};
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::metadata::{Lease, Outcome};
@@ -97,7 +97,7 @@
     state.settled_at_ms.is_some()
         && !*gateway.resigned.borrow()
         && !is_way_cut(&state)
-        && state.store_link() == StoreLink::Answers
+        && state.metadata_store_status() == MetadataStoreStatus::Available
         && state.site.is_some()
         && !state.view.contains_key(&keys::lease(NAME))
 }
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -3,7 +3,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use coursestile::gateway::decisions::gossip_message::{Gossip, ToldLoad};
+use coursestile::gateway::decisions::gossip_message::{Gossip, LoadReport};
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach, Targets};
 use coursestile::gateway::decisions::upstream::Load;
 use coursestile::gateway::decisions::view::ViewDigest;
@@ -19,9 +19,9 @@
     IpAddr::from([10, u8::try_from(hall).unwrap(), 0, host])
 }
 
-fn told(requests: u32) -> ToldLoad {
+fn told(requests: u32) -> LoadReport {
     let load = Load { requests, unread_tokens: requests * 100, memory_tokens: requests * 10 };
-    ToldLoad { upstream: UPSTREAM, load, heard_age_ms: 0 }
+    LoadReport { upstream: UPSTREAM, load, heard_age_ms: 0 }
 }
 
 fn gossip(hall: u32, host: u8, requests: u32) -> Gossip {
@@ -46,7 +46,7 @@
     for other_hall in 0..HALLS {
         for other in 1..=BOXES {
             let heard = gossip(other_hall, other, requests);
-            let heard = if other_hall == hall { heard } else { heard.brief() };
+            let heard = if other_hall == hall { heard } else { heard.abridged() };
             if (other_hall, other) != (hall, host) {
                 peers.hear(0, address(other_hall, other), heard, ViewDigest::default());
             }
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use coursestile::gateway::decisions::gossip_message::{Gossip, StoreLink};
+use coursestile::gateway::decisions::gossip_message::{Gossip, MetadataStoreStatus};
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
 use coursestile::gateway::decisions::view::{MetadataView, VersionedValue, ViewDigest};
 use proptest::prelude::*;
@@ -31,10 +31,17 @@
 }
 
 /// Has `count` peers of a hall heard at `now_ms`.
-fn hear(peers: &mut Peers, now_ms: u64, hall: u32, count: u8, millicores: u32, link: StoreLink) {
+fn hear(
+    peers: &mut Peers,
+    now_ms: u64,
+    hall: u32,
+    count: u8,
+    millicores: u32,
+    link: MetadataStoreStatus,
+) {
     for host in 1..=count {
         let gossip =
-            Gossip { incarnation: 1, hall, millicores, store_link: link, ..Gossip::default() };
+            Gossip { incarnation: 1, hall, millicores, metadata_store: link, ..Gossip::default() };
         peers.hear(now_ms, address(hall, host), gossip, ViewDigest::default());
     }
 }
@@ -55,17 +62,17 @@
     let news = Gossip { incarnation: 1, view_digest, ..Gossip::default() };
     peers.hear(1000, other, news, known);
     assert_eq!(peers.boxes(1000), 2);
-    let asked = StoreLink::Answers;
+    let asked = MetadataStoreStatus::Available;
     assert_eq!(peers.ahead(1100, known, asked), None, "the store's own news may be on its way");
     assert_eq!(peers.ahead(1400, known, asked), Some(SocketAddr::new(other, 7000)));
-    assert_eq!(peers.ahead(9000, known, StoreLink::Fails), None, "it is silent");
+    assert_eq!(peers.ahead(9000, known, MetadataStoreStatus::Failing), None, "it is silent");
 }
 
 #[test]
 fn hall_told() {
     let mut peers = Peers::new(own(), &[]);
-    hear(&mut peers, 0, HALL, 20, 120, StoreLink::Unasked);
-    hear(&mut peers, 0, OTHER_HALL, 20, 120, StoreLink::Unasked);
+    hear(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::NotUsed);
+    hear(&mut peers, 0, OTHER_HALL, 20, 120, MetadataStoreStatus::NotUsed);
     let mut told = std::collections::BTreeSet::new();
     for _ in 0..5 {
         let targets = addresses_told(&mut peers, 0, Audience::All);
@@ -94,7 +101,7 @@
 fn fleet_unknown() {
     let mut peers = Peers::new(own(), &[address(HALL, 1)]);
     assert!(!peers.is_fleet_known(60_000), "the seed has said nothing");
-    hear(&mut peers, 60_000, HALL, 1, 120, StoreLink::Answers);
+    hear(&mut peers, 60_000, HALL, 1, 120, MetadataStoreStatus::Available);
     assert!(!peers.is_fleet_known(60_100), "those that it names may follow");
     assert!(peers.is_fleet_known(60_200));
     assert!(Peers::new(own(), &[]).is_fleet_known(0), "it is alone");
@@ -108,12 +115,12 @@
 fn few_followers() {
     let mut peers = Peers::new(own(), &[]);
     assert!(peers.is_follower(0), "nobody else is known");
-    hear(&mut peers, 0, HALL, 20, 120, StoreLink::Unasked);
+    hear(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::NotUsed);
     assert!(peers.is_follower(0), "the others have not begun to");
-    hear(&mut peers, 0, HALL, 2, 500, StoreLink::Answers);
+    hear(&mut peers, 0, HALL, 2, 500, MetadataStoreStatus::Available);
     assert!(!peers.is_follower(0));
-    hear(&mut peers, 0, HALL, 1, 500, StoreLink::Fails);
-    hear(&mut peers, 0, OTHER_HALL, 9, 500, StoreLink::Answers);
+    hear(&mut peers, 0, HALL, 1, 500, MetadataStoreStatus::Failing);
+    hear(&mut peers, 0, OTHER_HALL, 9, 500, MetadataStoreStatus::Available);
     assert!(!peers.is_follower(0), "a weaker one goes before by its address");
     assert!(peers.is_follower(9000), "all are silent");
 }
@@ -121,9 +128,9 @@
 #[test]
 fn caches_without_store() {
     let mut peers = Peers::new(own(), &[]);
-    hear(&mut peers, 0, HALL, 20, 120, StoreLink::Fails);
+    hear(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::Failing);
     assert!(peers.is_follower(0), "somebody must find out when the store is back");
-    hear(&mut peers, 0, HALL, 2, 500, StoreLink::Fails);
+    hear(&mut peers, 0, HALL, 2, 500, MetadataStoreStatus::Failing);
     assert!(!peers.is_cache_follower(0), "the two strongest still follow the stores of context");
     assert_eq!(peers.cache_publisher(0), None, "nobody has said so");
     let follows_caches = true;
@@ -188,12 +195,17 @@
 #[test]
 fn one_believed() {
     let mut peers = Peers::new(own(), &[]);
-    hear(&mut peers, 0, HALL, 20, 120, StoreLink::Unasked);
+    hear(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::NotUsed);
     let known = ViewDigest { last_change_revision: 5, checksum: 1 };
     let mut tell = |host: u8, view_digest: ViewDigest| {
-        let store_link = StoreLink::Answers;
-        let gossip =
-            Gossip { incarnation: 1, hall: HALL, store_link, view_digest, ..Gossip::default() };
+        let store_link = MetadataStoreStatus::Available;
+        let gossip = Gossip {
+            incarnation: 1,
+            hall: HALL,
+            metadata_store: store_link,
+            view_digest,
+            ..Gossip::default()
+        };
         peers.hear(1000, address(HALL, host), gossip, known);
     };
     tell(1, known);
@@ -202,11 +214,15 @@
     let other = if publisher == address(HALL, 1) { 2 } else { 1 };
     let differs = ViewDigest { checksum: 2, ..known };
     let gossip = Gossip { incarnation: 1, hall: HALL, view_digest: differs, ..Gossip::default() };
-    let answers = Gossip { store_link: StoreLink::Answers, ..gossip };
+    let answers = Gossip { metadata_store: MetadataStoreStatus::Available, ..gossip };
     peers.hear(1000, address(HALL, other), answers.clone(), known);
-    assert_eq!(peers.ahead(2000, known, StoreLink::Unasked), None, "the publisher does not");
+    assert_eq!(
+        peers.ahead(2000, known, MetadataStoreStatus::NotUsed),
+        None,
+        "the publisher does not"
+    );
     peers.hear(1000, publisher, answers, known);
-    let found = peers.ahead(1000, known, StoreLink::Unasked).map(|found| found.ip());
+    let found = peers.ahead(1000, known, MetadataStoreStatus::NotUsed).map(|found| found.ip());
     assert_eq!(found, Some(publisher));
 }
 
@@ -214,7 +230,7 @@
 #[test]
 fn other_halls_in_time() {
     let mut peers = Peers::new(own(), &[]);
-    hear(&mut peers, 0, OTHER_HALL, 1, 120, StoreLink::Unasked);
+    hear(&mut peers, 0, OTHER_HALL, 1, 120, MetadataStoreStatus::NotUsed);
     addresses_told(&mut peers, 0, Audience::All);
     let all =
         (1..=20).map(|turn| (turn * 90, addresses_told(&mut peers, turn * 90, Audience::OwnHall)));
@@ -235,7 +251,9 @@
     tell(HALL);
     tell(OTHER_HALL);
     let asked = |peers: &Peers, now_ms: u64| {
-        peers.ahead(now_ms, ViewDigest::default(), StoreLink::Fails).map(|found| found.ip())
+        peers
+            .ahead(now_ms, ViewDigest::default(), MetadataStoreStatus::Failing)
+            .map(|found| found.ip())
     };
     assert_eq!(asked(&peers, 1000), Some(address(HALL, 1)));
     peers.unanswered(1000, address(HALL, 1));
@@ -252,8 +270,9 @@
 fn publisher_kept() {
     let mut peers = Peers::new(own(), &[]);
     for number in 1..4 {
-        let store_link = StoreLink::Answers;
-        let gossip = Gossip { incarnation: 1, hall: HALL, store_link, ..Gossip::default() };
+        let store_link = MetadataStoreStatus::Available;
+        let gossip =
+            Gossip { incarnation: 1, hall: HALL, metadata_store: store_link, ..Gossip::default() };
         peers.hear(1000, address(HALL, number), gossip, ViewDigest::default());
     }
     let publisher = peers.publisher(1000).expect("some follow");
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use coursestile::gateway::decisions::gossip_message::{
-    Gossip, LoadChanges, ToldLoad, changed_loads,
+    Gossip, LoadChanges, LoadReport, changed_loads,
 };
 use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
 use coursestile::gateway::decisions::upstream::Load;
@@ -26,12 +26,12 @@
     IpAddr::from([10, 0, 1, host])
 }
 
-fn told(upstream: u32, requests: u32) -> ToldLoad {
+fn told(upstream: u32, requests: u32) -> LoadReport {
     let load = Load { requests, unread_tokens: requests * 100, memory_tokens: requests * 10 };
-    ToldLoad { upstream, load, heard_age_ms: 0 }
+    LoadReport { upstream, load, heard_age_ms: 0 }
 }
 
-fn gossip(loads: Vec<ToldLoad>, fetch_tokens: u32) -> Gossip {
+fn gossip(loads: Vec<LoadReport>, fetch_tokens: u32) -> Gossip {
     let fetches = vec![(STORE, fetch_tokens)];
     Gossip { incarnation: 1, hall: HALL, loads, fetches, ..Gossip::default() }
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -146,7 +146,7 @@
     let crashes = after(&[1]).told_crashes(NOW_MS + 10);
     assert_eq!(crashes.len(), 1);
     let gossip = Gossip { crashes: crashes.clone(), ..Gossip::default() };
-    assert_eq!(gossip.brief().crashes, crashes);
+    assert_eq!(gossip.abridged().crashes, crashes);
 }
 
 /// Caller, target and body tell requests apart, and nothing else.
