--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -13,7 +13,7 @@
 use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, LoadReport};
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::look::Look;
-use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
+use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placing, Stores};
@@ -50,16 +50,21 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for boxes in FLEETS {
         let (mut peers, told) = known_peers(boxes);
-        let targets = peers.next_targets(1, Audience::OwnHall, Reach::OwnHall).whole.len();
+        let targets = peers.next_targets(1, Audience::OwnHall, GossipScope::OwnHall).full.len();
         let gossip_bytes = encoded_bytes(&gossip(boxes, 1));
         let change_bytes = encoded_bytes(&changes(boxes, 1, 1));
         let hear_us = mean_us(|round| {
             let peer = 1 + round % (boxes - 1);
-            peers.hear(2, address(peer), gossip(boxes, peer + round), ViewDigest::default());
+            peers.receive_gossip(
+                2,
+                address(peer),
+                gossip(boxes, peer + round),
+                ViewDigest::default(),
+            );
         });
         let change_us = mean_us(|round| {
             let peer = 1 + round % (boxes - 1);
-            peers.hear_loads(2, address(peer), &changes(boxes, peer, round));
+            peers.receive_load_changes(2, address(peer), &changes(boxes, peer, round));
         });
         black_box(told);
         println!(
@@ -109,13 +114,17 @@
 
 /// The peers of a box that has heard all others.
 fn known_peers(boxes: u32) -> (Peers, usize) {
-    let own =
-        Own { number: 0, address: SocketAddr::new(address(0), 7000), hall: 0, millicores: 120 };
+    let own = LocalBox {
+        number: 0,
+        address: SocketAddr::new(address(0), 7000),
+        hall: 0,
+        millicores: 120,
+    };
     let mut peers = Peers::new(own, &[]);
     for peer in 1..boxes {
-        peers.hear(0, address(peer), gossip(boxes, peer), ViewDigest::default());
+        peers.receive_gossip(0, address(peer), gossip(boxes, peer), ViewDigest::default());
     }
-    let told = peers.next_targets(0, Audience::All, Reach::OwnHall).whole.len();
+    let told = peers.next_targets(0, Audience::All, GossipScope::OwnHall).full.len();
     (peers, told)
 }
 
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -54,7 +54,7 @@
         let (peer, own) = {
             let state = gateway.state();
             let own = state.view.digest();
-            (state.peers.ahead(now_ms(), own, state.metadata_store_status()), own)
+            (state.peers.catch_up_source(now_ms(), own, state.metadata_store_status()), own)
         };
         let Some(peer) = peer else { continue };
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
@@ -64,7 +64,7 @@
             }
             Err(error) => {
                 info!(target: "gossip", "event=catch_up_failed cause=\"{error}\"");
-                gateway.state().peers.unanswered(now_ms(), peer.ip());
+                gateway.state().peers.note_unanswered(now_ms(), peer.ip());
             }
         }
         sleep(CATCH_UP_PAUSE).await;
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -70,7 +70,7 @@
 
 impl Peers {
     /// Takes what the bridge of another hall tells of it.
-    pub fn hear_hall(&mut self, now_ms: u64, news: HallSummary) {
+    pub fn receive_hall_summary(&mut self, now_ms: u64, news: HallSummary) {
         if news.hall == self.own.hall {
             return;
         }
@@ -85,7 +85,7 @@
     }
 
     /// Takes what a bridge of the own hall tells of all others.
-    pub fn hear_other_halls(&mut self, now_ms: u64, news: &OtherHallsSummary) {
+    pub fn receive_other_halls(&mut self, now_ms: u64, news: &OtherHallsSummary) {
         if !self.halls.by_hall.is_empty() {
             // This box hears the halls themselves.
             return;
@@ -99,7 +99,7 @@
     /// What this box tells other halls of its own, with the loads and fetches that are its
     /// own.
     #[must_use]
-    pub fn hall_news(
+    pub fn hall_summary(
         &self,
         now_ms: u64,
         own_loads: impl Iterator<Item = LoadReport>,
@@ -127,7 +127,7 @@
 
     /// What this box tells its own hall of all others.
     #[must_use]
-    pub fn other_halls(&self, now_ms: u64) -> OtherHallsSummary {
+    pub fn other_halls_summary(&self, now_ms: u64) -> OtherHallsSummary {
         OtherHallsSummary {
             loads: self.told(now_ms, &self.halls.loads),
             fetches: told_fetches(&self.halls.fetch_tokens),
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -16,7 +16,7 @@
 use crate::gateway::decisions::gossip_message::{Gossip, LoadChanges, MetadataStoreStatus};
 use crate::gateway::decisions::peers::halls::Halls;
 use crate::gateway::decisions::peers::sums::Sums;
-pub use crate::gateway::decisions::peers::targets::{Audience, Reach, Targets};
+pub use crate::gateway::decisions::peers::targets::{Audience, GossipScope, Targets};
 use crate::gateway::decisions::view::ViewDigest;
 use crate::names::number;
 
@@ -31,7 +31,7 @@
 /// Messages of a peer of another hall that may be lost in a row.
 const LOST_MESSAGES: u64 = 3;
 /// Time after which a peer that says nothing is forgotten.
-pub const FORGET_MS: u64 = 30_000;
+pub const PEER_RETENTION_MS: u64 = 30_000;
 /// Peers named in one message.
 const NAMED_PEERS: usize = 24;
 /// Time for which a peer must have known more before it is asked: the store's
@@ -47,7 +47,7 @@
 
 /// What a box tells of itself in every message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalBox {
     /// Number of the box, from its address.
     pub number: u32,
     /// Where peers reach it.
@@ -90,7 +90,7 @@
 /// The other boxes.
 #[derive(Debug)]
 pub struct Peers {
-    own: Own,
+    own: LocalBox,
     seeds: Vec<IpAddr>,
     known: BTreeMap<IpAddr, Peer>,
     turn: usize,
@@ -111,7 +111,7 @@
 impl Peers {
     /// Knows only the seeds.
     #[must_use]
-    pub fn new(own: Own, seeds: &[IpAddr]) -> Self {
+    pub fn new(own: LocalBox, seeds: &[IpAddr]) -> Self {
         let seeds = seeds.iter().copied().filter(|seed| *seed != own.address.ip()).collect();
         let known = BTreeMap::new();
         Self {
@@ -131,14 +131,20 @@
 
     /// What this box tells of itself.
     #[must_use]
-    pub fn own(&self) -> Own {
+    pub fn local(&self) -> LocalBox {
         self.own
     }
 
     /// Takes gossip; true when a box is known now that was not told of this one.
-    pub fn hear(&mut self, now_ms: u64, from: IpAddr, gossip: Gossip, own: ViewDigest) -> bool {
+    pub fn receive_gossip(
+        &mut self,
+        now_ms: u64,
+        from: IpAddr,
+        gossip: Gossip,
+        own: ViewDigest,
+    ) -> bool {
         for address in &gossip.peers {
-            self.learn(now_ms, *address);
+            self.add_address(now_ms, *address);
         }
         let own_address = self.own.address.ip();
         let is_small = self.is_small_fleet();
@@ -171,7 +177,7 @@
 
     /// Takes the loads that a peer has changed since its last gossip. Those of a box that has
     /// not introduced itself wait for its gossip.
-    pub fn hear_loads(&mut self, now_ms: u64, from: IpAddr, changes: &LoadChanges) {
+    pub fn receive_load_changes(&mut self, now_ms: u64, from: IpAddr, changes: &LoadChanges) {
         let Some(peer) = self.known.get_mut(&from) else { return };
         if changes.incarnation != peer.gossip.incarnation {
             return;
@@ -190,7 +196,7 @@
     }
 
     /// Learns of a box that may be there.
-    pub fn learn(&mut self, now_ms: u64, address: IpAddr) {
+    pub fn add_address(&mut self, now_ms: u64, address: IpAddr) {
         let own_address = self.own.address.ip();
         if address != own_address && !self.known.contains_key(&address) {
             let heard_at_ms = now_ms.saturating_sub(ALIVE_MS);
@@ -202,7 +208,7 @@
 
     /// Whether a peer knows something of the metadata store that this box does not.
     #[must_use]
-    pub fn differs(&self, address: IpAddr, own: ViewDigest) -> bool {
+    pub fn has_different_view(&self, address: IpAddr, own: ViewDigest) -> bool {
         self.known.get(&address).is_some_and(|peer| {
             let view_digest = peer.gossip.view_digest;
             is_ahead(view_digest, own)
@@ -215,7 +221,7 @@
     /// not follow the store itself believes its publisher at once, and keeps to
     /// it when two followers differ: removals in doubt end at different times.
     #[must_use]
-    pub fn ahead(
+    pub fn catch_up_source(
         &self,
         now_ms: u64,
         own: ViewDigest,
@@ -244,7 +250,7 @@
     }
 
     /// Notes that a peer was asked and did not answer: its gossip may still arrive.
-    pub fn unanswered(&mut self, now_ms: u64, address: IpAddr) {
+    pub fn note_unanswered(&mut self, now_ms: u64, address: IpAddr) {
         if let Some(peer) = self.known.get_mut(&address) {
             peer.asked_last_until_ms = now_ms + UNANSWERED_MS;
         }
@@ -259,7 +265,7 @@
 
     /// Number of boxes that serve, this one included.
     #[must_use]
-    pub fn boxes(&self, now_ms: u64) -> usize {
+    pub fn live_boxes(&self, now_ms: u64) -> usize {
         1 + self.alive(now_ms).count()
     }
 
@@ -267,7 +273,7 @@
     fn forget(&mut self, now_ms: u64) {
         let sums = &mut self.sums;
         self.known.retain(|_, peer| {
-            let stays = now_ms < peer.heard_at_ms + FORGET_MS;
+            let stays = now_ms < peer.heard_at_ms + PEER_RETENTION_MS;
             if !stays && peer.counted {
                 sums.subtract(&peer.gossip);
             }
@@ -293,7 +299,7 @@
 
     /// Every box that was heard and not forgotten, this one included.
     #[must_use]
-    pub fn heard(&self) -> BTreeSet<IpAddr> {
+    pub fn heard_boxes(&self) -> BTreeSet<IpAddr> {
         let heard = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
         heard.map(|(address, _)| *address).chain([self.own.address.ip()]).collect()
     }
@@ -306,7 +312,7 @@
 
     /// Whether a box has told that it knows what a revision of the metadata store brought.
     #[must_use]
-    pub fn knows(&self, address: IpAddr, revision: u64) -> bool {
+    pub fn has_reached_revision(&self, address: IpAddr, revision: u64) -> bool {
         let peer = self.known.get(&address).filter(|peer| peer.gossip.incarnation > 0);
         peer.is_some_and(|peer| {
             peer.gossip.view_digest.last_change_revision.max(peer.bridged_revision) >= revision
@@ -315,7 +321,7 @@
 
     /// Some boxes that were heard lately, to be named to others.
     #[must_use]
-    pub fn named(&self, now_ms: u64) -> Vec<IpAddr> {
+    pub fn addresses_to_share(&self, now_ms: u64) -> Vec<IpAddr> {
         let skip = self.turn % self.known.len().max(1);
         self.alive(now_ms)
             .map(|(address, _)| *address)
--- a/src/gateway/decisions/peers/sums.rs
+++ b/src/gateway/decisions/peers/sums.rs
@@ -7,7 +7,7 @@
 use std::net::IpAddr;
 
 use crate::gateway::decisions::gossip_message::{Gossip, LoadReport};
-use crate::gateway::decisions::peers::{FORGET_MS, Peers};
+use crate::gateway::decisions::peers::{PEER_RETENTION_MS, Peers};
 use crate::gateway::decisions::upstream::Load;
 
 /// Sums over the peers that count.
@@ -71,13 +71,13 @@
 
     /// Forgets upstreams that nobody has heard for long.
     fn forget(&mut self, now_ms: u64) {
-        self.heard_at_ms.retain(|_, at_ms| now_ms < *at_ms + FORGET_MS);
+        self.heard_at_ms.retain(|_, at_ms| now_ms < *at_ms + PEER_RETENTION_MS);
     }
 }
 
 impl Peers {
     /// Takes peers out of the sums that say nothing any more.
-    pub fn lapse(&mut self, now_ms: u64) {
+    pub fn expire(&mut self, now_ms: u64) {
         let bounds = self.silence_bounds();
         for peer in self.known.values_mut() {
             if peer.counted && !bounds.is_alive(now_ms, peer) {
@@ -112,7 +112,7 @@
 
     /// Upstreams of whose load a peer told last.
     #[must_use]
-    pub fn upstreams_told_by(&self, address: IpAddr) -> Vec<u32> {
+    pub fn upstreams_reported_by(&self, address: IpAddr) -> Vec<u32> {
         let peer = self.known.get(&address).filter(|peer| peer.counted);
         peer.map_or_else(Vec::new, |peer| {
             peer.gossip.loads.iter().map(|told| told.upstream).collect()
--- a/src/gateway/decisions/peers/targets.rs
+++ b/src/gateway/decisions/peers/targets.rs
@@ -24,20 +24,20 @@
 
 /// How far the word of a box reaches at once in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum GossipScope {
     /// Its own hall.
     OwnHall,
     /// The bridges of all halls too: it is one, or it leads.
-    Bridges,
+    AllBridges,
 }
 
 /// Whom a box tells next.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
     /// Boxes that hear everything.
-    pub whole: Vec<SocketAddr>,
+    pub full: Vec<SocketAddr>,
     /// Boxes of other halls that hear who this box is and what it knows.
-    pub brief: Vec<SocketAddr>,
+    pub abridged: Vec<SocketAddr>,
     /// Bridges of other halls, when news of the own hall as a whole is due.
     pub bridges: Vec<SocketAddr>,
     /// Boxes of the own hall, when news of all other halls is due.
@@ -53,12 +53,12 @@
     }
 
     /// Whom this box tells next.
-    pub fn next_targets(&mut self, now_ms: u64, audience: Audience, reach: Reach) -> Targets {
+    pub fn next_targets(&mut self, now_ms: u64, audience: Audience, reach: GossipScope) -> Targets {
         self.forget(now_ms);
         match self.due_audience(now_ms, audience) {
             Audience::OwnHall => {
                 let whole = self.at_peer_port(self.in_own_hall());
-                Targets { whole, ..Targets::default() }
+                Targets { full: whole, ..Targets::default() }
             }
             Audience::All => {
                 self.all_due_at_ms = now_ms + GOSSIP_PERIOD_MS;
@@ -67,7 +67,7 @@
         }
     }
 
-    fn all_targets(&mut self, now_ms: u64, reach: Reach) -> Targets {
+    fn all_targets(&mut self, now_ms: u64, reach: GossipScope) -> Targets {
         let small = self.known.len() <= SMALL_FLEET;
         let hall = self.own.hall;
         let is_near = |peer: &Peer| small || peer.gossip.hall == hall || !peer.told;
@@ -78,7 +78,7 @@
         }
         self.has_untold = false;
         let mut targets = Targets::default();
-        if reach == Reach::Bridges && !small {
+        if reach == GossipScope::AllBridges && !small {
             let bridges = self.bridges(now_ms);
             whole.extend(bridges.iter().filter(|bridge| others.contains(bridge)));
             others.retain(|other| !bridges.contains(other));
@@ -100,8 +100,8 @@
                 whole.push(seed);
             }
         }
-        targets.whole = self.at_peer_port(whole);
-        targets.brief = self.at_peer_port(others);
+        targets.full = self.at_peer_port(whole);
+        targets.abridged = self.at_peer_port(others);
         targets
     }
 
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -112,7 +112,7 @@
     }
     info!(target: "follow",
         "event=role_changed follows={follows} caches={caches} small_fleet={small_fleet} boxes={}",
-        state.peers.boxes(now_ms));
+        state.peers.live_boxes(now_ms));
     state.follows_store = follows;
     state.follows_caches = caches;
     state.small_fleet = small_fleet;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -17,7 +17,7 @@
 };
 use crate::gateway::decisions::hall_summary::{HallSummary, OtherHallsSummary};
 use crate::gateway::decisions::notice::NoticeState;
-use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, Reach};
+use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, GossipScope};
 use crate::gateway::decisions::weights::NamedVersion;
 use crate::gateway::helpers::{HelpReply, HelpRequest, help};
 use crate::gateway::kernel::{Gateway, State, ToldVersion};
@@ -97,28 +97,28 @@
     let targets = state.peers.next_targets(now_ms, audience, reach);
     if audience == Audience::OwnHall {
         let changes = compose_changes(&state, now_ms, incarnation, told);
-        return vec![(Datagram::LoadChanges(changes), targets.whole)];
+        return vec![(Datagram::LoadChanges(changes), targets.full)];
     }
     let mut composed = Vec::new();
     if !targets.bridges.is_empty() {
         let fetches = fetches(&state);
-        let news = state.peers.hall_news(now_ms, own_loads(&state, now_ms), &fetches);
+        let news = state.peers.hall_summary(now_ms, own_loads(&state, now_ms), &fetches);
         composed.push((Datagram::HallSummary(news), targets.bridges));
-        let others = state.peers.other_halls(now_ms);
+        let others = state.peers.other_halls_summary(now_ms);
         composed.push((Datagram::OtherHallsSummary(others), targets.own_hall));
     }
     let gossip = compose_gossip(gateway, &mut state, now_ms, incarnation);
     told.clone_from(&gossip.loads);
     let brief = Datagram::Gossip(Box::new(gossip.abridged()));
-    composed.push((Datagram::Gossip(Box::new(gossip)), targets.whole));
-    composed.push((brief, targets.brief));
+    composed.push((Datagram::Gossip(Box::new(gossip)), targets.full));
+    composed.push((brief, targets.abridged));
     composed
 }
 
 /// How far the word of this box reaches.
-fn reach(state: &State) -> Reach {
+fn reach(state: &State) -> GossipScope {
     let reaches_halls = state.is_bridge() || state.leadership.is_some();
-    if reaches_halls { Reach::Bridges } else { Reach::OwnHall }
+    if reaches_halls { GossipScope::AllBridges } else { GossipScope::OwnHall }
 }
 
 /// The loads that have changed since they were told.
@@ -158,13 +158,13 @@
 fn compose_gossip(gateway: &Gateway, state: &mut State, now_ms: u64, incarnation: u64) -> Gossip {
     Gossip {
         incarnation,
-        hall: state.peers.own().hall,
-        millicores: state.peers.own().millicores,
+        hall: state.peers.local().hall,
+        millicores: state.peers.local().millicores,
         view_digest: state.view.digest(),
         site_version: state.site.as_ref().map_or(0, |site| site.version),
         metadata_store: state.metadata_store_status(),
         follows_caches: state.follows_caches,
-        peers: state.peers.named(now_ms),
+        peers: state.peers.addresses_to_share(now_ms),
         loads: reported_loads(own_loads(state, now_ms)),
         fetches: fetches(state),
         limits: state.limits.found(),
@@ -267,9 +267,11 @@
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Gossip(gossip)) => hear(&gateway, from.ip(), *gossip),
             Ok(Datagram::LoadChanges(changes)) => hear_loads(&gateway, from.ip(), &changes),
-            Ok(Datagram::HallSummary(news)) => gateway.state().peers.hear_hall(now_ms(), news),
+            Ok(Datagram::HallSummary(news)) => {
+                gateway.state().peers.receive_hall_summary(now_ms(), news);
+            }
             Ok(Datagram::OtherHallsSummary(news)) => {
-                gateway.state().peers.hear_other_halls(now_ms(), &news);
+                gateway.state().peers.receive_other_halls(now_ms(), &news);
             }
             Ok(Datagram::HelpRequest(request)) => {
                 tokio::spawn(help(gateway.clone(), socket.clone(), request, from));
@@ -308,13 +310,13 @@
         // Requests may wait for an engine that has its new weights now.
         gateway.places.notify_waiters();
     }
-    let mut upstreams = state.peers.upstreams_told_by(from);
+    let mut upstreams = state.peers.upstreams_reported_by(from);
     upstreams.extend(gossip.loads.iter().map(|told| told.upstream));
-    if state.peers.hear(now_ms, from, gossip, own) {
+    if state.peers.receive_gossip(now_ms, from, gossip, own) {
         // Boxes that start together know each other within some round trips.
         gateway.gossip_now.notify_one();
     }
-    if state.peers.differs(from, own) {
+    if state.peers.has_different_view(from, own) {
         gateway.peer_ahead.notify_one();
     }
     for upstream in upstreams {
@@ -332,7 +334,7 @@
     let now_ms = now_ms();
     supersede(&mut state, &changes.superseded);
     take_resting(&mut state, now_ms, &changes.resting);
-    state.peers.hear_loads(now_ms, from, changes);
+    state.peers.receive_load_changes(now_ms, from, changes);
     for told in &changes.loads {
         state.take_others_load(told.upstream);
     }
@@ -349,7 +351,7 @@
 
 /// Takes which upstreams a peer leaves alone, and for how long.
 fn take_resting(state: &mut State, now_ms: u64, resting: &[(u32, u16)]) {
-    let spread_ms = u64::from(state.peers.own().number) % REST_SPREAD_MS;
+    let spread_ms = u64::from(state.peers.local().number) % REST_SPREAD_MS;
     for (number, left_ms) in resting {
         if let Some(upstream) = state.upstreams.numbered_mut(*number) {
             upstream.rests_for_others(now_ms + u64::from(*left_ms) + spread_ms);
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -14,7 +14,7 @@
 use crate::gateway::decisions::budget::{self, Budget};
 use crate::gateway::decisions::claims::LeaderTerms;
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
-use crate::gateway::decisions::peers::{Own, Peers};
+use crate::gateway::decisions::peers::{LocalBox, Peers};
 use crate::gateway::decisions::site::Site;
 use crate::gateway::decisions::stores::Stores;
 use crate::gateway::decisions::upstreams::Upstreams;
@@ -135,7 +135,7 @@
     /// upstream may be new to this box alone.
     pub fn take_others(&mut self, now_ms: u64) {
         let Self { peers, upstreams, stores, limits, .. } = self;
-        peers.lapse(now_ms);
+        peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
             upstream.others = peers.load(upstream.number);
             upstream.others_heard(peers.heard_at_ms(upstream.number));
@@ -318,7 +318,7 @@
 }
 
 /// What a box tells of itself.
-fn own(settings: &Settings) -> Own {
+fn own(settings: &Settings) -> LocalBox {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -327,5 +327,5 @@
     let millicores = (settings.cores * 1000.0) as u32;
     let address = settings.peers;
     let own_number = number(&address.ip().to_string());
-    Own { number: own_number, address, hall: number(&settings.hall), millicores }
+    LocalBox { number: own_number, address, hall: number(&settings.hall), millicores }
 }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::decisions::peers::{FORGET_MS, Peers};
+use crate::gateway::decisions::peers::{PEER_RETENTION_MS, Peers};
 use crate::gateway::kernel::Gateway;
 use crate::gateway::metadata::Outcome;
 use crate::phase::Phase;
@@ -41,7 +41,7 @@
     let started_at_ms = now_ms();
     while gateway.phase() != Phase::Stopped {
         sleep(COMPARE_PERIOD).await;
-        let all_had_time = now_ms() >= started_at_ms + FORGET_MS;
+        let all_had_time = now_ms() >= started_at_ms + PEER_RETENTION_MS;
         if let Err(error) = keep(&gateway, all_had_time).await {
             info!(target: "members", "event=members_not_written cause=\"{error}\"");
         }
@@ -58,7 +58,7 @@
         let written = state.view.get(&key);
         // One that cannot be read, as `take` has logged, is written anew.
         let listed = written.and_then(|written| read(&written.value).ok()).unwrap_or_default();
-        let next = next_list(&listed, &state.peers.heard(), all_had_time);
+        let next = next_list(&listed, &state.peers.heard_boxes(), all_had_time);
         (written.map_or(0, |written| written.revision), next)
     };
     let Some(next) = next else { return Ok(()) };
@@ -74,7 +74,7 @@
     match read(value) {
         Ok(members) => {
             for address in members {
-                peers.learn(now_ms(), address);
+                peers.add_address(now_ms(), address);
             }
             gateway.gossip_now.notify_one();
         }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -233,7 +233,7 @@
     if state.quarantine.until_ms(now_ms, job.outgoing.fingerprint).is_some() {
         return false;
     }
-    let boxes = state.peers.boxes(now_ms);
+    let boxes = state.peers.live_boxes(now_ms);
     state.budget.spend(now_ms, &job.service, boxes)
 }
 
@@ -334,13 +334,13 @@
 /// The upstream that can take the request now.
 pub(super) fn choose_now(state: &mut State, gateway: &Gateway, job: &Job) -> Option<Choice> {
     let now_ms = now_ms();
-    let boxes = u32::try_from(state.peers.boxes(now_ms)).unwrap_or(u32::MAX);
+    let boxes = u32::try_from(state.peers.live_boxes(now_ms)).unwrap_or(u32::MAX);
     let site = state.site.as_ref()?;
     let service = site.services.get(&job.service)?;
     let weights = job.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let demand = Demand {
         service: &job.service,
-        box_number: state.peers.own().number,
+        box_number: state.peers.local().number,
         hall: &gateway.settings.hall,
         prompt: job.prompt.as_ref(),
         isolated_account: job.isolated_account.as_deref(),
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -111,7 +111,9 @@
         }
         for naming in &mut self.namings {
             let revision = naming.revision;
-            naming.note_informed(now_ms, |address| state.peers.knows(address, revision));
+            naming.note_informed(now_ms, |address| {
+                state.peers.has_reached_revision(address, revision)
+            });
         }
     }
 
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -65,7 +65,7 @@
         match ended {
             Ok(()) => info!(target: "stores", "event=publisher_left peer={peer}"),
             Err(error) => {
-                state.peers.unanswered(now_ms(), peer.ip());
+                state.peers.note_unanswered(now_ms(), peer.ip());
                 info!(target: "stores", "event=publisher_lost cause=\"{error}\"");
             }
         }
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -4,7 +4,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use coursestile::gateway::decisions::gossip_message::{Gossip, LoadReport};
-use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach, Targets};
+use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers, Targets};
 use coursestile::gateway::decisions::upstream::Load;
 use coursestile::gateway::decisions::view::ViewDigest;
 
@@ -41,18 +41,18 @@
 /// A box that has heard all others, each of which sends `requests` to one upstream.
 fn fleet_box(hall: u32, host: u8, requests: u32) -> Peers {
     let address_of_box = SocketAddr::new(address(hall, host), 7000);
-    let own = Own { number: 1, address: address_of_box, hall, millicores: 120 };
+    let own = LocalBox { number: 1, address: address_of_box, hall, millicores: 120 };
     let mut peers = Peers::new(own, &[]);
     for other_hall in 0..HALLS {
         for other in 1..=BOXES {
             let heard = gossip(other_hall, other, requests);
             let heard = if other_hall == hall { heard } else { heard.abridged() };
             if (other_hall, other) != (hall, host) {
-                peers.hear(0, address(other_hall, other), heard, ViewDigest::default());
+                peers.receive_gossip(0, address(other_hall, other), heard, ViewDigest::default());
             }
         }
     }
-    peers.next_targets(0, Audience::All, Reach::OwnHall);
+    peers.next_targets(0, Audience::All, GossipScope::OwnHall);
     peers
 }
 
@@ -69,39 +69,39 @@
 #[test]
 fn bridges_reached() {
     let mut peers = fleet_box(0, 1, 0);
-    let Targets { whole, brief, bridges, own_hall } =
-        peers.next_targets(300, Audience::All, Reach::Bridges);
-    let whole = ips(&whole);
-    assert!(bridges_of_others(0).iter().all(|bridge| whole.contains(bridge)));
-    assert_eq!(whole.len(), 58 + 8, "the own hall, and the bridges of all others");
-    assert_eq!(brief.len(), 4, "others in turn");
+    let Targets { full, abridged, bridges, own_hall } =
+        peers.next_targets(300, Audience::All, GossipScope::AllBridges);
+    let full = ips(&full);
+    assert!(bridges_of_others(0).iter().all(|bridge| full.contains(bridge)));
+    assert_eq!(full.len(), 58 + 8, "the own hall, and the bridges of all others");
+    assert_eq!(abridged.len(), 4, "others in turn");
     assert_eq!(ips(&bridges), bridges_of_others(0));
     assert_eq!(own_hall.len(), 58);
-    let again = peers.next_targets(320, Audience::All, Reach::Bridges);
+    let again = peers.next_targets(320, Audience::All, GossipScope::AllBridges);
     assert_eq!((again.bridges.len(), again.own_hall.len()), (0, 0), "halls have their own period");
-    let usual = peers.next_targets(600, Audience::All, Reach::OwnHall);
-    assert_eq!((usual.whole.len(), usual.brief.len()), (58, 4), "any other box");
+    let usual = peers.next_targets(600, Audience::All, GossipScope::OwnHall);
+    assert_eq!((usual.full.len(), usual.abridged.len()), (58, 4), "any other box");
 }
 
 #[test]
 fn new_bridge_reached() {
     let mut peers = fleet_box(0, 1, 0);
     let successor = Gossip { follows_caches: true, ..gossip(1, 3, 0) };
-    peers.hear(300, address(1, 3), successor, ViewDigest::default());
-    let targets = peers.next_targets(310, Audience::All, Reach::Bridges);
+    peers.receive_gossip(300, address(1, 3), successor, ViewDigest::default());
+    let targets = peers.next_targets(310, Audience::All, GossipScope::AllBridges);
     assert!(ips(&targets.bridges).contains(&address(1, 3)), "it says that it is one");
 }
 
 #[test]
 fn loads_cross_halls() {
     let north = fleet_box(0, 1, 2);
-    let news = north.hall_news(100, [told(3)].into_iter(), &[(STORE, 5)]);
+    let news = north.hall_summary(100, [told(3)].into_iter(), &[(STORE, 5)]);
     let mut south = fleet_box(1, 1, 1);
     assert_eq!(south.load(UPSTREAM).requests, 58, "its own hall alone");
-    south.hear_hall(100, news.clone());
+    south.receive_hall_summary(100, news.clone());
     assert_eq!(south.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
     assert_eq!(south.fetch_tokens(STORE), 580 + 580 + 5);
-    south.hear_hall(110, news);
+    south.receive_hall_summary(110, news);
     assert_eq!(
         south.load(UPSTREAM).requests,
         58 + 58 * 2 + 3,
@@ -109,12 +109,12 @@
     );
     // A box of the south that is no bridge hears it from there.
     let mut other = fleet_box(1, 40, 1);
-    other.hear_other_halls(200, &south.other_halls(200));
+    other.receive_other_halls(200, &south.other_halls_summary(200));
     assert_eq!(other.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
     assert_eq!(other.fetch_tokens(STORE), 580 + 580 + 5);
-    other.lapse(1200);
+    other.expire(1200);
     assert_eq!(other.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
-    other.lapse(1700);
+    other.expire(1700);
     assert_eq!(other.load(UPSTREAM), Load::default(), "all are silent");
 }
 
@@ -125,10 +125,10 @@
     let view_digest = ViewDigest { last_change_revision: 9, checksum: 0 };
     for host in 2..=BOXES {
         let heard = Gossip { view_digest, ..gossip(1, host, 0) };
-        south.hear(1000, address(1, host), heard, ViewDigest::default());
+        south.receive_gossip(1000, address(1, host), heard, ViewDigest::default());
     }
-    assert!(!leader.knows(address(1, 50), 9), "its turn has not come");
-    leader.hear_hall(1010, south.hall_news(1000, std::iter::empty(), &[]));
-    assert!((2..=BOXES).all(|host| leader.knows(address(1, host), 9)));
-    assert!(!leader.knows(address(2, 50), 9));
+    assert!(!leader.has_reached_revision(address(1, 50), 9), "its turn has not come");
+    leader.receive_hall_summary(1010, south.hall_summary(1000, std::iter::empty(), &[]));
+    assert!((2..=BOXES).all(|host| leader.has_reached_revision(address(1, host), 9)));
+    assert!(!leader.has_reached_revision(address(2, 50), 9));
 }
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -3,15 +3,15 @@
 use std::net::{IpAddr, SocketAddr};
 
 use coursestile::gateway::decisions::gossip_message::{Gossip, MetadataStoreStatus};
-use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
+use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::view::{MetadataView, VersionedValue, ViewDigest};
 use proptest::prelude::*;
 
 const HALL: u32 = 1;
 const OTHER_HALL: u32 = 2;
 
-fn own() -> Own {
-    Own {
+fn own() -> LocalBox {
+    LocalBox {
         number: 1,
         address: SocketAddr::from(([10, 0, 1, 100], 7000)),
         hall: HALL,
@@ -25,9 +25,9 @@
 
 /// Whom a box tells that is neither a bridge nor leads, in full or in brief.
 fn addresses_told(peers: &mut Peers, now_ms: u64, audience: Audience) -> Vec<SocketAddr> {
-    let targets = peers.next_targets(now_ms, audience, Reach::OwnHall);
+    let targets = peers.next_targets(now_ms, audience, GossipScope::OwnHall);
     assert_eq!((targets.bridges.len(), targets.own_hall.len()), (0, 0));
-    targets.whole.into_iter().chain(targets.brief).collect()
+    targets.full.into_iter().chain(targets.abridged).collect()
 }
 
 /// Has `count` peers of a hall heard at `now_ms`.
@@ -42,13 +42,13 @@
     for host in 1..=count {
         let gossip =
             Gossip { incarnation: 1, hall, millicores, metadata_store: link, ..Gossip::default() };
-        peers.hear(now_ms, address(hall, host), gossip, ViewDigest::default());
+        peers.receive_gossip(now_ms, address(hall, host), gossip, ViewDigest::default());
     }
 }
 
 #[test]
 fn peers_ahead() {
-    let own = Own {
+    let own = LocalBox {
         number: 1,
         address: SocketAddr::from(([10, 0, 0, 1], 7000)),
         hall: 1,
@@ -60,12 +60,20 @@
     let known = ViewDigest { last_change_revision: 5, checksum: 1 };
     let view_digest = ViewDigest { last_change_revision: 9, checksum: 2 };
     let news = Gossip { incarnation: 1, view_digest, ..Gossip::default() };
-    peers.hear(1000, other, news, known);
-    assert_eq!(peers.boxes(1000), 2);
+    peers.receive_gossip(1000, other, news, known);
+    assert_eq!(peers.live_boxes(1000), 2);
     let asked = MetadataStoreStatus::Available;
-    assert_eq!(peers.ahead(1100, known, asked), None, "the store's own news may be on its way");
-    assert_eq!(peers.ahead(1400, known, asked), Some(SocketAddr::new(other, 7000)));
-    assert_eq!(peers.ahead(9000, known, MetadataStoreStatus::Failing), None, "it is silent");
+    assert_eq!(
+        peers.catch_up_source(1100, known, asked),
+        None,
+        "the store's own news may be on its way"
+    );
+    assert_eq!(peers.catch_up_source(1400, known, asked), Some(SocketAddr::new(other, 7000)));
+    assert_eq!(
+        peers.catch_up_source(9000, known, MetadataStoreStatus::Failing),
+        None,
+        "it is silent"
+    );
 }
 
 #[test]
@@ -81,7 +89,7 @@
     }
     assert_eq!(told.len(), 20, "others in turn");
     // Those in turn are heard of more seldom, and count for longer.
-    assert_eq!(peers.boxes(3000), 21);
+    assert_eq!(peers.live_boxes(3000), 21);
 }
 
 #[test]
@@ -89,12 +97,15 @@
     let mut peers = Peers::new(own(), &[address(HALL, 1)]);
     let named = (2..40).map(|host| address(OTHER_HALL, host)).collect();
     let gossip = Gossip { incarnation: 1, hall: HALL, peers: named, ..Gossip::default() };
-    assert!(peers.hear(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
+    assert!(peers.receive_gossip(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
     assert_eq!(addresses_told(&mut peers, 0, Audience::OwnHall).len(), 39, "all at once");
-    assert!(!peers.hear(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
+    assert!(!peers.receive_gossip(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
     assert_eq!(addresses_told(&mut peers, 0, Audience::All).len(), 5, "the others in turn");
     let restarted = Gossip { incarnation: 2, ..gossip };
-    assert!(peers.hear(0, address(HALL, 1), restarted, ViewDigest::default()), "it knows nothing");
+    assert!(
+        peers.receive_gossip(0, address(HALL, 1), restarted, ViewDigest::default()),
+        "it knows nothing"
+    );
 }
 
 #[test]
@@ -135,7 +146,7 @@
     assert_eq!(peers.cache_publisher(0), None, "nobody has said so");
     let follows_caches = true;
     let gossip = Gossip { incarnation: 1, hall: HALL, follows_caches, ..Gossip::default() };
-    peers.hear(0, address(HALL, 1), gossip, ViewDigest::default());
+    peers.receive_gossip(0, address(HALL, 1), gossip, ViewDigest::default());
     assert_eq!(peers.cache_publisher(0).map(|found| found.ip()), Some(address(HALL, 1)));
 }
 
@@ -206,7 +217,7 @@
             view_digest,
             ..Gossip::default()
         };
-        peers.hear(1000, address(HALL, host), gossip, known);
+        peers.receive_gossip(1000, address(HALL, host), gossip, known);
     };
     tell(1, known);
     tell(2, known);
@@ -215,14 +226,15 @@
     let differs = ViewDigest { checksum: 2, ..known };
     let gossip = Gossip { incarnation: 1, hall: HALL, view_digest: differs, ..Gossip::default() };
     let answers = Gossip { metadata_store: MetadataStoreStatus::Available, ..gossip };
-    peers.hear(1000, address(HALL, other), answers.clone(), known);
+    peers.receive_gossip(1000, address(HALL, other), answers.clone(), known);
     assert_eq!(
-        peers.ahead(2000, known, MetadataStoreStatus::NotUsed),
+        peers.catch_up_source(2000, known, MetadataStoreStatus::NotUsed),
         None,
         "the publisher does not"
     );
-    peers.hear(1000, publisher, answers, known);
-    let found = peers.ahead(1000, known, MetadataStoreStatus::NotUsed).map(|found| found.ip());
+    peers.receive_gossip(1000, publisher, answers, known);
+    let found =
+        peers.catch_up_source(1000, known, MetadataStoreStatus::NotUsed).map(|found| found.ip());
     assert_eq!(found, Some(publisher));
 }
 
@@ -246,19 +258,19 @@
     let mut tell = |hall: u32| {
         let view_digest = ViewDigest { last_change_revision: 9, checksum: 2 };
         let gossip = Gossip { incarnation: 1, hall, view_digest, ..Gossip::default() };
-        peers.hear(1000, address(hall, 1), gossip, ViewDigest::default());
+        peers.receive_gossip(1000, address(hall, 1), gossip, ViewDigest::default());
     };
     tell(HALL);
     tell(OTHER_HALL);
     let asked = |peers: &Peers, now_ms: u64| {
         peers
-            .ahead(now_ms, ViewDigest::default(), MetadataStoreStatus::Failing)
+            .catch_up_source(now_ms, ViewDigest::default(), MetadataStoreStatus::Failing)
             .map(|found| found.ip())
     };
     assert_eq!(asked(&peers, 1000), Some(address(HALL, 1)));
-    peers.unanswered(1000, address(HALL, 1));
+    peers.note_unanswered(1000, address(HALL, 1));
     assert_eq!(asked(&peers, 1000), Some(address(OTHER_HALL, 1)));
-    peers.unanswered(1000, address(OTHER_HALL, 1));
+    peers.note_unanswered(1000, address(OTHER_HALL, 1));
     assert_eq!(asked(&peers, 1000), Some(address(HALL, 1)), "one is asked in any case");
     assert_eq!(asked(&peers, 3000), None, "both are silent by now");
 }
@@ -273,9 +285,9 @@
         let store_link = MetadataStoreStatus::Available;
         let gossip =
             Gossip { incarnation: 1, hall: HALL, metadata_store: store_link, ..Gossip::default() };
-        peers.hear(1000, address(HALL, number), gossip, ViewDigest::default());
+        peers.receive_gossip(1000, address(HALL, number), gossip, ViewDigest::default());
     }
     let publisher = peers.publisher(1000).expect("some follow");
-    peers.unanswered(1000, publisher.ip());
+    peers.note_unanswered(1000, publisher.ip());
     assert_eq!(peers.publisher(1100), Some(publisher));
 }
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -6,7 +6,7 @@
 use coursestile::gateway::decisions::gossip_message::{
     Gossip, LoadChanges, LoadReport, changed_loads,
 };
-use coursestile::gateway::decisions::peers::{Audience, Own, Peers, Reach};
+use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::upstream::Load;
 use coursestile::gateway::decisions::view::ViewDigest;
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 
 fn peers() -> Peers {
     let address = SocketAddr::from(([10, 0, 1, 100], 7000));
-    Peers::new(Own { number: 1, address, hall: HALL, millicores: 120 }, &[])
+    Peers::new(LocalBox { number: 1, address, hall: HALL, millicores: 120 }, &[])
 }
 
 fn address(host: u8) -> IpAddr {
@@ -67,14 +67,14 @@
                 Step::Gossip { host, loads } => {
                     let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
                     let gossip = gossip(all.collect(), u32::from(host));
-                    peers.hear(now_ms, address(host), gossip, ViewDigest::default());
+                    peers.receive_gossip(now_ms, address(host), gossip, ViewDigest::default());
                     last.insert(host, (now_ms, loads));
                 }
                 Step::Changes { host, loads } => {
                     let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
                     let changes =
                         LoadChanges { incarnation: 1, loads: all.collect(), superseded: vec![], resting: vec![] };
-                    peers.hear_loads(now_ms, address(host), &changes);
+                    peers.receive_load_changes(now_ms, address(host), &changes);
                     if let Some((at_ms, known)) = last.get_mut(&host) {
                         *at_ms = now_ms;
                         known.extend(loads);
@@ -82,12 +82,12 @@
                 }
                 Step::Pause { ms } => {
                     now_ms += ms;
-                    peers.next_targets(now_ms, Audience::All, Reach::OwnHall);
+                    peers.next_targets(now_ms, Audience::All, GossipScope::OwnHall);
                     // A peer that is forgotten has to introduce itself again.
                     last.retain(|_, (at_ms, _)| now_ms < *at_ms + 30_000);
                 }
             }
-            peers.lapse(now_ms);
+            peers.expire(now_ms);
             let alive: Vec<_> =
                 last.iter().filter(|(_, (at_ms, _))| now_ms < *at_ms + SILENT_MS).collect();
             for upstream in 0..UPSTREAMS {
@@ -113,23 +113,23 @@
     let loads = vec![told(1, 4)];
     let changes =
         LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], resting: vec![] };
-    peers.hear_loads(0, address(1), &changes);
+    peers.receive_load_changes(0, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "it has not introduced itself");
-    peers.hear(0, address(1), gossip(Vec::new(), 0), ViewDigest::default());
-    peers.hear_loads(0, address(1), &changes);
+    peers.receive_gossip(0, address(1), gossip(Vec::new(), 0), ViewDigest::default());
+    peers.receive_load_changes(0, address(1), &changes);
     assert_eq!(peers.load(1).requests, 4);
     // It starts again, and an old message arrives late.
     let reborn = Gossip { incarnation: 2, ..gossip(Vec::new(), 0) };
-    peers.hear(10, address(1), reborn, ViewDigest::default());
-    peers.hear_loads(20, address(1), &changes);
+    peers.receive_gossip(10, address(1), reborn, ViewDigest::default());
+    peers.receive_load_changes(20, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "of an earlier start");
 }
 
 #[test]
 fn hearing_remembered() {
     let mut peers = peers();
-    peers.hear(1000, address(1), gossip(vec![told(1, 1)], 0), ViewDigest::default());
-    peers.lapse(1000 + SILENT_MS);
+    peers.receive_gossip(1000, address(1), gossip(vec![told(1, 1)], 0), ViewDigest::default());
+    peers.expire(1000 + SILENT_MS);
     assert_eq!(peers.load(1), Load::default(), "the peer is silent");
     assert_eq!(peers.heard_at_ms(1), 1000, "the upstream was heard all the same");
 }
