--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::scope;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, LoadReport};
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
-use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
@@ -180,7 +180,7 @@
         weights_apply_ms: 12_000,
         bars_overdue: true,
         placing: Placing::Home,
-        look: Look::Drawn { seed },
+        candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
         asked: Asked { ranks_before: 1, objective_ms: 500, late: false, limit: 1.1 },
--- a/src/gateway/decisions/look.rs
+++ b/src/gateway/decisions/candidates.rs
@@ -21,23 +21,23 @@
 
 /// How a request looks for an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Look {
+pub enum Candidates {
     /// At all: the few boxes of a small fleet know at once what each other does.
     All,
     /// At some that are drawn, and at more only when there is need.
-    Drawn {
+    Sampled {
         /// Seed of the draw, another for each try of each request.
         seed: u64,
     },
 }
 
 /// Draws upstreams for one request.
-pub struct Draw<'u, 'a> {
+pub struct CandidateSampler<'u, 'a> {
     random: Rng,
     usable: &'u [&'a Upstream],
 }
 
-impl<'u, 'a> Draw<'u, 'a> {
+impl<'u, 'a> CandidateSampler<'u, 'a> {
     /// Draws from those that can be used.
     #[must_use]
     pub fn new(seed: u64, usable: &'u [&'a Upstream]) -> Self {
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -6,10 +6,10 @@
 //! costs more than its time, since it takes the engine from others.
 
 use crate::gateway::decisions::admission::{Capacity, Room, room};
+use crate::gateway::decisions::candidates::{CandidateSampler, Candidates};
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::demand::Demand;
 use crate::gateway::decisions::incarnation::Incarnation;
-use crate::gateway::decisions::look::{Draw, Look};
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::EngineSpec;
 use crate::gateway::decisions::sources::{Lookup, REREAD_WEIGHT};
@@ -90,9 +90,11 @@
     let usable: Vec<&Upstream> =
         upstreams.of(demand.service).filter(|one| is_usable(now_ms, one, demand)).collect();
     let mut chooser = Chooser { now_ms, upstreams, stores, engine, demand, lookups: Vec::new() };
-    let best = match demand.look {
-        Look::All => chooser.best(&usable),
-        Look::Drawn { seed } => chooser.best_drawn(&mut Draw::new(seed, &usable), &usable),
+    let best = match demand.candidates {
+        Candidates::All => chooser.best(&usable),
+        Candidates::Sampled { seed } => {
+            chooser.best_drawn(&mut CandidateSampler::new(seed, &usable), &usable)
+        }
     };
     best.map(|best| best.into_choice(now_ms, demand))
 }
@@ -161,7 +163,11 @@
     }
 
     /// The best of a few, and of more only when none of these is good.
-    fn best_drawn(&mut self, draw: &mut Draw<'_, 'a>, usable: &[&'a Upstream]) -> Option<Best<'a>> {
+    fn best_drawn(
+        &mut self,
+        draw: &mut CandidateSampler<'_, 'a>,
+        usable: &[&'a Upstream],
+    ) -> Option<Best<'a>> {
         let mut few = draw.near(self.demand.hall);
         let context_hall = few.first().and_then(|upstream| self.context_hall(upstream));
         few.extend(draw.far(self.demand.hall, context_hall));
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -1,8 +1,8 @@
 //! What a request asks of an upstream.
 
 use crate::gateway::decisions::admission::Asked;
+use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::incarnation::Incarnation;
-use crate::gateway::decisions::look::Look;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::stores::Placing;
 use crate::gateway::decisions::weights::NamedVersions;
@@ -36,7 +36,7 @@
     /// How the store that takes a part is chosen.
     pub placing: Placing<'a>,
     /// Which upstreams are looked at.
-    pub look: Look,
+    pub candidates: Candidates,
     /// Upstreams that were tried already.
     pub tried: &'a [Incarnation],
     /// Most requests that this box may have at one upstream.
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -1,7 +1,7 @@
 //! What the gateway decides, and what it decides by: no clock, no I/O, no tasks. Time is an
 //! argument, and randomness is seeded.
 //!
-//! - Where a request runs: `choose`, by `look`, `demand`, `prompt`, `upstream`, `upstreams`,
+//! - Where a request runs: `choose`, by `candidates`, `demand`, `prompt`, `upstream`, `upstreams`,
 //!   `notice` and `incarnation`.
 //! - Where its context comes from and goes: `sources`, `stores`, `cache_contents`, `kept`, `context`.
 //! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
@@ -13,6 +13,7 @@
 pub mod admission;
 pub mod budget;
 pub mod cache_contents;
+pub mod candidates;
 pub mod choose;
 pub mod claims;
 pub mod context;
@@ -21,7 +22,6 @@
 pub mod hall_summary;
 pub mod incarnation;
 pub mod kept;
-pub mod look;
 pub mod notice;
 pub mod orders;
 pub mod peers;
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -12,22 +12,18 @@
 use crate::gateway::answer::{self, Answer, Reason};
 use crate::gateway::attempt::{Attempted, NotRunCause, Reply, Start, attempt};
 use crate::gateway::check::{Job, check};
-use crate::gateway::crashes;
 use crate::gateway::decisions::admission::{Asked, Room};
+use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::choose::{Choice, choose};
 use crate::gateway::decisions::demand::Demand;
-use crate::gateway::decisions::look::Look;
 use crate::gateway::decisions::site::Repeat;
 use crate::gateway::decisions::stores::Placing;
 use crate::gateway::decisions::upstream::Upstream;
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::overdue;
-use crate::gateway::quarantine;
 use crate::gateway::refuse::{RETRY_AFTER_MS, give_up, hold_back, no_place, refuse_at_once};
-use crate::gateway::relay;
 use crate::gateway::request_log::{log_attempt, log_attempt_end, log_end, log_unread};
-use crate::gateway::silence;
+use crate::gateway::{crashes, overdue, quarantine, relay, silence};
 use crate::names::number;
 use crate::platform::exchange;
 
@@ -352,10 +348,10 @@
         } else {
             Placing::Home
         },
-        look: if state.peers.is_small_fleet() {
-            Look::All
+        candidates: if state.peers.is_small_fleet() {
+            Candidates::All
         } else {
-            Look::Drawn { seed: now_ms ^ u64::from(number(&job.outgoing.request_id)) << 32 }
+            Candidates::Sampled { seed: now_ms ^ u64::from(number(&job.outgoing.request_id)) << 32 }
         },
         tried: &job.tried,
         max_requests: (service.max_connections / (boxes + 1)).max(LEAST_CONNECTIONS),
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -4,11 +4,11 @@
 
 use coursestile::gateway::decisions::admission::Asked;
 use coursestile::gateway::decisions::cache_contents::PartKey;
+use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::{Choice, choose};
 use coursestile::gateway::decisions::context::Source;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::kept::CacheListing;
-use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placing, Stores};
@@ -84,7 +84,7 @@
         weights_apply_ms: 10_000,
         bars_overdue: true,
         placing: Placing::Home,
-        look: Look::Drawn { seed: 3 },
+        candidates: Candidates::Sampled { seed: 3 },
         tried: &[],
         max_requests: 100,
         asked: Asked { ranks_before: 0, objective_ms: 500, late: false, limit: 1.1 },
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 
 use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::demand::Demand;
-use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::EngineSpec;
 use coursestile::gateway::decisions::stores::{Placing, Stores};
@@ -188,7 +188,7 @@
         weights_apply_ms: 10_000,
         bars_overdue: true,
         placing: Placing::Home,
-        look: Look::Drawn { seed },
+        candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
         asked: Asked { ranks_before: 0, objective_ms: OBJECTIVE_MS, late: false, limit: 1.1 },
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -6,12 +6,12 @@
 use coursestile::gateway::decisions::admission::Asked;
 use coursestile::gateway::decisions::budget::{Budget, Terms};
 use coursestile::gateway::decisions::cache_contents::PartKey;
+use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::{scope_model, scope_version};
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::incarnation::Incarnation;
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
-use coursestile::gateway::decisions::look::Look;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placing, Stores};
@@ -60,7 +60,7 @@
         weights_apply_ms: 10_000,
         bars_overdue: true,
         placing: Placing::Quickest { hall: "north" },
-        look: Look::All,
+        candidates: Candidates::All,
         tried,
         max_requests: 100,
         asked: Asked { ranks_before: 0, objective_ms: 500, late: false, limit: 1.0 },
