--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::scope;
@@ -183,7 +183,12 @@
         candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
-        asked: Asked { ranks_before: 1, objective_ms: 500, late: false, limit: 1.1 },
+        admission: AdmissionCriteria {
+            higher_priority_ranks: 1,
+            objective_ms: 500,
+            objective_missed: false,
+            load_limit: 1.1,
+        },
         objective_at_ms: Some(500),
     }
 }
--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -54,28 +54,28 @@
 /// what its peers told. Else those that find smaller ones make room for the others,
 /// and the callers of a hall are refused while those of another are not.
 #[derive(Debug, Default)]
-pub struct Limits {
+pub struct AdmissionLimits {
     own: HashMap<u32, f64>,
-    others: Vec<(u32, u16)>,
+    peer_limits: Vec<(u32, u16)>,
 }
 
-impl Limits {
+impl AdmissionLimits {
     /// The limit of a service.
     #[must_use]
-    pub fn of(&self, service: &str) -> f64 {
+    pub fn limit_of(&self, service: &str) -> f64 {
         self.mean(number(service))
     }
 
     /// Takes the end of a wait for a first token.
-    pub fn first_token(&mut self, service: &str, end: FirstToken) {
+    pub fn record_first_token(&mut self, service: &str, end: FirstTokenOutcome) {
         let service = number(service);
         let mean = self.mean(service);
         let own = self.own(service);
         let (least, most) = LIMITS;
         let drawn = own + (mean - own) * DRAW_PART;
         let limit = match end {
-            FirstToken::InTime => drawn + GROWTH,
-            FirstToken::Late => drawn * (1.0 - CUT_PART),
+            FirstTokenOutcome::InTime => drawn + GROWTH,
+            FirstTokenOutcome::Late => drawn * (1.0 - CUT_PART),
         };
         self.own.insert(service, limit.clamp(least, most));
     }
@@ -95,13 +95,13 @@
         clippy::cast_sign_loss,
         reason = "limits are positive and far below 65"
     )]
-    pub fn found(&self) -> Vec<(u32, u16)> {
+    pub fn own_limits(&self) -> Vec<(u32, u16)> {
         self.own.iter().map(|(service, limit)| (*service, (limit * THOUSAND) as u16)).collect()
     }
 
     /// Takes what other boxes have found.
-    pub fn hear(&mut self, others: Vec<(u32, u16)>) {
-        self.others = others;
+    pub fn set_peer_limits(&mut self, peer_limits: Vec<(u32, u16)>) {
+        self.peer_limits = peer_limits;
     }
 
     fn own(&self, service: u32) -> f64 {
@@ -109,8 +109,8 @@
     }
 
     fn mean(&self, service: u32) -> f64 {
-        let others = self.others.iter().filter(|(other, _)| *other == service);
-        let (sum, count) = others.fold((self.own(service), 1.0), |(sum, count), (_, limit)| {
+        let peers = self.peer_limits.iter().filter(|(number, _)| *number == service);
+        let (sum, count) = peers.fold((self.own(service), 1.0), |(sum, count), (_, limit)| {
             (sum + f64::from(*limit) / THOUSAND, count + 1.0)
         });
         sum / count
@@ -120,7 +120,7 @@
 /// How a wait for a first token ended at an engine that was nearly full: what other
 /// engines do late is not for their load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FirstToken {
+pub enum FirstTokenOutcome {
     /// It came in time.
     InTime,
     /// It came late, or not at all.
@@ -129,22 +129,22 @@
 
 /// What is asked of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Asked {
+pub struct AdmissionCriteria {
     /// Ranks of the service's routes that are more urgent.
-    pub ranks_before: u8,
+    pub higher_priority_ranks: u8,
     /// Latency objective.
     pub objective_ms: u64,
     /// Whether the objective, counted from the first try, has passed.
-    pub late: bool,
+    pub objective_missed: bool,
     /// Limit found for the service.
-    pub limit: f64,
+    pub load_limit: f64,
 }
 
 /// How much of its room an engine has given away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum Occupancy {
     /// Some is left.
-    Left,
+    Available,
     /// Little is left.
     NearlyFull,
     /// It cannot begin with the request in time.
@@ -162,33 +162,34 @@
 
 /// Room that an engine under `load` has for another request.
 #[must_use]
-pub fn room(load: Load, capacity: Capacity, asked: Asked) -> Room {
-    let part = room_part(asked);
+pub fn occupancy(load: Load, capacity: Capacity, criteria: AdmissionCriteria) -> Occupancy {
+    let part = room_part(criteria);
     let taken_part = |taken: u32, of: f64| if of > 0.0 { f64::from(taken) / of } else { 0.0 };
     let memory_part = taken_part(load.memory_tokens, f64::from(capacity.memory_tokens) * part);
     let slots_part = taken_part(load.requests, f64::from(capacity.slots) * part.min(1.0));
-    let read_ms = as_f64(asked.objective_ms) * READ_WAIT_PART * asked.limit;
+    let read_ms = as_f64(criteria.objective_ms) * READ_WAIT_PART * criteria.load_limit;
     let read_part = taken_part(load.unread_tokens, read_ms * READ_TOKENS_PER_MS);
     match memory_part.max(slots_part).max(read_part) {
-        taken if taken < NEARLY_FULL_PART => Room::Left,
-        taken if taken < 1.0 => Room::NearlyFull,
-        _ => Room::Full,
+        taken if taken < NEARLY_FULL_PART => Occupancy::Available,
+        taken if taken < 1.0 => Occupancy::NearlyFull,
+        _ => Occupancy::Full,
     }
 }
 
 /// Part of an engine that must be taken before a request is refused there. One that
 /// is late earns little: it gets as much as others until the limit has fallen, and
 /// then mostly what would stay empty.
-fn room_part(asked: Asked) -> f64 {
-    let part = MEMORY_PART - RANK_PART * f64::from(asked.ranks_before.min(MAX_RANKS));
-    let late_part = if asked.late { asked.limit.min(1.0).powi(2) } else { 1.0 };
-    asked.limit * part * late_part
+fn room_part(criteria: AdmissionCriteria) -> f64 {
+    let part = MEMORY_PART - RANK_PART * f64::from(criteria.higher_priority_ranks.min(MAX_RANKS));
+    let late_part =
+        if criteria.objective_missed { criteria.load_limit.min(1.0).powi(2) } else { 1.0 };
+    criteria.load_limit * part * late_part
 }
 
 /// When a refused request may come back: at any time up to a third of what its client has
 /// left, so that those refused at the same time do not come back at the same time.
 #[must_use]
-pub fn return_after_ms(seed: u64, left_ms: u64) -> u64 {
+pub fn retry_after_ms(seed: u64, left_ms: u64) -> u64 {
     let spread_ms = (left_ms / 3).saturating_sub(RETURN_LEAST_MS).max(1);
     RETURN_LEAST_MS + seed % spread_ms
 }
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -5,7 +5,7 @@
 //! what it must read again. A part read again although it is kept somewhere
 //! costs more than its time, since it takes the engine from others.
 
-use crate::gateway::decisions::admission::{Capacity, Room, room};
+use crate::gateway::decisions::admission::{Capacity, Occupancy, occupancy};
 use crate::gateway::decisions::candidates::{CandidateSampler, Candidates};
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::demand::Demand;
@@ -67,7 +67,7 @@
     /// Whether nothing but fetches should keep the first token waiting.
     pub calm: bool,
     /// Room that there is for it.
-    pub room: Room,
+    pub occupancy: Occupancy,
     /// Until when the first token is wanted, if that can be met still.
     pub objective_at_ms: Option<u64>,
     /// Memory that the request takes.
@@ -124,7 +124,7 @@
 impl Best<'_> {
     /// Whether there is no need to look at others.
     fn is_good(&self, now_ms: u64) -> bool {
-        self.expected.room != Room::Full && !self.upstream.is_doubtful(now_ms)
+        self.expected.occupancy != Occupancy::Full && !self.upstream.is_doubtful(now_ms)
     }
 
     fn into_choice(self, now_ms: u64, demand: &Demand<'_>) -> Choice {
@@ -133,11 +133,11 @@
             context: self.context,
             expected_ms: self.expected.first_token_ms,
             calm: self.expected.wait_ms < CALM_WAIT_MS,
-            room: self.expected.room,
+            occupancy: self.expected.occupancy,
             objective_at_ms: demand
                 .prompt
                 .and(demand.objective_at_ms)
-                .filter(|_| !demand.asked.late),
+                .filter(|_| !demand.admission.objective_missed),
             memory_tokens: demand.prompt.map_or(0, Prompt::memory_tokens),
             load: self.upstream.load(),
             chosen_at_ms: now_ms,
@@ -232,12 +232,13 @@
     /// Time to the first token.
     first_token_ms: f64,
     /// Room that there is.
-    room: Room,
+    occupancy: Occupancy,
 }
 
 impl Expected {
     /// Nothing is known of a plain service's times.
-    const UNKNOWN: Self = Self { wait_ms: 0.0, first_token_ms: 0.0, room: Room::Left };
+    const UNKNOWN: Self =
+        Self { wait_ms: 0.0, first_token_ms: 0.0, occupancy: Occupancy::Available };
 }
 
 fn capacity(engine: &EngineSpec) -> Capacity {
@@ -271,7 +272,7 @@
     let memory_ms = memory_wait_ms(load.memory_tokens, engine, demand);
     let wait_ms = waiting_ms.max(memory_ms);
     let first_token_ms = wait_ms.max(plan.fetch_ms) + read_ms;
-    let room = room(load, capacity(engine), demand.asked);
+    let occupancy = occupancy(load, capacity(engine), demand.admission);
     let behind = demand.behind_since_ms(plan.version);
     let old_cost = match behind {
         Some(_) if demand.is_overdue(now_ms, plan.version) => OVERDUE_COST_MS,
@@ -284,8 +285,8 @@
         + f64::from(load.requests) * RUNNING_COST_MS
         + f64::from(over) * QUEUED_COST_MS
         + old_cost
-        + if room == Room::Full { NO_ROOM_COST_MS } else { 0.0 };
-    (cost, Expected { wait_ms, first_token_ms, room })
+        + if occupancy == Occupancy::Full { NO_ROOM_COST_MS } else { 0.0 };
+    (cost, Expected { wait_ms, first_token_ms, occupancy })
 }
 
 /// Expected wait until there is memory for a request: what is too much goes as
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -1,6 +1,6 @@
 //! What a request asks of an upstream.
 
-use crate::gateway::decisions::admission::Asked;
+use crate::gateway::decisions::admission::AdmissionCriteria;
 use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
@@ -42,7 +42,7 @@
     /// Most requests that this box may have at one upstream.
     pub max_requests: u32,
     /// What decides whether an engine has room for it.
-    pub asked: Asked,
+    pub admission: AdmissionCriteria,
     /// Until when the first token is wanted.
     pub objective_at_ms: Option<u64>,
 }
@@ -59,7 +59,7 @@
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64, version: u64) -> bool {
         let since_ms = self.behind_since_ms(version).filter(|_| version > 0);
-        let begins_by_ms = now_ms + BEGIN_MS.max(self.asked.objective_ms * BEGIN_OBJECTIVES);
+        let begins_by_ms = now_ms + BEGIN_MS.max(self.admission.objective_ms * BEGIN_OBJECTIVES);
         since_ms.is_some_and(|since_ms| begins_by_ms >= since_ms + self.weights_apply_ms)
     }
 }
--- a/src/gateway/decisions/site.rs
+++ b/src/gateway/decisions/site.rs
@@ -199,7 +199,7 @@
     /// Number of ranks among a service's routes that go before one: what an account has
     /// in its place says nothing of them.
     #[must_use]
-    pub fn ranks_before(&self, service: &str, priority: u8) -> u8 {
+    pub fn higher_priority_ranks(&self, service: &str, priority: u8) -> u8 {
         let leads_to = |route: &&Route| route.targets.iter().any(|one| one.service == service);
         let ranks = self.routes.iter().filter(leads_to).map(|route| route.priority);
         let before: BTreeSet<u8> = ranks.filter(|rank| *rank < priority).collect();
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -102,7 +102,7 @@
             }
         });
         let parts = parts.collect();
-        let objective_ms = demand.asked.objective_ms;
+        let objective_ms = demand.admission.objective_ms;
         Self { version, scope, now_ms, objective_ms, prompt, parts }
     }
 
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -10,7 +10,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::gateway::claims::Book;
 use crate::gateway::connections::Connections;
-use crate::gateway::decisions::admission::Limits;
+use crate::gateway::decisions::admission::AdmissionLimits;
 use crate::gateway::decisions::budget::{self, Budget};
 use crate::gateway::decisions::claims::LeaderTerms;
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
@@ -57,7 +57,7 @@
     /// Time that clients usually give, by route.
     pub usual_limits: UsualLimits,
     /// Limits found for the load of engines.
-    pub limits: Limits,
+    pub limits: AdmissionLimits,
     /// Budget for repeats.
     pub budget: Budget,
     /// Requests under which upstreams crashed.
@@ -143,7 +143,7 @@
         for (_, store) in stores.iter_mut() {
             store.others_fetch(peers.fetch_tokens(store.number()));
         }
-        limits.hear(peers.limits(now_ms));
+        limits.set_peer_limits(peers.limits(now_ms));
     }
 
     /// Takes what the upstreams' clock showed when a message left. The time that
@@ -245,7 +245,7 @@
             upstreams: Upstreams::default(),
             stores: Stores::default(),
             usual_limits: UsualLimits::default(),
-            limits: Limits::default(),
+            limits: AdmissionLimits::default(),
             budget: Budget::new(terms, now_ms()),
             quarantine: Quarantine::default(),
             peers: Peers::new(own(&settings), &settings.seeds),
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -6,7 +6,7 @@
 use log::info;
 
 use crate::clock::now_ms;
-use crate::gateway::decisions::admission::{FirstToken, Room};
+use crate::gateway::decisions::admission::{FirstTokenOutcome, Occupancy};
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::incarnation::Incarnation;
@@ -73,7 +73,9 @@
             expected_ms: choice.expected_ms,
             calm: choice.calm,
             taken_at_ms,
-            objective_at_ms: choice.objective_at_ms.filter(|_| choice.room == Room::NearlyFull),
+            objective_at_ms: choice
+                .objective_at_ms
+                .filter(|_| choice.occupancy == Occupancy::NearlyFull),
         }
     }
 
@@ -98,7 +100,7 @@
     pub(super) fn answered(&mut self) {
         let Some(objective_at_ms) = self.objective_at_ms.take() else { return };
         let late = now_ms() > objective_at_ms;
-        self.note_wait(if late { FirstToken::Late } else { FirstToken::InTime });
+        self.note_wait(if late { FirstTokenOutcome::Late } else { FirstTokenOutcome::InTime });
     }
 
     /// Tells the limits of a first token that never came, if it is late by now: one that
@@ -106,15 +108,15 @@
     fn unanswered(&mut self) {
         let objective_at_ms = self.objective_at_ms.take();
         if objective_at_ms.is_some_and(|objective_at_ms| now_ms() > objective_at_ms) {
-            self.note_wait(FirstToken::Late);
+            self.note_wait(FirstTokenOutcome::Late);
         }
     }
 
-    fn note_wait(&self, end: FirstToken) {
+    fn note_wait(&self, end: FirstTokenOutcome) {
         let mut state = self.gateway.state();
         let service = state.upstreams.get_run(&self.upstream).map(|one| one.entry.service.clone());
         if let Some(service) = service {
-            state.limits.first_token(&service, end);
+            state.limits.record_first_token(&service, end);
         }
     }
 
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -44,7 +44,7 @@
     let reason = Reason::UpstreamsFull;
     let request_id = &job.outgoing.request_id;
     let left_ms = job.outgoing.deadline_ms.saturating_sub(now_ms());
-    let after_ms = admission::return_after_ms(number(request_id).into(), left_ms);
+    let after_ms = admission::retry_after_ms(number(request_id).into(), left_ms);
     log_refusal(job, reason);
     answer::refusal(reason, Some(request_id), Some(after_ms))
 }
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -54,7 +54,7 @@
 pub fn log_attempt(gateway: &Gateway, job: &Job, choice: &Choice) {
     let (limit, behind_ms) = {
         let state = gateway.state();
-        (state.limits.of(&job.service), behind_ms(&state, job, choice))
+        (state.limits.limit_of(&job.service), behind_ms(&state, job, choice))
     };
     let context = choice.context.as_ref();
     info!(target: "serve",
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -12,7 +12,7 @@
 use crate::gateway::answer::{self, Answer, Reason};
 use crate::gateway::attempt::{Attempted, NotRunCause, Reply, Start, attempt};
 use crate::gateway::check::{Job, check};
-use crate::gateway::decisions::admission::{Asked, Room};
+use crate::gateway::decisions::admission::{AdmissionCriteria, Occupancy};
 use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::choose::{Choice, choose};
 use crate::gateway::decisions::demand::Demand;
@@ -95,7 +95,7 @@
         let Some(choice) = found else {
             return no_place(gateway, &job);
         };
-        if choice.room == Room::Full && !job.ran_perhaps {
+        if choice.occupancy == Occupancy::Full && !job.ran_perhaps {
             return refuse_at_once(&job);
         }
         log_attempt(gateway, &job, &choice);
@@ -355,11 +355,11 @@
         },
         tried: &job.tried,
         max_requests: (service.max_connections / (boxes + 1)).max(LEAST_CONNECTIONS),
-        asked: Asked {
-            ranks_before: site.ranks_before(&job.service, job.route.priority),
+        admission: AdmissionCriteria {
+            higher_priority_ranks: site.higher_priority_ranks(&job.service, job.route.priority),
             objective_ms: job.route.latency_objective_ms,
-            late: now_ms >= job.outgoing.objective_at_ms,
-            limit: state.limits.of(&job.service),
+            objective_missed: now_ms >= job.outgoing.objective_at_ms,
+            load_limit: state.limits.limit_of(&job.service),
         },
         objective_at_ms: Some(job.outgoing.objective_at_ms),
     };
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::now_ms;
 use crate::gateway::check::Job;
-use crate::gateway::decisions::admission::Room;
+use crate::gateway::decisions::admission::Occupancy;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::kernel::Gateway;
@@ -70,6 +70,6 @@
     let doubtful =
         state.upstreams.get_run(&choice.upstream).is_none_or(|one| one.is_doubtful(now_ms));
     drop(state);
-    let full = choice.room == Room::Full;
+    let full = choice.occupancy == Occupancy::Full;
     (!doubtful && !full && spend(gateway, &job, now_ms)).then_some(choice)
 }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::{Choice, choose};
@@ -87,7 +87,12 @@
         candidates: Candidates::Sampled { seed: 3 },
         tried: &[],
         max_requests: 100,
-        asked: Asked { ranks_before: 0, objective_ms: 500, late: false, limit: 1.1 },
+        admission: AdmissionCriteria {
+            higher_priority_ranks: 0,
+            objective_ms: 500,
+            objective_missed: false,
+            load_limit: 1.1,
+        },
         objective_at_ms: None,
     };
     choose(0, &engines(), stores, Some(&engine), &demand).unwrap()
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::demand::Demand;
@@ -191,7 +191,12 @@
         candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
-        asked: Asked { ranks_before: 0, objective_ms: OBJECTIVE_MS, late: false, limit: 1.1 },
+        admission: AdmissionCriteria {
+            higher_priority_ranks: 0,
+            objective_ms: OBJECTIVE_MS,
+            objective_missed: false,
+            load_limit: 1.1,
+        },
         objective_at_ms: Some(now_ms + OBJECTIVE_MS),
     };
     let stores = Stores::default();
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use coursestile::gateway::decisions::admission::Asked;
+use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::budget::{Budget, Terms};
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::candidates::Candidates;
@@ -63,7 +63,12 @@
         candidates: Candidates::All,
         tried,
         max_requests: 100,
-        asked: Asked { ranks_before: 0, objective_ms: 500, late: false, limit: 1.0 },
+        admission: AdmissionCriteria {
+            higher_priority_ranks: 0,
+            objective_ms: 500,
+            objective_missed: false,
+            load_limit: 1.0,
+        },
         objective_at_ms: None,
     }
 }
@@ -205,7 +210,7 @@
     large.others_fetch(60_000);
     let read_tokens = |objective_ms| {
         let mut asked = demand(Some(&prompt), &[]);
-        asked.asked.objective_ms = objective_ms;
+        asked.admission.objective_ms = objective_ms;
         let choice = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap();
         choice.context.unwrap().read_tokens
     };
