--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -93,7 +93,7 @@
 }
 
 fn told(boxes: u32, upstream: u32, requests: u32) -> LoadReport {
-    let load = Load { requests, unread_tokens: 4000, memory_tokens: 6000 };
+    let load = Load { requests, pending_prefill_tokens: 4000, memory_tokens: 6000 };
     LoadReport { upstream: upstream % engines(boxes), load, heard_age_ms: 40 }
 }
 
@@ -144,7 +144,7 @@
         upstreams.put(0, &id, entry);
         if let Some(upstream) = upstreams.get_mut(&id) {
             upstream.others =
-                Load { requests: 4, unread_tokens: 3000 + engine, memory_tokens: 9000 };
+                Load { requests: 4, pending_prefill_tokens: 3000 + engine, memory_tokens: 9000 };
         }
     }
     let stores = stores(boxes);
--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashMap;
 
-use crate::gateway::decisions::units::{READ_TOKENS_PER_MS, as_f64};
+use crate::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, as_f64};
 use crate::gateway::decisions::upstream::Load;
 use crate::names::number;
 
@@ -23,7 +23,7 @@
 /// Ranks that leave room to those before them: the others are treated alike.
 const MAX_RANKS: u8 = 3;
 /// Part of a latency objective for which prompts read before may keep one waiting.
-const READ_WAIT_PART: f64 = 0.5;
+const PREFILL_WAIT_PART: f64 = 0.5;
 /// Least time after which a refused request is to come back.
 const RETURN_LEAST_MS: u64 = 400;
 
@@ -167,9 +167,9 @@
     let taken_part = |taken: u32, of: f64| if of > 0.0 { f64::from(taken) / of } else { 0.0 };
     let memory_part = taken_part(load.memory_tokens, f64::from(capacity.memory_tokens) * part);
     let slots_part = taken_part(load.requests, f64::from(capacity.slots) * part.min(1.0));
-    let read_ms = as_f64(criteria.objective_ms) * READ_WAIT_PART * criteria.load_limit;
-    let read_part = taken_part(load.unread_tokens, read_ms * READ_TOKENS_PER_MS);
-    match memory_part.max(slots_part).max(read_part) {
+    let prefill_ms = as_f64(criteria.objective_ms) * PREFILL_WAIT_PART * criteria.load_limit;
+    let prefill_part = taken_part(load.pending_prefill_tokens, prefill_ms * PREFILL_TOKENS_PER_MS);
+    match memory_part.max(slots_part).max(prefill_part) {
         taken if taken < NEARLY_FULL_PART => Occupancy::Available,
         taken if taken < 1.0 => Occupancy::NearlyFull,
         _ => Occupancy::Full,
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -12,9 +12,9 @@
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::EngineSpec;
-use crate::gateway::decisions::sources::{Lookup, REREAD_WEIGHT};
+use crate::gateway::decisions::sources::{Lookup, RECOMPUTE_WEIGHT};
 use crate::gateway::decisions::stores::Stores;
-use crate::gateway::decisions::units::READ_TOKENS_PER_MS;
+use crate::gateway::decisions::units::PREFILL_TOKENS_PER_MS;
 use crate::gateway::decisions::upstream::{Load, Upstream};
 use crate::gateway::decisions::upstreams::Upstreams;
 
@@ -265,13 +265,13 @@
     demand: &Demand<'_>,
 ) -> (f64, Expected) {
     let load = upstream.load();
-    let waiting_ms = f64::from(load.unread_tokens) / READ_TOKENS_PER_MS;
-    let read_ms = f64::from(plan.read_tokens) / READ_TOKENS_PER_MS;
-    let reread_ms = f64::from(plan.reread_tokens) / READ_TOKENS_PER_MS;
+    let waiting_ms = f64::from(load.pending_prefill_tokens) / PREFILL_TOKENS_PER_MS;
+    let prefill_ms = f64::from(plan.prefill_tokens) / PREFILL_TOKENS_PER_MS;
+    let recompute_ms = f64::from(plan.recomputed_tokens) / PREFILL_TOKENS_PER_MS;
     let over = load.requests.saturating_sub(engine.slots);
     let memory_ms = memory_wait_ms(load.memory_tokens, engine, demand);
     let wait_ms = waiting_ms.max(memory_ms);
-    let first_token_ms = wait_ms.max(plan.fetch_ms) + read_ms;
+    let first_token_ms = wait_ms.max(plan.fetch_ms) + prefill_ms;
     let occupancy = occupancy(load, capacity(engine), demand.admission);
     let behind = demand.behind_since_ms(plan.version);
     let old_cost = match behind {
@@ -280,7 +280,7 @@
         Some(_) | None => 0.0,
     };
     let cost = first_token_ms
-        + reread_ms * REREAD_WEIGHT
+        + recompute_ms * RECOMPUTE_WEIGHT
         + plan.fetch_ms * FETCH_WEIGHT
         + f64::from(load.requests) * RUNNING_COST_MS
         + f64::from(over) * QUEUED_COST_MS
--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -72,9 +72,9 @@
     /// Time that the fetches are expected to take.
     pub fetch_ms: f64,
     /// Tokens that are read at the engine.
-    pub read_tokens: u32,
+    pub prefill_tokens: u32,
     /// Tokens of shared parts among them that some holder keeps.
-    pub reread_tokens: u32,
+    pub recomputed_tokens: u32,
 }
 
 impl ContextPlan {
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -12,12 +12,12 @@
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::{EngineSpec, Store};
 use crate::gateway::decisions::stores::{StoreState, Stores};
-use crate::gateway::decisions::units::{READ_TOKENS_PER_MS, as_f64};
+use crate::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, as_f64};
 use crate::gateway::decisions::upstream::Upstream;
 use crate::gateway::decisions::upstreams::Upstreams;
 
 /// Weight of a millisecond of reading again against one of waiting.
-pub const REREAD_WEIGHT: f64 = 6.0;
+pub const RECOMPUTE_WEIGHT: f64 = 6.0;
 /// Moves between halls take this many times as long.
 const OTHER_HALL_FACTOR: f64 = 2.0;
 /// Part of a latency objective that a transfer may take where reading again would cost less
@@ -136,8 +136,8 @@
             sources: tally.sources,
             saves: tally.saves,
             fetch_ms: tally.fetch_ms,
-            read_tokens: self.prompt.tokens.saturating_sub(tally.kept_tokens),
-            reread_tokens: tally.reread_tokens,
+            prefill_tokens: self.prompt.tokens.saturating_sub(tally.kept_tokens),
+            recomputed_tokens: tally.recomputed_tokens,
             scope: self.scope.clone(),
         }
     }
@@ -150,7 +150,7 @@
     saves: Vec<Option<Save>>,
     fetch_ms: f64,
     kept_tokens: u32,
-    reread_tokens: u32,
+    recomputed_tokens: u32,
     /// A part is missing: what comes after it is of no use.
     broken: bool,
     /// No other holder could be named for a kept part: engines stop there.
@@ -170,7 +170,7 @@
             if tokens > 0 && tokens < longest {
                 *source = Source::Read;
                 self.kept_tokens -= tokens;
-                self.reread_tokens += tokens;
+                self.recomputed_tokens += tokens;
             }
         }
         let longest = self.saves.iter().flatten().map(|save| save.tokens).max();
@@ -198,9 +198,9 @@
     /// Whether moving costs less than reading `tokens` again, or leaves enough of the latency
     /// objective.
     fn worth_it(&self, tokens: u32, objective_ms: u64) -> bool {
-        let read_ms = f64::from(tokens) / READ_TOKENS_PER_MS;
+        let prefill_ms = f64::from(tokens) / PREFILL_TOKENS_PER_MS;
         let in_time_ms = as_f64(objective_ms) * TRANSFER_PART;
-        self.move_ms < MAX_LINK_WAIT_MS.min(in_time_ms.max(read_ms * (1.0 + REREAD_WEIGHT)))
+        self.move_ms < MAX_LINK_WAIT_MS.min(in_time_ms.max(prefill_ms * (1.0 + RECOMPUTE_WEIGHT)))
     }
 }
 
@@ -209,7 +209,7 @@
     fn add(&self, found: &Found<'_>, tally: &mut Tally) {
         let own = self.own_tokens(found);
         let source = if tally.broken {
-            tally.reread_tokens += if found.kept { found.tokens } else { 0 };
+            tally.recomputed_tokens += if found.kept { found.tokens } else { 0 };
             Source::Read
         } else if own >= found.tokens {
             tally.kept_tokens += found.tokens;
@@ -246,7 +246,7 @@
             return offer.source;
         }
         tally.kept_tokens += own;
-        tally.reread_tokens += if found.kept { left } else { 0 };
+        tally.recomputed_tokens += if found.kept { left } else { 0 };
         tally.broken = true;
         Source::Read
     }
--- a/src/gateway/decisions/units.rs
+++ b/src/gateway/decisions/units.rs
@@ -1,7 +1,7 @@
 //! Figures that decisions share, and whole numbers as they weigh them.
 
 /// Prompt tokens that an engine reads in a millisecond; engines tell no such figure.
-pub const READ_TOKENS_PER_MS: f64 = 50.0;
+pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
 /// A count or a time as a fraction.
 #[expect(clippy::cast_precision_loss, reason = "counts and times are far below 2^52")]
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -57,7 +57,7 @@
     /// Requests sent and not ended.
     pub requests: u32,
     /// Prompt tokens that are still to be read.
-    pub unread_tokens: u32,
+    pub pending_prefill_tokens: u32,
     /// Memory that these requests take.
     pub memory_tokens: u32,
 }
@@ -66,14 +66,14 @@
     /// Counts another's load.
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
-        self.unread_tokens += other.unread_tokens;
+        self.pending_prefill_tokens += other.pending_prefill_tokens;
         self.memory_tokens += other.memory_tokens;
     }
 
     /// Takes out a load that was counted.
     pub fn subtract(&mut self, counted: Self) {
         self.requests -= counted.requests;
-        self.unread_tokens -= counted.unread_tokens;
+        self.pending_prefill_tokens -= counted.pending_prefill_tokens;
         self.memory_tokens -= counted.memory_tokens;
     }
 }
@@ -297,16 +297,16 @@
     }
 
     /// Counts a request that is sent.
-    pub fn sent(&mut self, now_ms: u64, unread_tokens: u32, memory_tokens: u32) {
+    pub fn sent(&mut self, now_ms: u64, pending_prefill_tokens: u32, memory_tokens: u32) {
         self.own.requests += 1;
-        self.own.unread_tokens += unread_tokens;
+        self.own.pending_prefill_tokens += pending_prefill_tokens;
         self.own.memory_tokens += memory_tokens;
         self.owes_since_ms.get_or_insert(now_ms);
     }
 
     /// Counts a prompt that has been read.
-    pub fn read_prompt(&mut self, tokens: u32) {
-        self.own.unread_tokens = self.own.unread_tokens.saturating_sub(tokens);
+    pub fn record_prefill_end(&mut self, tokens: u32) {
+        self.own.pending_prefill_tokens = self.own.pending_prefill_tokens.saturating_sub(tokens);
     }
 
     /// Counts a request that has ended.
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -29,7 +29,7 @@
     pub(super) gateway: Arc<Gateway>,
     /// The upstream.
     pub upstream: Incarnation,
-    unread_tokens: u32,
+    pending_prefill_tokens: u32,
     memory_tokens: u32,
     fetches: Vec<(String, u32)>,
     fetch_ms: f64,
@@ -46,13 +46,13 @@
     #[must_use]
     pub fn take(gateway: &Arc<Gateway>, choice: &Choice) -> Self {
         let context = choice.context.as_ref();
-        let unread_tokens = context.map_or(0, |plan| plan.read_tokens);
+        let pending_prefill_tokens = context.map_or(0, |plan| plan.prefill_tokens);
         let fetches: Vec<(String, u32)> =
             context.map(ContextPlan::store_fetches).unwrap_or_default();
         let taken_at_ms = now_ms();
         let mut state = gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) {
-            upstream.sent(taken_at_ms, unread_tokens, choice.memory_tokens);
+            upstream.sent(taken_at_ms, pending_prefill_tokens, choice.memory_tokens);
         }
         for (name, tokens) in &fetches {
             if let Some((_, store)) = state.stores.get_mut(name) {
@@ -60,13 +60,13 @@
             }
         }
         drop(state);
-        if unread_tokens >= LONG_PROMPT_TOKENS {
+        if pending_prefill_tokens >= LONG_PROMPT_TOKENS {
             gateway.load_changed.notify_one();
         }
         Self {
             gateway: gateway.clone(),
             upstream: choice.upstream.clone(),
-            unread_tokens,
+            pending_prefill_tokens,
             memory_tokens: choice.memory_tokens,
             fetches,
             fetch_ms: context.map_or(0.0, |plan| plan.fetch_ms),
@@ -121,10 +121,10 @@
     }
 
     fn prompt_is_over(&mut self, ratio: Option<f64>) {
-        let tokens = std::mem::take(&mut self.unread_tokens);
+        let tokens = std::mem::take(&mut self.pending_prefill_tokens);
         let mut state = self.gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&self.upstream) {
-            upstream.read_prompt(tokens);
+            upstream.record_prefill_end(tokens);
         }
         for (name, tokens) in std::mem::take(&mut self.fetches) {
             if let Some((_, store)) = state.stores.get_mut(&name) {
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -69,13 +69,13 @@
         job.tried.len() + 1,
         job.outgoing.deadline_ms.saturating_sub(now_ms()),
         context.map_or(0, |plan| plan.version),
-        context.map_or(0, |plan| plan.read_tokens),
-        context.map_or(0, |plan| plan.reread_tokens),
+        context.map_or(0, |plan| plan.prefill_tokens),
+        context.map_or(0, |plan| plan.recomputed_tokens),
         choice.expected_ms,
         context.map_or_else(|| "-".to_owned(), ContextPlan::summary),
         job.prompt.as_ref().and_then(|one| one.shared_parts().last()).map_or("-", |one| &one.id),
         choice.load.requests,
-        choice.load.unread_tokens,
+        choice.load.pending_prefill_tokens,
         choice.load.memory_tokens);
 }
 
--- a/tests/gateway_admission.rs
+++ b/tests/gateway_admission.rs
@@ -19,7 +19,7 @@
 }
 
 fn memory(memory_tokens: u32) -> Load {
-    Load { requests: 4, unread_tokens: 0, memory_tokens }
+    Load { requests: 4, pending_prefill_tokens: 0, memory_tokens }
 }
 
 #[test]
@@ -30,14 +30,15 @@
 
 #[test]
 fn reading_taken() {
-    let load = |unread_tokens| Load { requests: 4, unread_tokens, memory_tokens: 9000 };
+    let load =
+        |pending_prefill_tokens| Load { requests: 4, pending_prefill_tokens, memory_tokens: 9000 };
     assert!(has_room(load(3000), CAPACITY, URGENT));
     assert!(!has_room(load(30_000), CAPACITY, URGENT));
 }
 
 #[test]
 fn slots_taken() {
-    let load = |requests| Load { requests, unread_tokens: 0, memory_tokens: 9000 };
+    let load = |requests| Load { requests, pending_prefill_tokens: 0, memory_tokens: 9000 };
     assert!(has_room(load(30), CAPACITY, URGENT));
     assert!(!has_room(load(64), CAPACITY, URGENT));
 }
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -20,7 +20,8 @@
 }
 
 fn told(requests: u32) -> LoadReport {
-    let load = Load { requests, unread_tokens: requests * 100, memory_tokens: requests * 10 };
+    let load =
+        Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
     LoadReport { upstream: UPSTREAM, load, heard_age_ms: 0 }
 }
 
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -12,7 +12,7 @@
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::EngineSpec;
 use coursestile::gateway::decisions::stores::{Placing, Stores};
-use coursestile::gateway::decisions::units::{READ_TOKENS_PER_MS, whole_ms};
+use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, whole_ms};
 use coursestile::gateway::decisions::upstream::{Entry, Load};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use rstest::rstest;
@@ -62,10 +62,10 @@
     match change {
         Change::Sent(tokens) => {
             load.requests += 1;
-            load.unread_tokens += tokens;
+            load.pending_prefill_tokens += tokens;
             load.memory_tokens += tokens;
         }
-        Change::Read(tokens) => load.unread_tokens -= tokens,
+        Change::Read(tokens) => load.pending_prefill_tokens -= tokens,
         Change::Ended(tokens) => {
             load.requests -= 1;
             load.memory_tokens -= tokens;
@@ -127,7 +127,7 @@
         #[expect(clippy::cast_precision_loss, reason = "some thousand milliseconds")]
         let now = now_ms as f64;
         let begins_at_ms = self.free_at_ms[engine].max(now);
-        let read_at_ms = begins_at_ms + f64::from(tokens) / READ_TOKENS_PER_MS;
+        let read_at_ms = begins_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
         self.free_at_ms[engine] = read_at_ms;
         self.change(now_ms, from, engine, Change::Sent(tokens));
         let read = whole_ms(read_at_ms);
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -100,7 +100,7 @@
     let choice =
         choose(0, &upstreams, &stores, Some(&spec()), &demand(Some(&prompt), &[])).unwrap();
     assert_eq!(choice.upstream.id, "b");
-    assert_eq!(choice.context.unwrap().read_tokens, 200);
+    assert_eq!(choice.context.unwrap().prefill_tokens, 200);
 }
 
 #[test]
@@ -114,11 +114,11 @@
     let mut asked = demand(Some(&prompt), &[]);
     asked.isolated_account = Some("petra");
     let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
-    assert_eq!((plan.scope.as_str(), plan.read_tokens), ("1.m.petra", 5200));
+    assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("1.m.petra", 5200));
     upstreams.get_mut("a").unwrap().saw_version("m", 2);
     let asked = demand(Some(&prompt), &[]);
     let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
-    assert_eq!((plan.scope.as_str(), plan.read_tokens), ("2.m", 5200));
+    assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("2.m", 5200));
     assert_eq!((scope_version(&plan.scope), scope_model(&plan.scope)), (Some(2), Some("m")));
 }
 
@@ -208,14 +208,14 @@
     let (_, large) = stores.get_mut("large").unwrap();
     large.holder.set_tokens(PartKey::new("1.m", "aa"), 500);
     large.others_fetch(60_000);
-    let read_tokens = |objective_ms| {
+    let prefill_tokens = |objective_ms| {
         let mut asked = demand(Some(&prompt), &[]);
         asked.admission.objective_ms = objective_ms;
         let choice = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap();
-        choice.context.unwrap().read_tokens
+        choice.context.unwrap().prefill_tokens
     };
-    assert_eq!(read_tokens(500), 700, "the fetch would take most of it");
-    assert_eq!(read_tokens(1200), 200);
+    assert_eq!(prefill_tokens(500), 700, "the fetch would take most of it");
+    assert_eq!(prefill_tokens(1200), 200);
 }
 
 /// A busy engine says nothing to one box for a second, and streams to others meanwhile.
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -27,7 +27,8 @@
 }
 
 fn told(upstream: u32, requests: u32) -> LoadReport {
-    let load = Load { requests, unread_tokens: requests * 100, memory_tokens: requests * 10 };
+    let load =
+        Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
     LoadReport { upstream, load, heard_age_ms: 0 }
 }
 
