--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -6,21 +6,21 @@
 /// Time for which context of old weights is read from stores after newer ones were named;
 /// then its space is for theirs. Engines that are not loaded yet would have to read it
 /// again.
-pub const OLD_STORES_MS: u64 = 4500;
+pub const OLD_CONTEXT_READ_MS: u64 = 4500;
 
 /// Where a part of a prompt comes from.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum PartSource {
     /// The engine keeps it; another holder is named all the same, since
     /// engines follow the list of sources from its start.
-    Kept {
+    Local {
         /// Address of the other holder, as upstreams take it.
-        address: Option<String>,
+        alternate_address: Option<String>,
     },
     /// The engine reads it.
-    Read,
+    Prefill,
     /// Another engine or a store keeps it.
-    From {
+    Remote {
         /// Address, as upstreams take it.
         address: String,
         /// Name of the store, when it is one.
@@ -30,14 +30,14 @@
     },
 }
 
-impl Source {
+impl PartSource {
     /// Address of who sends it.
     #[must_use]
     pub fn address(self) -> Option<String> {
         match self {
-            Self::From { address, .. } => Some(address),
-            Self::Kept { address } => address,
-            Self::Read => None,
+            Self::Remote { address, .. } => Some(address),
+            Self::Local { alternate_address: address } => address,
+            Self::Prefill => None,
         }
     }
 }
@@ -63,10 +63,10 @@
     /// Weight version that must run.
     pub version: u64,
     /// Source of each part.
-    pub sources: Vec<Source>,
+    pub sources: Vec<PartSource>,
     /// Whether the engine takes a source for each part; else it takes just one
     /// for the whole prompt.
-    pub per_part: bool,
+    pub per_part_sources: bool,
     /// Store that takes each part.
     pub saves: Vec<Option<Save>>,
     /// Time that the fetches are expected to take.
@@ -82,8 +82,10 @@
     #[must_use]
     pub fn store_fetches(&self) -> Vec<(String, u32)> {
         let fetches = self.sources.iter().filter_map(|source| match source {
-            Source::From { store: Some(name), tokens, .. } => Some((name.clone(), *tokens)),
-            Source::From { store: None, .. } | Source::Kept { .. } | Source::Read => None,
+            PartSource::Remote { store: Some(name), tokens, .. } => Some((name.clone(), *tokens)),
+            PartSource::Remote { store: None, .. }
+            | PartSource::Local { .. }
+            | PartSource::Prefill => None,
         });
         fetches.collect()
     }
@@ -93,10 +95,10 @@
     pub fn summary(&self) -> String {
         let sources = self.sources.iter().zip(&self.saves).map(|(source, save)| {
             let source = match source {
-                Source::Kept { .. } => "kept",
-                Source::Read => "read",
-                Source::From { store: Some(name), .. } => name,
-                Source::From { address, .. } => address,
+                PartSource::Local { .. } => "kept",
+                PartSource::Prefill => "read",
+                PartSource::Remote { store: Some(name), .. } => name,
+                PartSource::Remote { address, .. } => address,
             };
             if save.is_some() { format!("{source}+save") } else { source.to_owned() }
         });
--- a/src/gateway/decisions/release.rs
+++ b/src/gateway/decisions/release.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
 
-use crate::gateway::decisions::context::OLD_STORES_MS;
+use crate::gateway::decisions::context::OLD_CONTEXT_READ_MS;
 
 /// Time that any transfer named under old weights takes at most, and more.
 pub const MAX_TRANSFER_MS: u64 = 2600;
@@ -72,7 +72,7 @@
     /// Whether nobody can read older context from a store any more.
     #[must_use]
     pub fn is_safe(&self, now_ms: u64) -> bool {
-        let over_at_ms = self.known_to_all_at_ms.map(|at_ms| at_ms + OLD_STORES_MS);
+        let over_at_ms = self.known_to_all_at_ms.map(|at_ms| at_ms + OLD_CONTEXT_READ_MS);
         over_at_ms.is_some_and(|at_ms| now_ms >= at_ms + MAX_TRANSFER_MS)
     }
 }
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -7,7 +7,9 @@
 //! store.
 
 use crate::gateway::decisions::cache_contents::PartKey;
-use crate::gateway::decisions::context::{ContextPlan, OLD_STORES_MS, Save, Source, scope};
+use crate::gateway::decisions::context::{
+    ContextPlan, OLD_CONTEXT_READ_MS, PartSource, Save, scope,
+};
 use crate::gateway::decisions::demand::Demand;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::{EngineSpec, Store};
@@ -71,7 +73,8 @@
         // Old context is freed soon, so that what is read anew can be saved: as long as it
         // stayed, up to 2.8 million tokens were read again on a day with two roll-outs.
         let behind_since_ms = demand.behind_since_ms(version);
-        let reads_stores = behind_since_ms.is_none_or(|since_ms| now_ms < since_ms + OLD_STORES_MS)
+        let reads_stores = behind_since_ms
+            .is_none_or(|since_ms| now_ms < since_ms + OLD_CONTEXT_READ_MS)
             && !demand.is_overdue(now_ms, version);
         let saves = behind_since_ms.is_none();
         let shared = prompt.shared_parts();
@@ -124,7 +127,7 @@
             weigher.add(found, &mut tally);
         }
         if !self.prompt.parts.is_empty() {
-            tally.sources.push(Source::Read);
+            tally.sources.push(PartSource::Prefill);
             tally.saves.push(None);
         }
         if !engine.per_part_sources {
@@ -132,7 +135,7 @@
         }
         ContextPlan {
             version: self.version,
-            per_part: engine.per_part_sources,
+            per_part_sources: engine.per_part_sources,
             sources: tally.sources,
             saves: tally.saves,
             fetch_ms: tally.fetch_ms,
@@ -146,7 +149,7 @@
 /// What was found for the parts so far.
 #[derive(Default)]
 struct Tally {
-    sources: Vec<Source>,
+    sources: Vec<PartSource>,
     saves: Vec<Option<Save>>,
     fetch_ms: f64,
     kept_tokens: u32,
@@ -160,15 +163,15 @@
 impl Tally {
     /// Names just one source and one store, those of the longest part.
     fn name_one_holder(&mut self) {
-        let tokens_of = |source: &Source| match source {
-            Source::From { tokens, .. } => *tokens,
-            Source::Kept { .. } | Source::Read => 0,
+        let tokens_of = |source: &PartSource| match source {
+            PartSource::Remote { tokens, .. } => *tokens,
+            PartSource::Local { .. } | PartSource::Prefill => 0,
         };
         let longest = self.sources.iter().map(tokens_of).max().unwrap_or_default();
         for source in &mut self.sources {
             let tokens = tokens_of(source);
             if tokens > 0 && tokens < longest {
-                *source = Source::Read;
+                *source = PartSource::Prefill;
                 self.kept_tokens -= tokens;
                 self.recomputed_tokens += tokens;
             }
@@ -190,7 +193,7 @@
 
 /// Who sends a part, and how soon it is there.
 struct Offer {
-    source: Source,
+    source: PartSource,
     move_ms: f64,
 }
 
@@ -210,12 +213,12 @@
         let own = self.own_tokens(found);
         let source = if tally.broken {
             tally.recomputed_tokens += if found.kept { found.tokens } else { 0 };
-            Source::Read
+            PartSource::Prefill
         } else if own >= found.tokens {
             tally.kept_tokens += found.tokens;
             let address = self.cheapest(found).and_then(|offer| offer.source.address());
             tally.unnamed |= address.is_none();
-            Source::Kept { address }
+            PartSource::Local { alternate_address: address }
         } else {
             self.fetch_or_read(found, own, tally)
         };
@@ -237,7 +240,7 @@
         holder.tokens(found.key).min(found.tokens)
     }
 
-    fn fetch_or_read(&self, found: &Found<'_>, own: u32, tally: &mut Tally) -> Source {
+    fn fetch_or_read(&self, found: &Found<'_>, own: u32, tally: &mut Tally) -> PartSource {
         let left = found.tokens - own;
         let offer = self.cheapest(found).filter(|_| !tally.unnamed);
         if let Some(offer) = offer.filter(|offer| offer.worth_it(left, self.objective_ms)) {
@@ -248,7 +251,7 @@
         tally.kept_tokens += own;
         tally.recomputed_tokens += if found.kept { left } else { 0 };
         tally.broken = true;
-        Source::Read
+        PartSource::Prefill
     }
 
     /// Who would send a whole part soonest.
@@ -256,14 +259,14 @@
         let stores = found.stores.iter().map(|(store, state)| {
             let tokens = found.tokens;
             let address = store.address.to_string();
-            let source = Source::From { address, store: Some(store.name.clone()), tokens };
+            let source = PartSource::Remote { address, store: Some(store.name.clone()), tokens };
             Offer { source, move_ms: self.store_move_ms(store, state, tokens) }
         });
         let engines = found.engines.iter().filter(|one| one.id != self.upstream.id).map(|one| {
             let factor = hall_factor(&one.entry.hall, &self.upstream.entry.hall);
             let link_ms = bytes_ms(found.tokens, self.engine, self.engine.link_mbps) * factor;
             let address = one.entry.address.to_string();
-            let source = Source::From { address, store: None, tokens: found.tokens };
+            let source = PartSource::Remote { address, store: None, tokens: found.tokens };
             Offer { source, move_ms: MOVE_OVERHEAD_MS + link_ms }
         });
         stores.chain(engines).min_by(|one, other| one.move_ms.total_cmp(&other.move_ms))
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -7,7 +7,7 @@
 use hyper::http::uri::Authority;
 use hyper::{Method, Request, StatusCode, Uri};
 
-use crate::gateway::decisions::context::{ContextPlan, Source};
+use crate::gateway::decisions::context::{ContextPlan, PartSource};
 use crate::gateway::decisions::notice::Notice;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::heads::{AnswerHead, Forward, RequestHead};
@@ -87,12 +87,14 @@
 fn set_context(head: &mut HeaderMap, context: &ContextPlan, until_ms: Option<u64>) {
     set(head, headers::CONTEXT_SCOPE, &context.scope);
     head.insert(headers::WEIGHT_VERSION, HeaderValue::from(context.version));
-    let fetches = context.sources.iter().any(|source| matches!(source, Source::From { .. }));
+    let fetches = context.sources.iter().any(|source| matches!(source, PartSource::Remote { .. }));
     if let Some(until_ms) = until_ms.filter(|_| fetches) {
         let sources = context.sources.iter().map(|source| match source {
-            Source::Read => None,
-            Source::Kept { address } => address.as_deref().filter(|_| context.per_part),
-            Source::From { address, .. } => Some(address.as_str()),
+            PartSource::Prefill => None,
+            PartSource::Local { alternate_address: address } => {
+                address.as_deref().filter(|_| context.per_part_sources)
+            }
+            PartSource::Remote { address, .. } => Some(address.as_str()),
         });
         set(head, headers::CONTEXT_FROM, &addresses(context, sources));
         head.insert(headers::CONTEXT_UNTIL_MS, HeaderValue::from(until_ms));
@@ -106,7 +108,7 @@
 /// Addresses as a header has them: one for each part (`-` for none), or the one
 /// that there is.
 fn addresses<'a>(context: &ContextPlan, parts: impl Iterator<Item = Option<&'a str>>) -> String {
-    if context.per_part {
+    if context.per_part_sources {
         let parts: Vec<&str> = parts.map(|address| address.unwrap_or("-")).collect();
         return parts.join(",");
     }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -6,7 +6,7 @@
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::{Choice, choose};
-use coursestile::gateway::decisions::context::Source;
+use coursestile::gateway::decisions::context::PartSource;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::kept::CacheListing;
 use coursestile::gateway::decisions::prompt::Prompt;
@@ -118,5 +118,8 @@
     stores.get_mut(&second).unwrap().1.holder.set_tokens(common, COMMON_TOKENS);
     let choice = chosen(&stores, "south");
     let near = stores.get(&second).unwrap().0.address.to_string();
-    assert_eq!(choice.context.unwrap().sources[0], Source::Kept { address: Some(near) });
+    assert_eq!(
+        choice.context.unwrap().sources[0],
+        PartSource::Local { alternate_address: Some(near) }
+    );
 }
--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr};
 
 use common::{start_engines, wait_ready};
-use coursestile::gateway::decisions::context::OLD_STORES_MS;
+use coursestile::gateway::decisions::context::OLD_CONTEXT_READ_MS;
 use coursestile::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::{Site, document, engine_services, eventually};
@@ -29,7 +29,7 @@
     naming.note_informed(100, |one| one != address(3));
     assert!(!naming.is_safe(1_000_000), "one says nothing, and may read on");
     naming.note_informed(5000, |one| one == address(3));
-    let over_at_ms = 5000 + OLD_STORES_MS + MAX_TRANSFER_MS;
+    let over_at_ms = 5000 + OLD_CONTEXT_READ_MS + MAX_TRANSFER_MS;
     assert!(!naming.is_safe(over_at_ms - 1));
     assert!(naming.is_safe(over_at_ms));
 }
