--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -16,7 +16,7 @@
 use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
-use coursestile::gateway::decisions::stores::{Placing, Stores};
+use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::{Entry, Load};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile::gateway::decisions::view::ViewDigest;
@@ -179,7 +179,7 @@
         weights: None,
         weights_apply_ms: 12_000,
         bars_overdue: true,
-        placing: Placing::Home,
+        placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
@@ -217,7 +217,7 @@
         hall: format!("hall-{}", number % HALLS),
         capacity_tokens: 20_000_000,
         link_mbps: 29_000.0,
-        first_ms: 6.0,
+        transfer_setup_ms: 6.0,
         managed: true,
     }
 }
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -263,7 +263,7 @@
     let now_ms = now_ms();
     for save in context.saves.iter().flatten() {
         if let Some((_, store_state)) = state.stores.get_mut(&save.store) {
-            store_state.saves(now_ms, save.part, save.tokens);
+            store_state.record_save(now_ms, save.part, save.tokens);
         }
     }
 }
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -4,7 +4,7 @@
 use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
-use crate::gateway::decisions::stores::Placing;
+use crate::gateway::decisions::stores::Placement;
 use crate::gateway::decisions::weights::NamedVersions;
 
 /// Time by which a request may begin after it was sent, whatever is expected: an engine short
@@ -34,7 +34,7 @@
     /// Whether overdue weights are out of the question, not only the last resort.
     pub bars_overdue: bool,
     /// How the store that takes a part is chosen.
-    pub placing: Placing<'a>,
+    pub placement: Placement<'a>,
     /// Which upstreams are looked at.
     pub candidates: Candidates,
     /// Upstreams that were tried already.
--- a/src/gateway/decisions/site.rs
+++ b/src/gateway/decisions/site.rs
@@ -123,7 +123,7 @@
     /// Rate of its link.
     pub link_mbps: f64,
     /// Wait before each transfer.
-    pub first_ms: f64,
+    pub transfer_setup_ms: f64,
     /// Whether space is freed by us alone.
     pub managed: bool,
 }
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -83,16 +83,16 @@
             let of_service = upstreams.of(demand.service);
             let engines: Vec<&Upstream> =
                 of_service.filter(|one| one.holder.tokens(key) > 0).collect();
-            let kept = !engines.is_empty() || stores.keeps(key);
+            let kept = !engines.is_empty() || stores.has_part(key);
             let common = place == 0 && shared.len() > 1;
-            let placing =
-                if common { demand.placing.of_common(demand.hall) } else { demand.placing };
+            let placement =
+                if common { demand.placement.of_common(demand.hall) } else { demand.placement };
             Found {
                 key,
                 tokens: part.tokens,
                 common,
                 stores: if reads_stores {
-                    stores.holders(now_ms, key, part.tokens).collect()
+                    stores.complete_holders(now_ms, key, part.tokens).collect()
                 } else {
                     Vec::new()
                 },
@@ -101,7 +101,9 @@
                     .filter(|one| one.holder.tokens(key) >= part.tokens && !one.is_doubtful(now_ms))
                     .collect(),
                 kept,
-                save_to: stores.place_for(now_ms, key, part.tokens, placing).filter(|_| saves),
+                save_to: stores
+                    .store_for_save(now_ms, key, part.tokens, placement)
+                    .filter(|_| saves),
             }
         });
         let parts = parts.collect();
@@ -277,7 +279,9 @@
         let waiting = u32::try_from(state.fetch_tokens()).unwrap_or(u32::MAX);
         let wait_ms = bytes_ms(waiting, self.engine, store.link_mbps);
         let move_ms = bytes_ms(tokens, self.engine, store.link_mbps) * factor;
-        MOVE_OVERHEAD_MS + store.first_ms + (wait_ms + move_ms) * state.slowness(self.now_ms)
+        MOVE_OVERHEAD_MS
+            + store.transfer_setup_ms
+            + (wait_ms + move_ms) * state.slowdown_factor(self.now_ms)
     }
 }
 
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -9,16 +9,16 @@
 
 /// Part of a store that is filled at most, so that the estimate of its content
 /// may be off.
-const FILLED_PART: f64 = 0.97;
+const MAX_FILL_PART: f64 = 0.97;
 /// Weight of the newest fetch in the belief how slow a store is.
-const SLOWNESS_WEIGHT: f64 = 0.25;
+const SLOWDOWN_WEIGHT: f64 = 0.25;
 /// Time in which that belief fades to a third.
-const SLOWNESS_FADES_MS: f64 = 3000.0;
+const SLOWDOWN_DECAY_MS: f64 = 3000.0;
 /// Slowest that a store is believed to be.
-const MOST_SLOWNESS: f64 = 12.0;
+const MAX_SLOWDOWN: f64 = 12.0;
 /// Time in which a saved part must be told of: the prompt has to be read and
 /// sent before.
-const SAVE_MS: u64 = 3000;
+const SAVE_REPORT_MS: u64 = 3000;
 /// Time for which a store that took no part is believed to be full.
 const FULL_MS: u64 = 5000;
 /// Time for which a store that failed is avoided.
@@ -26,38 +26,38 @@
 
 /// How the store that is to take a part is chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Placing<'a> {
+pub enum Placement<'a> {
     /// The quickest that has room.
-    Quickest {
+    FastestLink {
         /// Data hall that is near.
         hall: &'a str,
     },
     /// By the part's name: many boxes that all choose the quickest would crowd
     /// its link.
-    Home,
+    RendezvousHash,
     /// By the part's name among the stores of a hall, whatever other halls keep: engines that
     /// lack a part that most requests share would all fetch it over one link.
-    HomeInHall {
+    RendezvousHashInHall {
         /// Data hall.
         hall: &'a str,
     },
 }
 
-impl<'a> Placing<'a> {
+impl<'a> Placement<'a> {
     /// How the store of a part that most requests share is chosen, for boxes of a hall.
     #[must_use]
     pub fn of_common(self, hall: &'a str) -> Self {
         match self {
-            Self::Home => Self::HomeInHall { hall },
-            Self::Quickest { .. } | Self::HomeInHall { .. } => self,
+            Self::RendezvousHash => Self::RendezvousHashInHall { hall },
+            Self::FastestLink { .. } | Self::RendezvousHashInHall { .. } => self,
         }
     }
 
     /// Whether a store is one that the part may be kept at.
     fn covers(self, store: &Store) -> bool {
         match self {
-            Self::HomeInHall { hall } => store.hall == hall,
-            Self::Quickest { .. } | Self::Home => true,
+            Self::RendezvousHashInHall { hall } => store.hall == hall,
+            Self::FastestLink { .. } | Self::RendezvousHash => true,
         }
     }
 }
@@ -71,18 +71,18 @@
     pub partial_tokens: u64,
     avoid_until_ms: u64,
     own_fetch_tokens: u64,
-    other_fetch_tokens: u64,
-    slowness: f64,
-    slowness_at_ms: u64,
+    peer_fetch_tokens: u64,
+    slowdown: f64,
+    slowdown_at_ms: u64,
     full_until_ms: u64,
-    saves: HashMap<PartKey, Save>,
+    pending_saves: HashMap<PartKey, PendingSave>,
     /// Number of its name.
     seed: u32,
 }
 
 /// A part that this box has had saved, and that was not told of yet.
 #[derive(Clone, Copy, Debug)]
-struct Save {
+struct PendingSave {
     tokens: u32,
     until_ms: u64,
 }
@@ -113,14 +113,14 @@
     }
 
     /// Avoids it for a while.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         self.avoid_until_ms = now_ms + AVOID_MS;
     }
 
     /// Tokens that are being fetched from it, by all boxes.
     #[must_use]
     pub fn fetch_tokens(&self) -> u64 {
-        self.own_fetch_tokens + self.other_fetch_tokens
+        self.own_fetch_tokens + self.peer_fetch_tokens
     }
 
     /// Tokens that are being fetched from it by this box.
@@ -130,57 +130,57 @@
     }
 
     /// Notes what all other boxes fetch.
-    pub fn others_fetch(&mut self, tokens: u64) {
-        self.other_fetch_tokens = tokens;
+    pub fn set_peer_fetch_tokens(&mut self, tokens: u64) {
+        self.peer_fetch_tokens = tokens;
     }
 
     /// How many times as long as it should a fetch takes; the belief fades, so
     /// that a link that has recovered is used again.
     #[must_use]
-    pub fn slowness(&self, now_ms: u64) -> f64 {
-        let age_ms = as_f64(now_ms.saturating_sub(self.slowness_at_ms));
-        1.0 + (self.slowness.max(1.0) - 1.0) * (-age_ms / SLOWNESS_FADES_MS).exp()
+    pub fn slowdown_factor(&self, now_ms: u64) -> f64 {
+        let age_ms = as_f64(now_ms.saturating_sub(self.slowdown_at_ms));
+        1.0 + (self.slowdown.max(1.0) - 1.0) * (-age_ms / SLOWDOWN_DECAY_MS).exp()
     }
 
     /// Counts a fetch that begins.
-    pub fn fetch_begins(&mut self, tokens: u32) {
+    pub fn record_fetch_start(&mut self, tokens: u32) {
         self.own_fetch_tokens += u64::from(tokens);
     }
 
     /// Counts a fetch that has ended, which took so many times as long as it
     /// was expected to.
-    pub fn fetch_ended(&mut self, now_ms: u64, tokens: u32, ratio: Option<f64>) {
+    pub fn record_fetch_end(&mut self, now_ms: u64, tokens: u32, ratio: Option<f64>) {
         self.own_fetch_tokens = self.own_fetch_tokens.saturating_sub(u64::from(tokens));
         if let Some(ratio) = ratio {
-            let ratio = ratio.clamp(1.0, MOST_SLOWNESS);
-            let believed = self.slowness(now_ms);
-            self.slowness = believed + (ratio - believed) * SLOWNESS_WEIGHT;
-            self.slowness_at_ms = now_ms;
+            let ratio = ratio.clamp(1.0, MAX_SLOWDOWN);
+            let believed = self.slowdown_factor(now_ms);
+            self.slowdown = believed + (ratio - believed) * SLOWDOWN_WEIGHT;
+            self.slowdown_at_ms = now_ms;
         }
     }
 
     /// Notes that a part is being saved there, if this box will hear of it.
-    pub fn saves(&mut self, now_ms: u64, part: PartKey, tokens: u32) {
+    pub fn record_save(&mut self, now_ms: u64, part: PartKey, tokens: u32) {
         if !self.holder.is_known() {
             return;
         }
-        self.saves.insert(part, Save { tokens, until_ms: now_ms + SAVE_MS });
+        self.pending_saves.insert(part, PendingSave { tokens, until_ms: now_ms + SAVE_REPORT_MS });
     }
 
     /// Tokens that it holds or is about to hold.
     #[must_use]
-    pub fn taken_tokens(&self) -> u64 {
-        let saving: u64 = self.saves.values().map(|save| u64::from(save.tokens)).sum();
+    pub fn used_tokens(&self) -> u64 {
+        let saving: u64 = self.pending_saves.values().map(|save| u64::from(save.tokens)).sum();
         self.holder.total_tokens() + self.partial_tokens + saving
     }
 
     /// Settles saves: those that were told of, and those that found no room.
-    fn settle_saves(&mut self, now_ms: u64) -> usize {
+    fn settle(&mut self, now_ms: u64) -> usize {
         let holder = &self.holder;
-        self.saves.retain(|part, _| holder.tokens(*part) == 0);
-        let before = self.saves.len();
-        self.saves.retain(|_, save| save.until_ms > now_ms);
-        let lost = before - self.saves.len();
+        self.pending_saves.retain(|part, _| holder.tokens(*part) == 0);
+        let before = self.pending_saves.len();
+        self.pending_saves.retain(|_, save| save.until_ms > now_ms);
+        let lost = before - self.pending_saves.len();
         if lost > 0 {
             self.full_until_ms = now_ms + FULL_MS;
         }
@@ -228,10 +228,10 @@
     }
 
     /// Settles saves; returns how many found no room, by store.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<(String, usize)> {
+    pub fn settle_saves(&mut self, now_ms: u64) -> Vec<(String, usize)> {
         let mut lost = Vec::new();
         for (store, state) in self.by_name.values_mut() {
-            let count = state.settle_saves(now_ms);
+            let count = state.settle(now_ms);
             if count > 0 {
                 lost.push((store.name.clone(), count));
             }
@@ -241,12 +241,12 @@
 
     /// Whether any store is known to keep some of a part.
     #[must_use]
-    pub fn keeps(&self, key: PartKey) -> bool {
+    pub fn has_part(&self, key: PartKey) -> bool {
         self.iter().any(|(_, state)| state.holder.tokens(key) > 0)
     }
 
     /// The stores that keep a part whole.
-    pub fn holders(
+    pub fn complete_holders(
         &self,
         now_ms: u64,
         key: PartKey,
@@ -259,41 +259,44 @@
 
     /// The store that is to take a part, when none is known to keep it.
     #[must_use]
-    pub fn place_for(
+    pub fn store_for_save(
         &self,
         now_ms: u64,
         key: PartKey,
         tokens: u32,
-        placing: Placing<'_>,
+        placement: Placement<'_>,
     ) -> Option<&Store> {
-        let kept =
-            |state: &StoreState| state.holder.tokens(key) > 0 || state.saves.contains_key(&key);
-        if self.iter().any(|(store, state)| placing.covers(store) && kept(state)) {
+        let kept = |state: &StoreState| {
+            state.holder.tokens(key) > 0 || state.pending_saves.contains_key(&key)
+        };
+        if self.iter().any(|(store, state)| placement.covers(store) && kept(state)) {
             return None;
         }
-        let place = match placing {
-            Placing::Home => self.home(now_ms, key, tokens),
-            Placing::HomeInHall { hall } => self.home_in_hall(now_ms, key, tokens, hall),
-            Placing::Quickest { hall } => self.quickest(now_ms, tokens, hall),
+        let place = match placement {
+            Placement::RendezvousHash => self.by_hash(now_ms, key, tokens),
+            Placement::RendezvousHashInHall { hall } => {
+                self.by_hash_in_hall(now_ms, key, tokens, hall)
+            }
+            Placement::FastestLink { hall } => self.fastest_link(now_ms, tokens, hall),
         };
         place.map(|(store, _)| store)
     }
 
     /// The store with room whose link is quickest, in the own hall if two are
     /// alike.
-    fn quickest(&self, now_ms: u64, tokens: u32, hall: &str) -> Option<&(Store, StoreState)> {
+    fn fastest_link(&self, now_ms: u64, tokens: u32, hall: &str) -> Option<&(Store, StoreState)> {
         let cost = |(store, _): &(Store, StoreState)| {
             let away = if store.hall == hall { 1.0 } else { 2.0 };
             away / store.link_mbps.max(1.0)
         };
-        self.able(now_ms, tokens).min_by(|one, other| cost(one).total_cmp(&cost(other)))
+        self.available(now_ms, tokens).min_by(|one, other| cost(one).total_cmp(&cost(other)))
     }
 
     /// The stores that are known, have room and do not fail.
-    fn able(&self, now_ms: u64, tokens: u32) -> impl Iterator<Item = &(Store, StoreState)> {
+    fn available(&self, now_ms: u64, tokens: u32) -> impl Iterator<Item = &(Store, StoreState)> {
         self.iter().filter(move |(store, state)| {
-            let filled = state.taken_tokens() + u64::from(tokens);
-            let full = as_f64(filled) > FILLED_PART * as_f64(store.capacity_tokens);
+            let filled = state.used_tokens() + u64::from(tokens);
+            let full = as_f64(filled) > MAX_FILL_PART * as_f64(store.capacity_tokens);
             let sound = state.holder.is_known() && !state.is_avoided(now_ms);
             !full && sound && now_ms >= state.full_until_ms
         })
@@ -301,7 +304,7 @@
 
     /// The store of a hall that takes a part which most requests share: by its name, in
     /// proportion to the rates of the stores' links.
-    fn home_in_hall(
+    fn by_hash_in_hall(
         &self,
         now_ms: u64,
         key: PartKey,
@@ -310,16 +313,16 @@
     ) -> Option<&(Store, StoreState)> {
         let distance =
             |(store, state): &(Store, StoreState)| state.draw(key) / store.link_mbps.max(1.0);
-        let able = self.able(now_ms, tokens).filter(|(store, _)| store.hall == hall);
-        able.min_by(|one, other| distance(one).total_cmp(&distance(other)))
+        let available = self.available(now_ms, tokens).filter(|(store, _)| store.hall == hall);
+        available.min_by(|one, other| distance(one).total_cmp(&distance(other)))
     }
 
     /// The store that takes a part wherever it is asked for: by its name, in
     /// proportion to the stores' sizes. One that is full or fails is passed over.
-    fn home(&self, now_ms: u64, key: PartKey, tokens: u32) -> Option<&(Store, StoreState)> {
+    fn by_hash(&self, now_ms: u64, key: PartKey, tokens: u32) -> Option<&(Store, StoreState)> {
         let distance =
             |(store, state): &(Store, StoreState)| state.draw(key) / as_f64(store.capacity_tokens);
-        let able = self.able(now_ms, tokens);
-        able.min_by(|one, other| distance(one).total_cmp(&distance(other)))
+        let available = self.available(now_ms, tokens);
+        available.min_by(|one, other| distance(one).total_cmp(&distance(other)))
     }
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -16,16 +16,13 @@
 
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::claims;
 use crate::gateway::decisions::units::whole_ms;
 use crate::gateway::decisions::view::{CatchUp, Snapshot, VersionedValue, ViewChange};
 use crate::gateway::decisions::weights::UNKNOWN_TIME_MS;
-use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::members;
 use crate::gateway::metadata::{Change, Freshness, Item, Wait, Watched};
-use crate::gateway::quarantine;
 use crate::gateway::settings::Bounds;
+use crate::gateway::{claims, entries, members, quarantine};
 use crate::phase::Phase;
 use crate::platform::keys::{self, Kind};
 
@@ -133,7 +130,7 @@
         let changes = state.view.apply_due_removals(now_ms);
         apply(&gateway, &mut state, now_ms, Named::Now, changes);
         metrics::gauge!("coursestile_weights_behind_seconds").set(behind_s(&state, now_ms));
-        for (store, count) in state.stores.tick(now_ms) {
+        for (store, count) in state.stores.settle_saves(now_ms) {
             info!(target: "stores", "event=saves_lost store={store} count={count}");
         }
         drop(state);
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -107,7 +107,7 @@
                 if let HolderId::Store(name) = &holder_id
                     && let Some((_, state)) = gateway.state().stores.get_mut(name)
                 {
-                    state.failed(now_ms());
+                    state.record_failure(now_ms());
                     // It may have lost all, and have a part written again.
                     state.holder.mark_unknown();
                     known = false;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -324,7 +324,7 @@
     }
     let State { stores, peers, .. } = &mut *state;
     for (_, store) in stores.iter_mut() {
-        store.others_fetch(peers.fetch_tokens(store.number()));
+        store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
     }
 }
 
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -141,7 +141,7 @@
             upstream.others_heard(peers.heard_at_ms(upstream.number));
         }
         for (_, store) in stores.iter_mut() {
-            store.others_fetch(peers.fetch_tokens(store.number()));
+            store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
         }
         limits.set_peer_limits(peers.limits(now_ms));
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -56,7 +56,7 @@
         }
         for (name, tokens) in &fetches {
             if let Some((_, store)) = state.stores.get_mut(name) {
-                store.fetch_begins(*tokens);
+                store.record_fetch_start(*tokens);
             }
         }
         drop(state);
@@ -128,7 +128,7 @@
         }
         for (name, tokens) in std::mem::take(&mut self.fetches) {
             if let Some((_, store)) = state.stores.get_mut(&name) {
-                store.fetch_ended(now_ms(), tokens, ratio);
+                store.record_fetch_end(now_ms(), tokens, ratio);
             }
         }
     }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -17,7 +17,7 @@
 use crate::gateway::decisions::choose::{Choice, choose};
 use crate::gateway::decisions::demand::Demand;
 use crate::gateway::decisions::site::Repeat;
-use crate::gateway::decisions::stores::Placing;
+use crate::gateway::decisions::stores::Placement;
 use crate::gateway::decisions::upstream::Upstream;
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
@@ -343,10 +343,10 @@
         weights,
         weights_apply_ms: gateway.settings.bounds.weights_apply_ms,
         bars_overdue: overdue::is_barred(state, now_ms),
-        placing: if state.peers.is_small_fleet() {
-            Placing::Quickest { hall: &gateway.settings.hall }
+        placement: if state.peers.is_small_fleet() {
+            Placement::FastestLink { hall: &gateway.settings.hall }
         } else {
-            Placing::Home
+            Placement::RendezvousHash
         },
         candidates: if state.peers.is_small_fleet() {
             Candidates::All
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -189,7 +189,7 @@
         hall: service.zone,
         capacity_tokens: service.kv_capacity,
         link_mbps: service.link_mbps,
-        first_ms: service.first_ms,
+        transfer_setup_ms: service.first_ms,
         managed: service.managed,
     }
 }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -11,7 +11,7 @@
 use coursestile::gateway::decisions::kept::CacheListing;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
-use coursestile::gateway::decisions::stores::{Placing, Stores};
+use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::Entry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 
@@ -26,7 +26,7 @@
         hall: hall.to_owned(),
         capacity_tokens: 1_000_000,
         link_mbps: 29_000.0,
-        first_ms: 6.0,
+        transfer_setup_ms: 6.0,
         managed: true,
     }
 }
@@ -83,7 +83,7 @@
         weights: None,
         weights_apply_ms: 10_000,
         bars_overdue: true,
-        placing: Placing::Home,
+        placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed: 3 },
         tried: &[],
         max_requests: 100,
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -11,7 +11,7 @@
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::EngineSpec;
-use coursestile::gateway::decisions::stores::{Placing, Stores};
+use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, whole_ms};
 use coursestile::gateway::decisions::upstream::{Entry, Load};
 use coursestile::gateway::decisions::upstreams::Upstreams;
@@ -187,7 +187,7 @@
         weights: None,
         weights_apply_ms: 10_000,
         bars_overdue: true,
-        placing: Placing::Home,
+        placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed },
         tried: &[],
         max_requests: 100,
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -14,7 +14,7 @@
 use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
-use coursestile::gateway::decisions::stores::{Placing, Stores};
+use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::Entry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile::gateway::decisions::weights::NamedVersions;
@@ -59,7 +59,7 @@
         weights: None,
         weights_apply_ms: 10_000,
         bars_overdue: true,
-        placing: Placing::Quickest { hall: "north" },
+        placement: Placement::FastestLink { hall: "north" },
         candidates: Candidates::All,
         tried,
         max_requests: 100,
@@ -180,7 +180,7 @@
         hall: "north".to_owned(),
         capacity_tokens: 1_000_000,
         link_mbps,
-        first_ms: 1.0,
+        transfer_setup_ms: 1.0,
         managed: true,
     }
 }
@@ -207,7 +207,7 @@
     stores.configure(&[store("large", 2, 28_000.0)]);
     let (_, large) = stores.get_mut("large").unwrap();
     large.holder.set_tokens(PartKey::new("1.m", "aa"), 500);
-    large.others_fetch(60_000);
+    large.set_peer_fetch_tokens(60_000);
     let prefill_tokens = |objective_ms| {
         let mut asked = demand(Some(&prompt), &[]);
         asked.admission.objective_ms = objective_ms;
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -5,7 +5,7 @@
 use coursestile::gateway::decisions::cache_contents::{CacheContents, CacheUpdate, PartKey};
 use coursestile::gateway::decisions::kept::{CacheChange, CacheChanges, CacheListing, KeptPart};
 use coursestile::gateway::decisions::site::Store;
-use coursestile::gateway::decisions::stores::{Placing, Stores};
+use coursestile::gateway::decisions::stores::{Placement, Stores};
 use proptest::prelude::*;
 
 const SCOPE: &str = "1.m";
@@ -121,7 +121,7 @@
         hall: "north".to_owned(),
         capacity_tokens,
         link_mbps: 100_000.0,
-        first_ms: 1.0,
+        transfer_setup_ms: 1.0,
         managed: true,
     }
 }
@@ -137,7 +137,9 @@
 fn homes_by_size() {
     let (one, other) = (known_stores(), known_stores());
     let home = |stores: &Stores, part| {
-        stores.place_for(0, key(part), 100, Placing::Home).map(|store| store.name.clone())
+        stores
+            .store_for_save(0, key(part), 100, Placement::RendezvousHash)
+            .map(|store| store.name.clone())
     };
     assert!((0..400).all(|part| home(&one, part) == home(&other, part)), "in every box");
     let large = (0..400).filter(|part| home(&one, *part).as_deref() == Some("a")).count();
@@ -149,11 +151,11 @@
     let mut stores = known_stores();
     let part = key(7);
     stores.get_mut("a").unwrap().1.holder.set_tokens(part, 100);
-    assert_eq!(stores.holders(0, part, 100).count(), 1);
-    assert_eq!(stores.holders(0, part, 101).count(), 0, "it is not whole");
+    assert_eq!(stores.complete_holders(0, part, 100).count(), 1);
+    assert_eq!(stores.complete_holders(0, part, 101).count(), 0, "it is not whole");
     // A store that fails may come back empty, and have the part written again.
     stores.get_mut("a").unwrap().1.holder.mark_unknown();
-    assert_eq!(stores.holders(0, part, 100).count(), 0);
-    let place = stores.place_for(0, part, 100, Placing::Quickest { hall: "north" });
+    assert_eq!(stores.complete_holders(0, part, 100).count(), 0);
+    let place = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
     assert_eq!(place.map(|store| store.name.as_str()), Some("b"));
 }
