--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use coursestile::gateway::decisions::admission::AdmissionCriteria;
+use coursestile::gateway::decisions::cache_reports::{CacheChange, CacheListing, CachedPart};
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::scope;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, LoadReport};
-use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
@@ -201,10 +201,15 @@
     for (place, (_, state)) in (0_u32..).zip(stores.iter_mut()) {
         let parts = (0..KEPT_PARTS).map(|part| part * count + place);
         let held = parts.map(|part| CacheChange {
-            kept: KeptPart { scope: scope(MODEL, 1, None), part: format!("{part:x}") },
+            part: CachedPart { scope: scope(MODEL, 1, None), part_id: format!("{part:x}") },
             tokens: 5000,
         });
-        let listing = CacheListing { boot: 1, next: 1, held: held.collect(), partial: Vec::new() };
+        let listing = CacheListing {
+            boot_epoch: 1,
+            next_position: 1,
+            complete: held.collect(),
+            partial: Vec::new(),
+        };
         state.holder.apply_listing(&listing);
     }
     stores
--- a/src/gateway/decisions/cache_contents.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::gateway::decisions::kept::{CacheChange, CacheChanges, CacheListing};
+use crate::gateway::decisions::cache_reports::{CacheChange, CacheChanges, CacheListing};
 
 /// Names a part under a scope, the same in every box. Should two parts have the
 /// same name, one is believed to be where the other is, and missed there.
@@ -166,11 +166,11 @@
 
     /// Takes in changes; true when a listing is needed to know all.
     pub fn apply_changes(&mut self, changes: &CacheChanges) -> bool {
-        if self.known && self.boot != changes.boot {
+        if self.known && self.boot != changes.boot_epoch {
             self.clear();
         }
-        self.boot = changes.boot;
-        self.next = changes.next;
+        self.boot = changes.boot_epoch;
+        self.next = changes.next_position;
         self.set_known(true);
         for change in &changes.changes {
             self.set(change);
@@ -181,10 +181,10 @@
     /// Takes in a listing, which is the whole truth.
     pub fn apply_listing(&mut self, listing: &CacheListing) {
         self.clear();
-        self.boot = listing.boot;
-        self.next = listing.next;
+        self.boot = listing.boot_epoch;
+        self.next = listing.next_position;
         self.set_known(true);
-        for held in &listing.held {
+        for held in &listing.complete {
             self.set(held);
         }
     }
@@ -219,6 +219,6 @@
     }
 
     fn set(&mut self, change: &CacheChange) {
-        self.set_tokens(PartKey::new(&change.kept.scope, &change.kept.part), change.tokens);
+        self.set_tokens(PartKey::new(&change.part.scope, &change.part.part_id), change.tokens);
     }
 }
--- a/src/gateway/decisions/kept.rs
+++ b/src/gateway/decisions/cache_reports.rs
@@ -2,18 +2,18 @@
 
 /// A part of a prompt whose context is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeptPart {
+pub struct CachedPart {
     /// Name under which it is found.
     pub scope: String,
     /// Id of the part.
-    pub part: String,
+    pub part_id: String,
 }
 
 /// A change of what is kept.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
     /// The part.
-    pub kept: KeptPart,
+    pub part: CachedPart,
     /// Tokens that are kept now.
     pub tokens: u32,
 }
@@ -22,9 +22,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChanges {
     /// Changes when the holder restarts, and all is gone.
-    pub boot: u64,
+    pub boot_epoch: u64,
     /// Place to go on from.
-    pub next: u64,
+    pub next_position: u64,
     /// Some changes in between are missing, or could not be read.
     pub gap: bool,
     /// The changes, in order.
@@ -39,11 +39,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheListing {
     /// Changes when the holder restarts.
-    pub boot: u64,
+    pub boot_epoch: u64,
     /// Place from which to ask for changes.
-    pub next: u64,
+    pub next_position: u64,
     /// Whole parts.
-    pub held: Vec<CacheChange>,
+    pub complete: Vec<CacheChange>,
     /// Parts whose writing broke off, or goes on.
     pub partial: Vec<PartialPart>,
 }
@@ -52,16 +52,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartialPart {
     /// The part.
-    pub kept: KeptPart,
+    pub part: CachedPart,
     /// Tokens that are whole.
-    pub whole_tokens: u32,
+    pub complete_tokens: u32,
 }
 
 /// What became of an order to free parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Freed {
+pub enum FreeOutcome {
     /// They are freed.
-    Done,
+    Freed,
     /// The store has restarted, or the deadline had passed.
     Refused,
 }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! - Where a request runs: `choose`, by `candidates`, `demand`, `prompt`, `upstream`, `upstreams`,
 //!   `notice` and `incarnation`.
-//! - Where its context comes from and goes: `sources`, `stores`, `cache_contents`, `kept`, `context`.
+//! - Where its context comes from and goes: `sources`, `stores`, `cache_contents`, `cache_reports`, `context`.
 //! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
 //! - Which weights engines get, and when old context may go: `rollout`, `weights`, `orders`,
 //!   `claims`, `release`.
@@ -13,6 +13,7 @@
 pub mod admission;
 pub mod budget;
 pub mod cache_contents;
+pub mod cache_reports;
 pub mod candidates;
 pub mod choose;
 pub mod claims;
@@ -21,7 +22,6 @@
 pub mod gossip_message;
 pub mod hall_summary;
 pub mod incarnation;
-pub mod kept;
 pub mod notice;
 pub mod orders;
 pub mod peers;
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -12,7 +12,7 @@
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::decisions::cache_contents::CacheContents;
-use crate::gateway::decisions::kept::{CacheChanges, CacheListing};
+use crate::gateway::decisions::cache_reports::{CacheChanges, CacheListing};
 use crate::gateway::decisions::upstream::Told;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
@@ -158,7 +158,7 @@
 async fn list(gateway: &Gateway, holder_id: &HolderId, address: SocketAddr) -> Result<()> {
     let listing: CacheListing = gateway.caches.list(address).await?;
     info!(target: "caches", "event=holder_listed holder={holder_id:?} boot={} parts={} partial={}",
-        listing.boot, listing.held.len(), listing.partial.len());
+        listing.boot_epoch, listing.complete.len(), listing.partial.len());
     with_holder(&mut gateway.state(), holder_id, |holder| holder.apply_listing(&listing));
     Ok(())
 }
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -15,8 +15,8 @@
 use crate::clock::now_ms;
 use crate::gateway::claims;
 use crate::gateway::decisions::cache_contents::PartKey;
+use crate::gateway::decisions::cache_reports::{CacheListing, CachedPart, FreeOutcome};
 use crate::gateway::decisions::context::{scope_model, scope_version};
-use crate::gateway::decisions::kept::{CacheListing, Freed, KeptPart};
 use crate::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use crate::gateway::kernel::{Gateway, State};
 use crate::names::number;
@@ -141,29 +141,34 @@
         settled
     }
 
-    fn parts_to_free(&mut self, now_ms: u64, store: &str, listing: &CacheListing) -> Vec<KeptPart> {
-        let is_old = |kept: &KeptPart| {
+    fn parts_to_free(
+        &mut self,
+        now_ms: u64,
+        store: &str,
+        listing: &CacheListing,
+    ) -> Vec<CachedPart> {
+        let is_old = |kept: &CachedPart| {
             let version = scope_version(&kept.scope);
             let oldest = scope_model(&kept.scope).and_then(|model| self.oldest_read.get(model));
             oldest.is_some_and(|oldest| version.is_some_and(|one| one < *oldest))
         };
-        let mut parts: Vec<KeptPart> = listing
-            .held
+        let mut parts: Vec<CachedPart> = listing
+            .complete
             .iter()
-            .map(|held| &held.kept)
+            .map(|held| &held.part)
             .filter(|kept| is_old(kept))
             .cloned()
             .collect();
         let mut seen = HashSet::new();
         for partial in &listing.partial {
-            let key = (store.to_owned(), PartKey::new(&partial.kept.scope, &partial.kept.part));
+            let key = (store.to_owned(), PartKey::new(&partial.part.scope, &partial.part.part_id));
             seen.insert(key.clone());
-            let known = self.partial.entry(key).or_insert((partial.whole_tokens, now_ms));
-            if known.0 != partial.whole_tokens {
-                *known = (partial.whole_tokens, now_ms);
+            let known = self.partial.entry(key).or_insert((partial.complete_tokens, now_ms));
+            if known.0 != partial.complete_tokens {
+                *known = (partial.complete_tokens, now_ms);
             }
             if now_ms >= known.1 + BROKEN_OFF_MS {
-                parts.push(partial.kept.clone());
+                parts.push(partial.part.clone());
             }
         }
         self.partial.retain(|key, _| key.0 != store || seen.contains(key));
@@ -199,7 +204,7 @@
     socket: &UdpSocket,
     store: ManagedStore<'_>,
     listing: &CacheListing,
-    parts: Vec<KeptPart>,
+    parts: Vec<CachedPart>,
 ) {
     let ManagedStore { name, address, fence } = store;
     for batch in parts.chunks(FREE_BATCH) {
@@ -213,16 +218,16 @@
         };
         let Some(ahead_ms) = ahead_ms.filter(|_| allowed) else { return };
         let until_ms = now_ms.saturating_add_signed(ahead_ms) + FREE_MS;
-        match gateway.caches.free(address, batch, listing.boot, until_ms).await {
-            Ok(Freed::Done) => {
+        match gateway.caches.free(address, batch, listing.boot_epoch, until_ms).await {
+            Ok(FreeOutcome::Freed) => {
                 info!(target: "leader", "event=parts_freed store={name} count={}", batch.len());
                 if let Some((_, state)) = gateway.state().stores.get_mut(name) {
                     for kept in batch {
-                        state.holder.set_tokens(PartKey::new(&kept.scope, &kept.part), 0);
+                        state.holder.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
                     }
                 }
             }
-            Ok(Freed::Refused) => {
+            Ok(FreeOutcome::Refused) => {
                 warn!(target: "leader", "event=parts_not_freed store={name} reason=refused");
             }
             Err(error) => {
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::error::{Error, Result};
-use crate::gateway::decisions::kept::{
-    CacheChange, CacheChanges, CacheListing, Freed, KeptPart, PartialPart,
+use crate::gateway::decisions::cache_reports::{
+    CacheChange, CacheChanges, CacheListing, CachedPart, FreeOutcome, PartialPart,
 };
 use crate::platform::http::{Http, decoded, whole_ms};
 
@@ -125,20 +125,20 @@
     pub async fn free(
         &self,
         address: SocketAddr,
-        parts: &[KeptPart],
+        parts: &[CachedPart],
         boot: u64,
         until_ms: u64,
-    ) -> Result<Freed> {
+    ) -> Result<FreeOutcome> {
         let url = format!("http://{address}/coursestile/kv-free");
-        let parts = parts.iter().map(|kept| (kept.scope.as_str(), kept.part.as_str()));
+        let parts = parts.iter().map(|kept| (kept.scope.as_str(), kept.part_id.as_str()));
         let body = FreeBody { parts: parts.collect(), boot_epoch: boot, until_ms };
         let request = self.http.post(&url).json(&body).timeout(CALL_TIMEOUT);
         let answer = self.http.send(request).await?;
         if answer.status() == StatusCode::CONFLICT {
-            return Ok(Freed::Refused);
+            return Ok(FreeOutcome::Refused);
         }
         self.http.success(answer)?;
-        Ok(Freed::Done)
+        Ok(FreeOutcome::Freed)
     }
 }
 
@@ -152,12 +152,12 @@
     let events = readable(holder, body.events);
     let all_read = events.len() == told;
     let changes = events.into_iter().map(|(_, _, scope, part, tokens, _)| CacheChange {
-        kept: KeptPart { scope, part },
+        part: CachedPart { scope, part_id: part },
         tokens,
     });
     Ok(CacheChanges {
-        boot: body.boot_epoch,
-        next: body.next_token,
+        boot_epoch: body.boot_epoch,
+        next_position: body.next_token,
         gap: body.lost || !all_read,
         changes: changes.collect(),
         clock_ms: body.clock_ms.and_then(|clock_ms| read_clock(holder, clock_ms)),
@@ -171,17 +171,17 @@
 /// Fails when it is none; an item that is no part is left out.
 pub fn read_listing(holder: SocketAddr, body: &[u8]) -> Result<CacheListing> {
     let body: ListBody = decoded(body)?;
-    let held = readable(holder, body.held)
-        .into_iter()
-        .map(|(scope, part, tokens, _)| CacheChange { kept: KeptPart { scope, part }, tokens });
+    let held = readable(holder, body.held).into_iter().map(|(scope, part, tokens, _)| {
+        CacheChange { part: CachedPart { scope, part_id: part }, tokens }
+    });
     let partial =
-        readable(holder, body.partial).into_iter().map(|(scope, part, whole_tokens, _)| {
-            PartialPart { kept: KeptPart { scope, part }, whole_tokens }
+        readable(holder, body.partial).into_iter().map(|(scope, part, complete_tokens, _)| {
+            PartialPart { part: CachedPart { scope, part_id: part }, complete_tokens }
         });
     Ok(CacheListing {
-        boot: body.boot_epoch,
-        next: body.next_token,
-        held: held.collect(),
+        boot_epoch: body.boot_epoch,
+        next_position: body.next_token,
+        complete: held.collect(),
         partial: partial.collect(),
     })
 }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -4,11 +4,11 @@
 
 use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::cache_contents::PartKey;
+use coursestile::gateway::decisions::cache_reports::CacheListing;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::{Choice, choose};
 use coursestile::gateway::decisions::context::PartSource;
 use coursestile::gateway::decisions::demand::Demand;
-use coursestile::gateway::decisions::kept::CacheListing;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
@@ -41,7 +41,12 @@
         store("s2", "south", 4),
     ]);
     for (_, state) in stores.iter_mut() {
-        let listing = CacheListing { boot: 1, next: 1, held: Vec::new(), partial: Vec::new() };
+        let listing = CacheListing {
+            boot_epoch: 1,
+            next_position: 1,
+            complete: Vec::new(),
+            partial: Vec::new(),
+        };
         state.holder.apply_listing(&listing);
     }
     stores
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -6,12 +6,12 @@
 use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::budget::{Budget, Terms};
 use coursestile::gateway::decisions::cache_contents::PartKey;
+use coursestile::gateway::decisions::cache_reports::{CacheChange, CacheListing, CachedPart};
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
 use coursestile::gateway::decisions::context::{scope_model, scope_version};
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::incarnation::Incarnation;
-use coursestile::gateway::decisions::kept::{CacheChange, CacheListing, KeptPart};
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
@@ -141,14 +141,18 @@
     let mut upstreams = Upstreams::default();
     upstreams.put(0, "a", entry("north", 1, 1));
     let held = |part: &str, tokens| CacheChange {
-        kept: KeptPart { scope: "1.m".to_owned(), part: part.to_owned() },
+        part: CachedPart { scope: "1.m".to_owned(), part_id: part.to_owned() },
         tokens,
     };
     let mut stores = Stores::default();
     stores.configure(&[store("big", 2, 29_000.0), store("small", 3, 100_000.0)]);
     for (name, part, tokens) in [("big", "bb", 4000), ("small", "aa", 1000)] {
-        let listing =
-            CacheListing { boot: 1, next: 0, held: vec![held(part, tokens)], partial: Vec::new() };
+        let listing = CacheListing {
+            boot_epoch: 1,
+            next_position: 0,
+            complete: vec![held(part, tokens)],
+            partial: Vec::new(),
+        };
         stores.get_mut(name).unwrap().1.holder.apply_listing(&listing);
     }
     let prompt = Prompt::parse("m", "5300,10", "aa:1000,bb:4000,cc:100,dd:200").unwrap();
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use coursestile::gateway::decisions::cache_contents::{CacheContents, CacheUpdate, PartKey};
-use coursestile::gateway::decisions::kept::{CacheChange, CacheChanges, CacheListing, KeptPart};
+use coursestile::gateway::decisions::cache_reports::{
+    CacheChange, CacheChanges, CacheListing, CachedPart,
+};
 use coursestile::gateway::decisions::site::Store;
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use proptest::prelude::*;
@@ -15,15 +17,22 @@
 }
 
 fn change(part: u16, tokens: u32) -> CacheChange {
-    CacheChange { kept: KeptPart { scope: SCOPE.to_owned(), part: part.to_string() }, tokens }
+    CacheChange { part: CachedPart { scope: SCOPE.to_owned(), part_id: part.to_string() }, tokens }
 }
 
 fn changes(boot: u64, changes: Vec<CacheChange>) -> CacheChanges {
-    CacheChanges { boot, next: 0, gap: false, changes, clock_ms: None, started_at_ms: None }
+    CacheChanges {
+        boot_epoch: boot,
+        next_position: 0,
+        gap: false,
+        changes,
+        clock_ms: None,
+        started_at_ms: None,
+    }
 }
 
 fn listing(boot: u64) -> CacheListing {
-    CacheListing { boot, next: 0, held: Vec::new(), partial: Vec::new() }
+    CacheListing { boot_epoch: boot, next_position: 0, complete: Vec::new(), partial: Vec::new() }
 }
 
 #[derive(Clone, Debug)]
