--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -42,7 +42,7 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     if let Some(upstream) = state.upstreams.get_run_mut(upstream) {
-        upstream.suspect();
+        upstream.mark_unreachable();
     }
     let mut is_urgent = false;
     for request in requests {
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -37,7 +37,7 @@
 /// Weight of fetching beside its time, for the use of links.
 const FETCH_WEIGHT: f64 = 0.5;
 /// Cost of a doubtful upstream; it is chosen when all are.
-const DOUBTFUL_COST_MS: f64 = 100_000.0;
+const UNHEALTHY_COST_MS: f64 = 100_000.0;
 /// Cost of an engine that has no room: any other goes before, but for doubtful ones.
 const NO_ROOM_COST_MS: f64 = 10_000.0;
 /// Cost of weights that are older than the newest named: below the wait that
@@ -124,7 +124,7 @@
 impl Best<'_> {
     /// Whether there is no need to look at others.
     fn is_good(&self, now_ms: u64) -> bool {
-        self.expected.occupancy != Occupancy::Full && !self.upstream.is_doubtful(now_ms)
+        self.expected.occupancy != Occupancy::Full && !self.upstream.is_unhealthy(now_ms)
     }
 
     fn into_choice(self, now_ms: u64, demand: &Demand<'_>) -> Choice {
@@ -198,8 +198,9 @@
             _ => (plain_cost(upstream), None, Expected::UNKNOWN),
         };
         let hall_cost = if upstream.entry.hall == demand.hall { 0.0 } else { OTHER_HALL_COST_MS };
-        let doubt_cost = if upstream.is_doubtful(now_ms) { DOUBTFUL_COST_MS } else { 0.0 };
-        let cost = cost + hall_cost + doubt_cost + spread_ms(demand.box_number, upstream.number);
+        let unhealthy_cost = if upstream.is_unhealthy(now_ms) { UNHEALTHY_COST_MS } else { 0.0 };
+        let cost =
+            cost + hall_cost + unhealthy_cost + spread_ms(demand.box_number, upstream.number);
         Best { cost, upstream, context, expected }
     }
 
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -98,7 +98,9 @@
                 },
                 engines: engines
                     .into_iter()
-                    .filter(|one| one.holder.tokens(key) >= part.tokens && !one.is_doubtful(now_ms))
+                    .filter(|one| {
+                        one.holder.tokens(key) >= part.tokens && !one.is_unhealthy(now_ms)
+                    })
                     .collect(),
                 kept,
                 save_to: stores
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -4,11 +4,12 @@
 //! fails is avoided for a while, and one that owes answers and says nothing at
 //! all is not given more.
 
-mod soundness;
+mod health;
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
+pub use health::SILENT_MS;
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::decisions::cache_contents::CacheContents;
@@ -16,10 +17,8 @@
 use crate::gateway::decisions::notice::NoticeState;
 use crate::names::number;
 
-pub use soundness::SILENT_MS;
-
 /// First time for which an upstream that failed is avoided.
-const AVOID_MS: u64 = 500;
+const FIRST_AVOID_MS: u64 = 500;
 
 /// An upstream, as it tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -100,21 +99,21 @@
     versions: HashMap<String, u64>,
     avoid_until_ms: u64,
     avoid_ms: u64,
-    failure_share: f64,
-    heard_at_ms: u64,
-    others_heard_at_ms: u64,
-    owes_since_ms: Option<u64>,
+    failure_rate: f64,
+    last_receive_ms: u64,
+    peers_last_receive_ms: u64,
+    awaiting_answer_since_ms: Option<u64>,
     loading_until_ms: u64,
     unreachable: bool,
-    unreached_at_ms: Option<u64>,
+    connect_timeout_at_ms: Option<u64>,
     superseded: bool,
     /// What its answers asked.
     notices: NoticeState,
     /// Until when it rests, by the word of other boxes.
-    rests_for_others_until_ms: u64,
-    turned_away_until_ms: u64,
+    peer_backoff_until_ms: u64,
+    rejecting_until_ms: u64,
     /// Requests in a row that it turned away.
-    turned_away: u32,
+    consecutive_rejections: u32,
 }
 
 impl Upstream {
@@ -133,19 +132,19 @@
             holder: CacheContents::default(),
             versions: HashMap::new(),
             avoid_until_ms: 0,
-            avoid_ms: AVOID_MS,
-            failure_share: 0.0,
-            heard_at_ms: 0,
-            others_heard_at_ms: 0,
-            owes_since_ms: None,
+            avoid_ms: FIRST_AVOID_MS,
+            failure_rate: 0.0,
+            last_receive_ms: 0,
+            peers_last_receive_ms: 0,
+            awaiting_answer_since_ms: None,
             loading_until_ms: 0,
             unreachable: false,
-            unreached_at_ms: None,
+            connect_timeout_at_ms: None,
             superseded: false,
             notices: NoticeState::default(),
-            rests_for_others_until_ms: 0,
-            turned_away_until_ms: 0,
-            turned_away: 0,
+            peer_backoff_until_ms: 0,
+            rejecting_until_ms: 0,
+            consecutive_rejections: 0,
         }
     }
 
@@ -297,11 +296,11 @@
     }
 
     /// Counts a request that is sent.
-    pub fn sent(&mut self, now_ms: u64, pending_prefill_tokens: u32, memory_tokens: u32) {
+    pub fn record_sent(&mut self, now_ms: u64, pending_prefill_tokens: u32, memory_tokens: u32) {
         self.own.requests += 1;
         self.own.pending_prefill_tokens += pending_prefill_tokens;
         self.own.memory_tokens += memory_tokens;
-        self.owes_since_ms.get_or_insert(now_ms);
+        self.awaiting_answer_since_ms.get_or_insert(now_ms);
     }
 
     /// Counts a prompt that has been read.
@@ -310,27 +309,27 @@
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&mut self, memory_tokens: u32) {
+    pub fn record_request_end(&mut self, memory_tokens: u32) {
         self.own.requests = self.own.requests.saturating_sub(1);
         self.own.memory_tokens = self.own.memory_tokens.saturating_sub(memory_tokens);
         if self.own.requests == 0 {
-            self.owes_since_ms = None;
+            self.awaiting_answer_since_ms = None;
         }
     }
 
     /// Notes that bytes have arrived from it.
-    pub fn heard(&mut self, now_ms: u64) {
-        self.heard_at_ms = now_ms;
+    pub fn record_receive(&mut self, now_ms: u64) {
+        self.last_receive_ms = now_ms;
     }
 
     /// Notes when other boxes heard it last.
-    pub fn others_heard(&mut self, at_ms: u64) {
-        self.others_heard_at_ms = at_ms;
+    pub fn record_peer_receive(&mut self, at_ms: u64) {
+        self.peers_last_receive_ms = at_ms;
     }
 
     /// Time since bytes arrived from it, as far as it can be told.
     #[must_use]
-    pub fn heard_age_ms(&self, now_ms: u64) -> u16 {
-        u16::try_from(now_ms.saturating_sub(self.heard_at_ms)).unwrap_or(u16::MAX)
+    pub fn receive_age_ms(&self, now_ms: u64) -> u16 {
+        u16::try_from(now_ms.saturating_sub(self.last_receive_ms)).unwrap_or(u16::MAX)
     }
 }
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -63,15 +63,18 @@
 
     /// Notes that no connection to an upstream came up in time. Two in one
     /// hall at about the same time speak against the way to that hall.
-    pub fn unreached(&mut self, now_ms: u64, upstream: &Incarnation, own_hall: &str) {
+    pub fn record_connect_timeout(&mut self, now_ms: u64, upstream: &Incarnation, own_hall: &str) {
         let Some(upstream) = self.get_run_mut(upstream) else { return };
-        upstream.unreached(now_ms);
+        upstream.record_connect_timeout(now_ms);
         let hall = upstream.entry.hall.clone();
         let of_hall = |one: &Upstream| one.entry.hall == hall;
-        let lately = self.by_id.values().filter(|one| of_hall(one) && one.unreached_lately(now_ms));
+        let lately = self
+            .by_id
+            .values()
+            .filter(|one| of_hall(one) && one.connect_timed_out_recently(now_ms));
         if hall != own_hall && lately.count() > 1 {
             for one in self.by_id.values_mut().filter(|one| of_hall(one)) {
-                one.suspect();
+                one.mark_unreachable();
             }
         }
     }
@@ -79,11 +82,11 @@
     /// Notes those that owe answers and say nothing; they get no work until a
     /// connection to them comes up. Since when the one that fell silent last has
     /// said nothing.
-    pub fn suspect_silent(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn mark_silent_unreachable(&mut self, now_ms: u64) -> Option<u64> {
         let mut last_ms = None;
         for upstream in self.by_id.values_mut() {
             if let Some(since_ms) = upstream.silent_since_ms(now_ms) {
-                upstream.suspect();
+                upstream.mark_unreachable();
                 last_ms = last_ms.max(Some(since_ms));
             }
         }
@@ -168,7 +171,8 @@
     #[must_use]
     pub fn is_way_cut(&self, now_ms: u64, model: &str) -> bool {
         let engines = self.current().filter(|one| one.version(model) > 0);
-        let cut = engines.clone().filter(|one| one.is_unreachable() && one.others_hear(now_ms));
+        let cut =
+            engines.clone().filter(|one| one.is_unreachable() && one.answers_other_boxes(now_ms));
         2 * cut.count() > engines.count()
     }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -140,7 +140,7 @@
     state.upstreams.iter().map(move |one| LoadReport {
         upstream: one.number,
         load: one.own,
-        heard_age_ms: one.heard_age_ms(now_ms),
+        heard_age_ms: one.receive_age_ms(now_ms),
     })
 }
 
@@ -203,7 +203,7 @@
 
 fn resting(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let resting = state.upstreams.iter().filter_map(|one| {
-        let left_ms = one.left_alone_until_ms(now_ms)? - now_ms;
+        let left_ms = one.backoff_until_ms(now_ms)? - now_ms;
         Some((one.number, u16::try_from(left_ms).unwrap_or(u16::MAX)))
     });
     resting.collect()
@@ -354,7 +354,7 @@
     let spread_ms = u64::from(state.peers.local().number) % REST_SPREAD_MS;
     for (number, left_ms) in resting {
         if let Some(upstream) = state.upstreams.numbered_mut(*number) {
-            upstream.rests_for_others(now_ms + u64::from(*left_ms) + spread_ms);
+            upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + spread_ms);
         }
     }
 }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -127,7 +127,7 @@
     pub fn take_others_load(&mut self, number: u32) {
         if let Some(upstream) = self.upstreams.numbered_mut(number) {
             upstream.others = self.peers.load(number);
-            upstream.others_heard(self.peers.heard_at_ms(number));
+            upstream.record_peer_receive(self.peers.heard_at_ms(number));
         }
     }
 
@@ -138,7 +138,7 @@
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
             upstream.others = peers.load(upstream.number);
-            upstream.others_heard(peers.heard_at_ms(upstream.number));
+            upstream.record_peer_receive(peers.heard_at_ms(upstream.number));
         }
         for (_, store) in stores.iter_mut() {
             store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -123,7 +123,7 @@
                     && claims::may_order(state, bounds, now_ms, number(&engine.id)),
                 failed_orders: failed.count,
                 requests: engine.load().requests,
-                doubtful: engine.is_doubtful(now_ms),
+                doubtful: engine.is_unhealthy(now_ms),
             }
         })
         .collect()
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -52,7 +52,7 @@
         let taken_at_ms = now_ms();
         let mut state = gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) {
-            upstream.sent(taken_at_ms, pending_prefill_tokens, choice.memory_tokens);
+            upstream.record_sent(taken_at_ms, pending_prefill_tokens, choice.memory_tokens);
         }
         for (name, tokens) in &fetches {
             if let Some((_, store)) = state.stores.get_mut(name) {
@@ -82,7 +82,7 @@
     /// Notes that bytes have arrived.
     pub fn heard(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.heard(now_ms());
+            upstream.record_receive(now_ms());
         }
     }
 
@@ -136,14 +136,14 @@
     /// Notes an answer as it should be.
     pub fn succeeded(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.succeeded();
+            upstream.record_success();
         }
     }
 
     /// Notes a failure that says something about the upstream.
     pub fn failed(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.failed(now_ms());
+            upstream.record_failure(now_ms());
         }
     }
 
@@ -162,7 +162,7 @@
             return;
         }
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.turned_away(now_ms);
+            upstream.record_rejection(now_ms);
         }
         self.gateway.load_changed.notify_one();
     }
@@ -170,7 +170,7 @@
     /// Notes that the upstream took the request.
     pub fn took_request(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.took_request();
+            upstream.record_acceptance();
         }
     }
 
@@ -209,7 +209,7 @@
     /// Notes that no connection to the upstream came up.
     pub fn unreached(&self) {
         let own_hall = &self.gateway.settings.hall;
-        self.gateway.state().upstreams.unreached(now_ms(), &self.upstream, own_hall);
+        self.gateway.state().upstreams.record_connect_timeout(now_ms(), &self.upstream, own_hall);
     }
 
     /// Notes that another incarnation has the upstream's address.
@@ -234,7 +234,7 @@
         self.unanswered();
         self.prompt_is_over(None);
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.ended(self.memory_tokens);
+            upstream.record_request_end(self.memory_tokens);
         }
         self.gateway.places.notify_waiters();
     }
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -30,7 +30,7 @@
 
 fn unreachable(gateway: &Gateway) -> Vec<(String, SocketAddr)> {
     let mut state = gateway.state();
-    if let Some(silent_since_ms) = state.upstreams.suspect_silent(now_ms()) {
+    if let Some(silent_since_ms) = state.upstreams.mark_silent_unreachable(now_ms()) {
         gateway.connections.suspect(silent_since_ms);
     }
     let unreachable = state.upstreams.current().filter(|one| one.is_unreachable());
@@ -44,7 +44,7 @@
     };
     gateway.connections.keep(&id, sender);
     if let Some(upstream) = gateway.state().upstreams.get_mut(&id) {
-        upstream.reached();
+        upstream.mark_reachable();
     }
     info!(target: "reach", "event=upstream_reached upstream={id}");
     gateway.places.notify_waiters();
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -68,7 +68,7 @@
     let mut state = gateway.state();
     let choice = choose_now(&mut state, gateway, &job)?;
     let doubtful =
-        state.upstreams.get_run(&choice.upstream).is_none_or(|one| one.is_doubtful(now_ms));
+        state.upstreams.get_run(&choice.upstream).is_none_or(|one| one.is_unhealthy(now_ms));
     drop(state);
     let full = choice.occupancy == Occupancy::Full;
     (!doubtful && !full && spend(gateway, &job, now_ms)).then_some(choice)
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -127,7 +127,7 @@
     let mut upstreams = Upstreams::default();
     upstreams.put(0, "a", entry("north", 1, 1));
     upstreams.put(0, "b", entry("south", 2, 1));
-    upstreams.get_mut("a").unwrap().sent(0, 0, 0);
+    upstreams.get_mut("a").unwrap().record_sent(0, 0, 0);
     let stores = Stores::default();
     let at =
         |now_ms| choose(now_ms, &upstreams, &stores, None, &demand(None, &[])).unwrap().upstream.id;
@@ -228,15 +228,15 @@
     let mut upstreams = Upstreams::default();
     upstreams.put(0, "a", entry("north", 1, 1));
     let engine = upstreams.get_mut("a").unwrap();
-    engine.sent(0, 0, 0);
+    engine.record_sent(0, 0, 0);
     assert!(engine.is_silent(801), "nobody hears it");
-    engine.others_heard(500);
+    engine.record_peer_receive(500);
     assert!(!engine.is_silent(1300), "others heard it 800 ms before");
     assert!(engine.is_silent(1301));
-    engine.others_heard(1600);
+    engine.record_peer_receive(1600);
     assert!(!engine.is_silent(1600));
     assert!(engine.is_silent(1601), "the way to it may be cut");
-    engine.heard(1600);
+    engine.record_receive(1600);
     assert!(!engine.is_silent(2400));
 }
 
@@ -246,13 +246,13 @@
     for (id, hall) in [("a", "north"), ("b", "south"), ("c", "south"), ("d", "south")] {
         upstreams.put(0, id, entry(hall, 1, 1));
     }
-    upstreams.unreached(1000, &run("b"), "north");
+    upstreams.record_connect_timeout(1000, &run("b"), "north");
     assert!(!upstreams.get("d").unwrap().is_unreachable());
-    upstreams.unreached(1200, &run("c"), "north");
-    assert!(upstreams.get("d").unwrap().is_doubtful(1200), "the way to the hall is cut");
-    assert!(!upstreams.get("a").unwrap().is_doubtful(1200));
-    upstreams.get_mut("d").unwrap().reached();
-    assert!(!upstreams.get("d").unwrap().is_doubtful(1200));
+    upstreams.record_connect_timeout(1200, &run("c"), "north");
+    assert!(upstreams.get("d").unwrap().is_unhealthy(1200), "the way to the hall is cut");
+    assert!(!upstreams.get("a").unwrap().is_unhealthy(1200));
+    upstreams.get_mut("d").unwrap().mark_reachable();
+    assert!(!upstreams.get("d").unwrap().is_unhealthy(1200));
 }
 
 #[test]
@@ -262,8 +262,8 @@
     upstreams.put(0, "b", entry("south", 2, 2));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     upstreams.get_mut("a").unwrap().holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
-    upstreams.get_mut("b").unwrap().sent(0, 40_000, 0);
-    upstreams.get_mut("b").unwrap().heard(10_000);
+    upstreams.get_mut("b").unwrap().record_sent(0, 40_000, 0);
+    upstreams.get_mut("b").unwrap().record_receive(10_000);
     let mut weights = NamedVersions::default();
     assert!(
         weights.add_named_at(0, 1)
@@ -274,7 +274,7 @@
     let mut asked = demand(Some(&prompt), &[]);
     asked.weights = Some(&weights);
     let mut at = |now_ms| {
-        upstreams.get_mut("b").unwrap().heard(now_ms);
+        upstreams.get_mut("b").unwrap().record_receive(now_ms);
         choose(now_ms, &upstreams, &stores, Some(&spec()), &asked).unwrap().upstream.id
     };
     assert_eq!(at(5000), "a", "it is behind, and much quicker");
@@ -291,7 +291,7 @@
     let calm =
         |upstreams: &Upstreams| choose(0, upstreams, &stores, Some(&spec()), &asked).unwrap().calm;
     assert!(calm(&upstreams), "a late first token would be the store's");
-    upstreams.get_mut("a").unwrap().sent(0, 4000, 0);
+    upstreams.get_mut("a").unwrap().record_sent(0, 4000, 0);
     assert!(!calm(&upstreams), "the engine reads for some 80 ms before");
 }
 
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -227,7 +227,7 @@
     let mut upstreams = Upstreams::default();
     assert_eq!(upstreams.put(10, "e", told(started_at_ms)), Told::Known);
     let engine = upstreams.get_mut("e").unwrap();
-    engine.sent(20, 500, 900);
+    engine.record_sent(20, 500, 900);
     engine.saw_version("m", 3);
     engine.holder.set_tokens(PartKey::new("3.m", "aa"), 100);
     engine.supersede();
--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -103,14 +103,14 @@
         upstreams.put(0, &format!("e-{number}"), entry);
     }
     for one in upstreams.iter_mut() {
-        one.others_heard(9000);
+        one.record_peer_receive(9000);
     }
     assert!(!upstreams.is_way_cut(9500, "m"));
     for id in ["e-0", "e-1"] {
-        upstreams.get_mut(id).unwrap().unreached(9400);
+        upstreams.get_mut(id).unwrap().record_connect_timeout(9400);
     }
     assert!(!upstreams.is_way_cut(9500, "m"), "half of them may be dark");
-    upstreams.get_mut("e-2").unwrap().unreached(9400);
+    upstreams.get_mut("e-2").unwrap().record_connect_timeout(9400);
     assert!(upstreams.is_way_cut(9500, "m"));
     assert!(!upstreams.is_way_cut(12_000, "m"), "nobody hears them: it is they");
 }
