--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -271,6 +271,6 @@
 /// Until when transfers may run, on the upstreams' clock: counted from the choice of their
 /// sources, since a box may stand still between that and the request.
 fn transfers_until_ms(gateway: &Gateway, chosen_at_ms: u64) -> Option<u64> {
-    let ahead_ms = gateway.state().upstream_clock_ahead_ms?;
+    let ahead_ms = gateway.state().upstream_clock_offset_ms?;
     chosen_at_ms.checked_add_signed(ahead_ms).map(|clock_ms| clock_ms + TRANSFER_MS)
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -78,10 +78,10 @@
     gateway.enter(Phase::Draining);
     // Connections that were idle close first.
     sleep(STOP_POLL).await;
-    while gateway.state().serving > 0 && now_ms() < stop_at_ms {
+    while gateway.state().requests_in_flight > 0 && now_ms() < stop_at_ms {
         sleep(STOP_POLL).await;
     }
-    let serving = gateway.state().serving;
+    let serving = gateway.state().requests_in_flight;
     if serving > 0 {
         warn!(target: "daemon", "event=requests_cut count={serving} reason=time_to_stop_is_over");
     }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -57,7 +57,7 @@
     // All boxes of a fleet may start at once.
     let mut freshness = Freshness::Stale;
     while gateway.phase() != Phase::Stopped {
-        if listed && !gateway.state().follows_store {
+        if listed && !gateway.state().follows_metadata {
             sleep(TICK).await;
             continue;
         }
@@ -85,7 +85,7 @@
 
 /// Waits until the box knows whether its fleet is a large one, once after its start.
 async fn settle(gateway: &Gateway) {
-    if gateway.state().settled_at_ms.is_some() {
+    if gateway.state().warmed_up_at_ms.is_some() {
         return;
     }
     let until_ms = now_ms() + SETTLE_MS;
@@ -95,7 +95,7 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     choose_role(gateway, &mut state, now_ms);
-    state.settled_at_ms = Some(now_ms);
+    state.warmed_up_at_ms = Some(now_ms);
 }
 
 /// Decides again what this box is to follow itself.
@@ -103,14 +103,14 @@
     let follows = state.peers.is_follower(now_ms);
     let caches = state.peers.is_cache_follower(now_ms);
     let small_fleet = state.peers.is_small_fleet();
-    let before = (state.follows_store, state.follows_caches, state.small_fleet);
+    let before = (state.follows_metadata, state.follows_caches, state.small_fleet);
     if (follows, caches, small_fleet) == before {
         return;
     }
     info!(target: "follow",
         "event=role_changed follows={follows} caches={caches} small_fleet={small_fleet} boxes={}",
         state.peers.live_boxes(now_ms));
-    state.follows_store = follows;
+    state.follows_metadata = follows;
     state.follows_caches = caches;
     state.small_fleet = small_fleet;
     gateway.upstreams_changed.send_modify(|count| *count += 1);
@@ -125,7 +125,7 @@
         let mut state = gateway.state();
         let now_ms = now_ms();
         choose_role(&gateway, &mut state, now_ms);
-        state.take_others(now_ms);
+        state.apply_peer_reports(now_ms);
         state.limits.recover(TICK.as_secs_f64());
         let changes = state.view.apply_due_removals(now_ms);
         apply(&gateway, &mut state, now_ms, Named::Now, changes);
@@ -331,7 +331,7 @@
     changes: Vec<ViewChange>,
 ) {
     claims::note_leader(state, now_ms);
-    if !changes.is_empty() && state.follows_store {
+    if !changes.is_empty() && state.follows_metadata {
         // Others learn from this box.
         gateway.gossip_now.notify_one();
     }
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -166,7 +166,7 @@
 fn take(gateway: &Gateway, holder_id: &HolderId, changes: &CacheChanges) -> bool {
     let mut state = gateway.state();
     if let Some(clock_ms) = changes.clock_ms {
-        state.take_upstream_clock(now_ms(), clock_ms);
+        state.update_upstream_clock_offset(now_ms(), clock_ms);
     }
     with_holder(&mut state, holder_id, |holder| holder.apply_changes(changes)).unwrap_or_default()
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, GossipScope};
 use crate::gateway::decisions::weights::NamedVersion;
 use crate::gateway::helpers::{HelpReply, HelpRequest, help};
-use crate::gateway::kernel::{Gateway, State, ToldVersion};
+use crate::gateway::kernel::{Gateway, ObservedVersion, State};
 use crate::gateway::loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
 use crate::gateway::quarantine;
 use crate::names::number;
@@ -173,7 +173,7 @@
         leaving: leaving(state),
         resting: resting(state, now_ms),
         upstream_clock_ms: state
-            .upstream_clock_ahead_ms
+            .upstream_clock_offset_ms
             .and_then(|ahead_ms| now_ms.checked_add_signed(ahead_ms)),
         engine_versions: versions(state, now_ms),
         named_versions: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
@@ -213,18 +213,18 @@
 /// heard of, for as long as they load still.
 fn loading(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let in_message = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
-    let ordered = state.loading.iter().filter_map(|id| state.upstreams.get(id));
+    let ordered = state.loading_engines.iter().filter_map(|id| state.upstreams.get(id));
     let ordered = ordered.map(|engine| (engine.number, in_message(LOADING_GOSSIP_MS)));
     let heard = state.upstreams.iter().filter(|one| {
-        state.is_bridge() && one.is_loading(now_ms) && !state.loading.contains(&one.id)
+        state.is_bridge() && one.is_loading(now_ms) && !state.loading_engines.contains(&one.id)
     });
     let heard = heard.map(|one| (one.number, in_message(one.loading_left_ms(now_ms))));
     ordered.chain(heard).collect()
 }
 
 fn versions(state: &mut State, now_ms: u64) -> Vec<(u32, u32, u64)> {
-    state.told_versions.retain(|told| told.until_ms > now_ms);
-    state.told_versions.iter().map(|told| (told.engine, told.model, told.version)).collect()
+    state.observed_versions.retain(|told| told.until_ms > now_ms);
+    state.observed_versions.iter().map(|told| (told.engine, told.model, told.version)).collect()
 }
 
 /// The versions of weights that were named while an engine with older ones may still be in
@@ -304,7 +304,7 @@
     take_resting(&mut state, now_ms, &gossip.resting);
     quarantine::hear(gateway, &mut state, now_ms, &gossip);
     if let Some(clock_ms) = gossip.upstream_clock_ms {
-        state.take_upstream_clock(now_ms, clock_ms);
+        state.update_upstream_clock_offset(now_ms, clock_ms);
     }
     if !gossip.engine_versions.is_empty() {
         // Requests may wait for an engine that has its new weights now.
@@ -320,7 +320,7 @@
         gateway.peer_ahead.notify_one();
     }
     for upstream in upstreams {
-        state.take_others_load(upstream);
+        state.apply_peer_load(upstream);
     }
     let State { stores, peers, .. } = &mut *state;
     for (_, store) in stores.iter_mut() {
@@ -336,7 +336,7 @@
     take_resting(&mut state, now_ms, &changes.resting);
     state.peers.receive_load_changes(now_ms, from, changes);
     for told in &changes.loads {
-        state.take_others_load(told.upstream);
+        state.apply_peer_load(told.upstream);
     }
 }
 
@@ -384,7 +384,7 @@
             engine.saw_version(&name, *version);
             is_new = true;
             if state.is_bridge() {
-                state.told_versions.push(ToldVersion {
+                state.observed_versions.push(ObservedVersion {
                     engine: *number,
                     model: *model,
                     version: *version,
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -65,17 +65,17 @@
     /// The other boxes.
     pub peers: Peers,
     /// Whether this box follows the metadata store itself.
-    pub follows_store: bool,
+    pub follows_metadata: bool,
     /// Whether this box follows the stores of context itself.
     pub follows_caches: bool,
     /// When the box had had time to hear of its peers, since it started.
-    pub settled_at_ms: Option<u64>,
+    pub warmed_up_at_ms: Option<u64>,
     /// Whether all boxes follow everything, as it was decided last.
     pub small_fleet: bool,
     /// Difference of the upstreams' clock to ours, once it was told.
-    pub upstream_clock_ahead_ms: Option<i64>,
+    pub upstream_clock_offset_ms: Option<i64>,
     /// Requests that are being served.
-    pub serving: usize,
+    pub requests_in_flight: usize,
     /// The leadership, while this box has it.
     pub leadership: Option<Leadership>,
     /// When leaders were seen to be over.
@@ -85,13 +85,13 @@
     /// Orders of this box that are not answered yet.
     pub orders_in_flight: usize,
     /// Engines that this box brings to other weights; they get no new work.
-    pub loading: HashSet<String>,
+    pub loading_engines: HashSet<String>,
     /// Engines among them that may load, with when they no longer count as loading.
-    pub permits: HashMap<String, u64>,
+    pub load_permits: HashMap<String, u64>,
     /// Engines whose last orders have failed.
     pub failed_orders: HashMap<String, FailedOrders>,
     /// Versions that engines were seen to reach lately.
-    pub told_versions: Vec<ToldVersion>,
+    pub observed_versions: Vec<ObservedVersion>,
 }
 
 impl State {
@@ -110,7 +110,7 @@
     }
 
     /// Forgets what stores of context keep.
-    pub fn lose_stores(&mut self) {
+    pub fn forget_store_contents(&mut self) {
         for (_, store) in self.stores.iter_mut() {
             store.holder.mark_unknown();
         }
@@ -124,7 +124,7 @@
     }
 
     /// Takes what all other boxes together told of an upstream.
-    pub fn take_others_load(&mut self, number: u32) {
+    pub fn apply_peer_load(&mut self, number: u32) {
         if let Some(upstream) = self.upstreams.numbered_mut(number) {
             upstream.others = self.peers.load(number);
             upstream.record_peer_receive(self.peers.heard_at_ms(number));
@@ -133,7 +133,7 @@
 
     /// Takes what all other boxes told: of those that fell silent no load is left, and an
     /// upstream may be new to this box alone.
-    pub fn take_others(&mut self, now_ms: u64) {
+    pub fn apply_peer_reports(&mut self, now_ms: u64) {
         let Self { peers, upstreams, stores, limits, .. } = self;
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
@@ -148,16 +148,16 @@
 
     /// Takes what the upstreams' clock showed when a message left. The time that
     /// it was under way makes the clock look late, never early.
-    pub fn take_upstream_clock(&mut self, now_ms: u64, clock_ms: u64) {
+    pub fn update_upstream_clock_offset(&mut self, now_ms: u64, clock_ms: u64) {
         let ahead_ms = clock_ms.cast_signed() - now_ms.cast_signed();
-        let known = self.upstream_clock_ahead_ms.unwrap_or(i64::MIN);
-        self.upstream_clock_ahead_ms = Some(known.max(ahead_ms));
+        let known = self.upstream_clock_offset_ms.unwrap_or(i64::MIN);
+        self.upstream_clock_offset_ms = Some(known.max(ahead_ms));
     }
 
     /// How the metadata store answers this box.
     #[must_use]
     pub fn metadata_store_status(&self) -> MetadataStoreStatus {
-        match (self.follows_store, self.view.is_store_available()) {
+        match (self.follows_metadata, self.view.is_store_available()) {
             (false, _) => MetadataStoreStatus::NotUsed,
             (true, true) => MetadataStoreStatus::Available,
             (true, false) => MetadataStoreStatus::Failing,
@@ -171,12 +171,12 @@
     /// How many.
     pub count: u32,
     /// When it may be tried again.
-    pub again_at_ms: u64,
+    pub retry_at_ms: u64,
 }
 
 /// A version that an engine was seen to reach.
 #[derive(Clone, Debug)]
-pub struct ToldVersion {
+pub struct ObservedVersion {
     /// Number of the engine.
     pub engine: u32,
     /// Number of the model.
@@ -249,20 +249,20 @@
             budget: Budget::new(terms, now_ms()),
             quarantine: Quarantine::default(),
             peers: Peers::new(own(&settings), &settings.seeds),
-            follows_store: true,
+            follows_metadata: true,
             follows_caches: true,
-            settled_at_ms: None,
+            warmed_up_at_ms: None,
             small_fleet: true,
-            upstream_clock_ahead_ms: None,
-            serving: 0,
+            upstream_clock_offset_ms: None,
+            requests_in_flight: 0,
             leadership: None,
             terms: LeaderTerms::default(),
             book: None,
             orders_in_flight: 0,
-            loading: HashSet::new(),
-            permits: HashMap::new(),
+            loading_engines: HashSet::new(),
+            load_permits: HashMap::new(),
             failed_orders: HashMap::new(),
-            told_versions: Vec::new(),
+            observed_versions: Vec::new(),
         };
         Ok(Arc::new(Self {
             metadata: MetadataStore::new(Http::to_metadata_store()?, &settings.metadata),
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -91,7 +91,7 @@
         for id in rollout::next_engines(&candidates, version) {
             let Some(engine) = state.upstreams.get(&id) else { continue };
             let (upstream, address) = (engine.incarnation(), engine.entry.address);
-            state.loading.insert(id);
+            state.loading_engines.insert(id);
             loads.push(Load { upstream, address, model: model.clone(), version, fence });
         }
     }
@@ -118,8 +118,8 @@
                 id: engine.id.clone(),
                 version: engine.version(model),
                 time_left_ms: left_ms(gateway, named, now_ms, engine.version(model)),
-                is_updating: state.loading.contains(&engine.id),
-                may_be_ordered: now_ms >= failed.again_at_ms
+                is_updating: state.loading_engines.contains(&engine.id),
+                may_be_ordered: now_ms >= failed.retry_at_ms
                     && claims::may_order(state, bounds, now_ms, number(&engine.id)),
                 failed_orders: failed.count,
                 requests: engine.load().requests,
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -94,7 +94,7 @@
 fn is_free(gateway: &Gateway) -> bool {
     let state = gateway.state();
     // Else all boxes of a large fleet that start at once would ask for it at once.
-    state.settled_at_ms.is_some()
+    state.warmed_up_at_ms.is_some()
         && !*gateway.resigned.borrow()
         && !is_way_cut(&state)
         && state.metadata_store_status() == MetadataStoreStatus::Available
--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -11,14 +11,12 @@
 
 use crate::clock::now_ms;
 use crate::error::Result;
-use crate::gateway::claims;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::gateway::decisions::upstream::Told;
-use crate::gateway::entries;
-use crate::gateway::invariants;
-use crate::gateway::kernel::{Gateway, State, ToldVersion};
+use crate::gateway::kernel::{Gateway, ObservedVersion, State};
 use crate::gateway::leader::permits;
+use crate::gateway::{claims, entries, invariants};
 use crate::names::number;
 
 /// Time that gossip takes to the other boxes.
@@ -96,7 +94,7 @@
         }
     };
     let mut state = gateway.state();
-    state.loading.remove(&load.upstream.id);
+    state.loading_engines.remove(&load.upstream.id);
     match end {
         LoadEnd::Done => {
             state.failed_orders.remove(&load.upstream.id);
@@ -105,7 +103,7 @@
         LoadEnd::TurnedAway | LoadEnd::TooSlow | LoadEnd::Failed => {
             let failed = state.failed_orders.entry(load.upstream.id.clone()).or_default();
             failed.count += 1;
-            failed.again_at_ms = now_ms() + FAILED_PAUSE_MS;
+            failed.retry_at_ms = now_ms() + FAILED_PAUSE_MS;
         }
     }
     if let Some(upstream) = state.upstreams.get_run_mut(&load.upstream) {
@@ -115,7 +113,7 @@
         }
     }
     if end == LoadEnd::Done {
-        state.told_versions.push(ToldVersion {
+        state.observed_versions.push(ObservedVersion {
             engine: load.upstream.number(),
             model: number(&load.model),
             version: load.version,
@@ -150,7 +148,7 @@
 
 impl Drop for LoadPermit {
     fn drop(&mut self) {
-        self.0.state().permits.remove(&self.1);
+        self.0.state().load_permits.remove(&self.1);
     }
 }
 
@@ -164,10 +162,10 @@
                 return None;
             }
             note_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
-            let taken = state.permits.values().filter(|until_ms| now_ms < **until_ms).count();
+            let taken = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
             if taken < permits(gateway, &state, now_ms, &load.model) {
                 let id = load.upstream.id.clone();
-                state.permits.insert(id.clone(), now_ms + ASKED_PERMIT_MS);
+                state.load_permits.insert(id.clone(), now_ms + ASKED_PERMIT_MS);
                 return Some(LoadPermit(gateway.clone(), id));
             }
         }
@@ -261,7 +259,7 @@
         return Ok(Some(LoadEnd::LeadershipLost));
     }
     let ordered = order(gateway, load, taken).await?;
-    if let Some(until_ms) = gateway.state().permits.get_mut(&load.upstream.id) {
+    if let Some(until_ms) = gateway.state().load_permits.get_mut(&load.upstream.id) {
         *until_ms = now_ms() + PERMIT_MS;
     }
     let turned_away = matches!(ordered, OrderOutcome::Fenced | OrderOutcome::WrongEngine);
--- a/src/gateway/overdue.rs
+++ b/src/gateway/overdue.rs
@@ -23,7 +23,7 @@
 /// when they are: to refuse all work would help nobody.
 #[must_use]
 pub fn is_barred(state: &State, now_ms: u64) -> bool {
-    !state.follows_store || state.view.store_available_for(now_ms, IN_TOUCH_MS)
+    !state.follows_metadata || state.view.store_available_for(now_ms, IN_TOUCH_MS)
 }
 
 /// Waits until a request that an engine has not begun with must not begin there any more. At
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -45,14 +45,14 @@
 
 impl Serving {
     fn new(gateway: &Arc<Gateway>) -> Self {
-        gateway.state().serving += 1;
+        gateway.state().requests_in_flight += 1;
         Self(gateway.clone())
     }
 }
 
 impl Drop for Serving {
     fn drop(&mut self) {
-        self.0.state().serving -= 1;
+        self.0.state().requests_in_flight -= 1;
     }
 }
 
--- a/src/gateway/space.rs
+++ b/src/gateway/space.rs
@@ -214,7 +214,7 @@
         let now_ms = now_ms();
         let (allowed, ahead_ms) = {
             let state = gateway.state();
-            (state.leads(now_ms, fence), state.upstream_clock_ahead_ms)
+            (state.leads(now_ms, fence), state.upstream_clock_offset_ms)
         };
         let Some(ahead_ms) = ahead_ms.filter(|_| allowed) else { return };
         let until_ms = now_ms.saturating_add_signed(ahead_ms) + FREE_MS;
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -61,7 +61,7 @@
         let Some(peer) = peer else { continue };
         let ended = subscribe_to(&gateway, peer).await;
         let mut state = gateway.state();
-        state.lose_stores();
+        state.forget_store_contents();
         match ended {
             Ok(()) => info!(target: "stores", "event=publisher_left peer={peer}"),
             Err(error) => {
