--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -50,7 +50,7 @@
 pub async fn run(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
         // Either is fine: a peer is ahead, or it is time to compare.
-        let _ = timeout(COMPARE_PERIOD, gateway.peer_ahead.notified()).await;
+        let _ = timeout(COMPARE_PERIOD, gateway.catch_up_now.notified()).await;
         let (peer, own) = {
             let state = gateway.state();
             let own = state.view.digest();
@@ -60,7 +60,7 @@
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
             Ok(told) => {
                 follow::take_from_peer(&gateway, told);
-                gateway.behind.notify_one();
+                gateway.refresh_metadata.notify_one();
             }
             Err(error) => {
                 info!(target: "gossip", "event=catch_up_failed cause=\"{error}\"");
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -162,7 +162,7 @@
             }
         }
         // Those that wait meanwhile are claimed by one write.
-        let _turn = gateway.claiming.lock().await;
+        let _turn = gateway.claim_lock.lock().await;
         if !is_claimed(&gateway.state(), fence, target) {
             write(gateway, socket, fence).await?;
         }
@@ -175,7 +175,7 @@
 /// # Errors
 /// Fails when it cannot be written.
 pub async fn tidy(gateway: &Gateway, socket: &UdpSocket, fence: u64) -> Result<()> {
-    let _turn = gateway.claiming.lock().await;
+    let _turn = gateway.claim_lock.lock().await;
     let is_due = {
         let mut state = gateway.state();
         let pause_ms = pause_ms(&gateway.settings.bounds);
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -19,7 +19,7 @@
 /// Notes that an upstream broke a request off before the end of its answer. A crash ends all
 /// that ran there, and is looked for once.
 pub fn note_broken_off(gateway: &Arc<Gateway>, upstream: &Incarnation, request: Fingerprint) {
-    let mut broken_off = locked(&gateway.broken_off);
+    let mut broken_off = locked(&gateway.unexplained_aborts);
     let requests = broken_off.entry(upstream.id.clone()).or_default();
     requests.push(request);
     if requests.len() == 1 {
@@ -29,7 +29,7 @@
 
 async fn look(gateway: Arc<Gateway>, upstream: Incarnation) {
     let crashed = has_crashed(&gateway, &upstream).await;
-    let requests = locked(&gateway.broken_off).remove(&upstream.id).unwrap_or_default();
+    let requests = locked(&gateway.unexplained_aborts).remove(&upstream.id).unwrap_or_default();
     info!(target: "crashes", "event=upstream_broke_off upstream={} crashed={crashed} requests={}",
         upstream.id, listed(&requests));
     if crashed {
@@ -54,7 +54,7 @@
     drop(state);
     if is_urgent {
         gateway.gossip_now.notify_one();
-        gateway.quarantined.notify_waiters();
+        gateway.quarantine_changed.notify_waiters();
     }
 }
 
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -64,7 +64,7 @@
     tokio::spawn(members::run(gateway.clone()));
     tokio::spawn(quarantine::run(gateway.clone()));
     tokio::spawn(listener::clients(gateway.clone(), clients));
-    gateway.reached(Phase::Stopped).await;
+    gateway.wait_for_phase(Phase::Stopped).await;
     info!(target: "daemon", "event=stopped box={}", gateway.settings.name);
     Ok(())
 }
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -61,7 +61,7 @@
         info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
             shown(started_at_ms));
         gateway.connections.forget(id);
-        gateway.places.notify_waiters();
+        gateway.capacity_changed.notify_waiters();
     }
     told
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -115,7 +115,7 @@
     state.small_fleet = small_fleet;
     gateway.upstreams_changed.send_modify(|count| *count += 1);
     // A watch would go on for seconds.
-    gateway.behind.notify_one();
+    gateway.refresh_metadata.notify_one();
 }
 
 /// Carries out due removals, and chooses who follows.
@@ -212,7 +212,7 @@
     let wait = if answers { usual_wait(&gateway.settings.bounds) } else { AFTER_FAILURE };
     let watched = tokio::select! {
         watched = gateway.metadata.watch("", after, spread(wait)) => watched?,
-        () = gateway.behind.notified() => return Ok(Followed::Woken),
+        () = gateway.refresh_metadata.notified() => return Ok(Followed::Woken),
     };
     let (changes, at_revision) = match watched {
         Watched::Changes { changes, at_revision } => (changes, at_revision),
@@ -366,7 +366,7 @@
     }
     if upstreams_changed {
         gateway.upstreams_changed.send_modify(|count| *count += 1);
-        gateway.places.notify_waiters();
+        gateway.capacity_changed.notify_waiters();
     }
 }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -308,7 +308,7 @@
     }
     if !gossip.engine_versions.is_empty() {
         // Requests may wait for an engine that has its new weights now.
-        gateway.places.notify_waiters();
+        gateway.capacity_changed.notify_waiters();
     }
     let mut upstreams = state.peers.upstreams_reported_by(from);
     upstreams.extend(gossip.loads.iter().map(|told| told.upstream));
@@ -317,7 +317,7 @@
         gateway.gossip_now.notify_one();
     }
     if state.peers.has_different_view(from, own) {
-        gateway.peer_ahead.notify_one();
+        gateway.catch_up_now.notify_one();
     }
     for upstream in upstreams {
         state.apply_peer_load(upstream);
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -40,7 +40,7 @@
 const LAPSE_HEARTBEATS: u64 = 2;
 
 /// Time in which the store answers a new watch, and boxes that are slow.
-const ANSWER_MS: u64 = 100;
+const RESPONSE_MS: u64 = 100;
 
 /// State that decisions read and change; no call is awaited under its lock.
 pub struct State {
@@ -200,17 +200,17 @@
     /// Connections to upstreams.
     pub connections: Connections,
     /// Wakes requests that wait for an upstream.
-    pub places: Notify,
+    pub capacity_changed: Notify,
     /// Wakes the follower of the metadata store.
-    pub behind: Notify,
+    pub refresh_metadata: Notify,
     /// Wakes who fetches what this box lacks.
-    pub peer_ahead: Notify,
+    pub catch_up_now: Notify,
     /// Wakes the sender of gossip, for what the own hall should know at once.
     pub load_changed: Notify,
     /// Wakes the sender of gossip.
     pub gossip_now: Notify,
     /// Wakes who acts when a request is quarantined.
-    pub quarantined: Notify,
+    pub quarantine_changed: Notify,
     /// Wakes those who follow the set of upstreams and stores.
     pub upstreams_changed: watch::Sender<u64>,
     /// Whether this box is to lead no more, since it stops.
@@ -218,9 +218,9 @@
     /// Answers of peers that made a call for the leader.
     pub help_replies: watch::Sender<Option<HelpReply>>,
     /// Requests that broke off, by upstreams of which it is not known yet whether they crashed.
-    pub broken_off: Mutex<HashMap<String, Vec<Fingerprint>>>,
+    pub unexplained_aborts: Mutex<HashMap<String, Vec<Fingerprint>>>,
     /// Held while a claim is written: one after the other.
-    pub claiming: tokio::sync::Mutex<()>,
+    pub claim_lock: tokio::sync::Mutex<()>,
     state: Mutex<State>,
     phase: watch::Sender<Phase>,
 }
@@ -239,7 +239,7 @@
         };
         let http = Http::new()?;
         let state = State {
-            view: MetadataView::new(least_trouble_ms(bounds)),
+            view: MetadataView::new(min_outage_ms(bounds)),
             site: None,
             weights: HashMap::new(),
             upstreams: Upstreams::default(),
@@ -269,17 +269,17 @@
             caches: Caches::new(http.clone()),
             engines: Engines::new(http),
             connections: Connections::default(),
-            places: Notify::new(),
-            behind: Notify::new(),
-            peer_ahead: Notify::new(),
+            capacity_changed: Notify::new(),
+            refresh_metadata: Notify::new(),
+            catch_up_now: Notify::new(),
             load_changed: Notify::new(),
             gossip_now: Notify::new(),
-            quarantined: Notify::new(),
+            quarantine_changed: Notify::new(),
             upstreams_changed: watch::Sender::new(0),
             resigned: watch::Sender::new(false),
             help_replies: watch::Sender::new(None),
-            broken_off: Mutex::default(),
-            claiming: tokio::sync::Mutex::new(()),
+            unexplained_aborts: Mutex::default(),
+            claim_lock: tokio::sync::Mutex::new(()),
             state: Mutex::new(state),
             phase: watch::Sender::new(Phase::Serving),
             settings,
@@ -303,7 +303,7 @@
     }
 
     /// Waits until a phase is reached.
-    pub async fn reached(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: Phase) {
         let mut seen = self.phase.subscribe();
         // The sender lives as long as the gateway.
         let _ = seen.wait_for(|now| *now >= phase).await;
@@ -312,8 +312,8 @@
 
 /// Time for which the metadata store must not have answered before an upstream's item can
 /// have lapsed: a watch that was lost with its connection alone says nothing of the store.
-fn least_trouble_ms(bounds: &Bounds) -> u64 {
-    let lost_watch_ms = follow::lost_watch_ms(bounds) + ANSWER_MS;
+fn min_outage_ms(bounds: &Bounds) -> u64 {
+    let lost_watch_ms = follow::lost_watch_ms(bounds) + RESPONSE_MS;
     (LAPSE_HEARTBEATS * bounds.heartbeat_ms).max(lost_watch_ms)
 }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -36,7 +36,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = gateway.reached(Phase::Draining) => return,
+            () = gateway.wait_for_phase(Phase::Draining) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -70,7 +70,7 @@
     let mut connection = pin!(builder(&limits).serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = gateway.reached(Phase::Draining) => {
+        () = gateway.wait_for_phase(Phase::Draining) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/src/gateway/loads.rs
+++ b/src/gateway/loads.rs
@@ -124,7 +124,7 @@
     info!(target: "leader", "event=order_ended upstream={} model={} version={} end=\"{end}\"",
         load.upstream.id, load.model, load.version);
     gateway.gossip_now.notify_one();
-    gateway.places.notify_waiters();
+    gateway.capacity_changed.notify_waiters();
 }
 
 async fn drain_and_order(
--- a/src/gateway/place.rs
+++ b/src/gateway/place.rs
@@ -236,6 +236,6 @@
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_request_end(self.memory_tokens);
         }
-        self.gateway.places.notify_waiters();
+        self.gateway.capacity_changed.notify_waiters();
     }
 }
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -35,7 +35,7 @@
 /// Waits until a request is quarantined.
 pub async fn entered(gateway: &Gateway, request: Fingerprint) {
     loop {
-        let changed = gateway.quarantined.notified();
+        let changed = gateway.quarantine_changed.notified();
         if until_ms(gateway, request).is_some() {
             return;
         }
@@ -53,7 +53,7 @@
     }
     // In a large fleet other boxes hear it from this one.
     gateway.gossip_now.notify_one();
-    gateway.quarantined.notify_waiters();
+    gateway.quarantine_changed.notify_waiters();
 }
 
 /// Logs a crash that was not known, if its request is quarantined for it.
@@ -68,7 +68,7 @@
     while gateway.phase() != Phase::Stopped {
         tokio::select! {
             () = sleep(COMPARE_PERIOD) => {}
-            () = gateway.quarantined.notified() => {}
+            () = gateway.quarantine_changed.notified() => {}
         }
         if let Err(error) = keep(&gateway).await {
             info!(target: "quarantine", "event=quarantine_not_written cause=\"{error}\"");
@@ -108,7 +108,7 @@
             for (request, upstreams) in &listed {
                 state.quarantine.hear_listed(now_ms, *request, upstreams);
             }
-            gateway.quarantined.notify_waiters();
+            gateway.quarantine_changed.notify_waiters();
         }
         Err(error) => {
             warn!(target: "quarantine", "event=quarantine_unreadable cause=\"{error}\"");
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -47,5 +47,5 @@
         upstream.mark_reachable();
     }
     info!(target: "reach", "event=upstream_reached upstream={id}");
-    gateway.places.notify_waiters();
+    gateway.capacity_changed.notify_waiters();
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -307,7 +307,7 @@
 /// Waits for an upstream that can take the request.
 async fn find_place(gateway: &Arc<Gateway>, job: &Job, until: Instant) -> Option<Choice> {
     loop {
-        let woken = gateway.places.notified();
+        let woken = gateway.capacity_changed.notified();
         if let Some(choice) = choose_now(&mut gateway.state(), gateway, job) {
             return Some(choice);
         }
