--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -11,7 +11,7 @@
 
 use crate::clock::{instant_at, now_ms};
 use crate::fingerprint::Fingerprint;
-use crate::gateway::connections::{SendError, Sender, send};
+use crate::gateway::connections::{Connection, SendError, send};
 use crate::gateway::crashes;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::site::Repeat;
@@ -125,19 +125,19 @@
     pub body: Incoming,
     /// The place at the upstream.
     pub place: Place,
-    sender: Sender,
+    connection: Connection,
 }
 
 impl Reply {
     /// Gives the connection back after the whole body was read.
     pub fn finished(self) {
-        let Self { head, mut place, sender, .. } = self;
+        let Self { head, mut place, connection, .. } = self;
         place.answered();
         place.succeeded();
         let gateway = place.gateway.clone();
         let id = place.upstream.id.clone();
         drop(place);
-        tokio::spawn(async move { gateway.connections.give_back(&id, &head, sender).await });
+        tokio::spawn(async move { gateway.connections.check_in(&id, &head, connection).await });
     }
 
     /// Reads the body, as far as it is kept in memory.
@@ -171,9 +171,9 @@
     };
     let place = Place::take(gateway, choice);
     let deadline = instant_at(outgoing.deadline_ms);
-    let connecting = gateway.connections.take(&choice.upstream.id, address);
-    let mut sender = match timeout_at(deadline, connecting).await {
-        Ok(Ok(sender)) => sender,
+    let connecting = gateway.connections.check_out(&choice.upstream.id, address);
+    let mut connection = match timeout_at(deadline, connecting).await {
+        Ok(Ok(connection)) => connection,
         Ok(Err(cause)) => {
             place.unreached();
             return Attempted::NotSent { cause };
@@ -197,7 +197,7 @@
             after_event,
         },
     );
-    let response = match timeout_at(deadline, send(&mut sender, request)).await {
+    let response = match timeout_at(deadline, send(&mut connection, request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(SendError::NotSent(cause))) => return Attempted::NotSent { cause },
         Ok(Err(SendError::Unknown(cause))) => {
@@ -208,7 +208,7 @@
         Err(_) => return Attempted::TimeOver,
     };
     place.heard();
-    judge(outgoing, response, place, sender)
+    judge(outgoing, response, place, connection)
 }
 
 /// Whether the answer is this request's own, and what it says.
@@ -216,7 +216,7 @@
     outgoing: &Outgoing,
     response: Response<Incoming>,
     place: Place,
-    sender: Sender,
+    connection: Connection,
 ) -> Attempted {
     let (parts, body) = response.into_parts();
     let told = exchange::answer_head(parts.status, &parts.headers);
@@ -242,7 +242,7 @@
         return Attempted::Unknown { cause: "the answer is not the upstream's own".to_owned() };
     }
     place.took_request();
-    let reply = Reply { status: parts.status, head: parts.headers, told, body, place, sender };
+    let reply = Reply { status: parts.status, head: parts.headers, told, body, place, connection };
     Attempted::Answered(Box::new(reply))
 }
 
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -13,7 +13,7 @@
 
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::connections::tune;
+use crate::gateway::connections::set_socket_options;
 use crate::gateway::decisions::view::{CatchUp, ViewDigest};
 use crate::gateway::follow;
 use crate::gateway::kernel::Gateway;
@@ -117,7 +117,7 @@
 async fn answer(gateway: &Gateway, stream: &mut TcpStream) -> Result<()> {
     let unreadable = |error: postcard::Error| Error::Message(error.to_string());
     // Else bytes for a subscriber that fell silent would wait for a quarter of an hour.
-    tune(stream).map_err(|error| Error::Message(error.to_string()))?;
+    set_socket_options(stream).map_err(|error| Error::Message(error.to_string()))?;
     let mut question = Vec::new();
     let mut limited = (&mut *stream).take(MAX_QUESTION_BYTES);
     in_time(timeout(SNAPSHOT_TIMEOUT, limited.read_to_end(&mut question)).await)?;
--- a/src/gateway/connections.rs
+++ b/src/gateway/connections.rs
@@ -46,10 +46,10 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection to an upstream.
-pub type Sender = SendRequest<Full<Bytes>>;
+pub type Connection = SendRequest<Full<Bytes>>;
 
 struct Idle {
-    sender: Sender,
+    connection: Connection,
     until_ms: u64,
 }
 
@@ -59,17 +59,17 @@
     /// By the id of their upstream.
     idle: HashMap<String, Vec<Idle>>,
     /// When all were closed as suspects.
-    suspected_at_ms: u64,
+    closed_at_ms: u64,
 }
 
 impl Pool {
     /// Closes all; their number. Silence that began before they were closed the
     /// last time says nothing of those that wait now.
-    fn suspect(&mut self, now_ms: u64, silent_since_ms: u64) -> Option<usize> {
-        if silent_since_ms < self.suspected_at_ms {
+    fn close_suspects(&mut self, now_ms: u64, silent_since_ms: u64) -> Option<usize> {
+        if silent_since_ms < self.closed_at_ms {
             return None;
         }
-        self.suspected_at_ms = now_ms;
+        self.closed_at_ms = now_ms;
         Some(self.idle.drain().map(|(_, waiting)| waiting.len()).sum())
     }
 }
@@ -94,89 +94,93 @@
     ///
     /// # Errors
     /// Fails when none comes up in time.
-    pub async fn take(&self, id: &str, address: SocketAddr) -> Result<Sender, String> {
-        if let Some(sender) = self.take_idle(id) {
-            return Ok(sender);
+    pub async fn check_out(&self, id: &str, address: SocketAddr) -> Result<Connection, String> {
+        if let Some(connection) = self.take_idle(id) {
+            return Ok(connection);
         }
         self.open(address).await.map_err(|error| error.to_string())
     }
 
-    async fn open(&self, address: SocketAddr) -> io::Result<Sender> {
+    async fn open(&self, address: SocketAddr) -> io::Result<Connection> {
         metrics::counter!("coursestile_connections_opened_total").increment(1);
         let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let late = |_| io::Error::new(io::ErrorKind::TimedOut, "no connection in time");
         let stream = connecting.await.map_err(late)??;
-        tune(&stream)?;
+        set_socket_options(&stream)?;
         let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = handshake.map_err(io::Error::other)?;
+        let (connection, driver) = handshake.map_err(io::Error::other)?;
         let pool = self.pool.clone();
         tokio::spawn(async move {
-            if let Err(error) = connection.await {
+            if let Err(error) = driver.await {
                 debug!(target: "connections", "event=closed upstream={address} cause=\"{error}\"");
                 if is_timeout(&error) {
                     // The first probe without an answer left that long ago.
-                    suspect(&pool, now_ms().saturating_sub(KEEPALIVE_S * 1000));
+                    close_suspects(&pool, now_ms().saturating_sub(KEEPALIVE_S * 1000));
                 }
             }
         });
-        Ok(sender)
+        Ok(connection)
     }
 
-    fn take_idle(&self, id: &str) -> Option<Sender> {
+    fn take_idle(&self, id: &str) -> Option<Connection> {
         let now_ms = now_ms();
         let mut pool = locked(&self.pool);
         let waiting = pool.idle.get_mut(id)?;
         while let Some(one) = waiting.pop() {
-            if one.until_ms > now_ms && one.sender.is_ready() {
-                return Some(one.sender);
+            if one.until_ms > now_ms && one.connection.is_ready() {
+                return Some(one.connection);
             }
         }
         None
     }
 
     /// Keeps a connection for the next request, once the last one has left it.
-    pub async fn give_back(&self, id: &str, head: &HeaderMap, mut sender: Sender) {
+    pub async fn check_in(&self, id: &str, head: &HeaderMap, mut connection: Connection) {
         let Some(idle_ms) = idle_ms(head) else {
             return;
         };
-        let settled = tokio::time::timeout(SETTLE_TIMEOUT, sender.ready()).await;
+        let settled = tokio::time::timeout(SETTLE_TIMEOUT, connection.ready()).await;
         if matches!(settled, Ok(Ok(()))) {
-            self.push(id, sender, idle_ms);
+            self.push(id, connection, idle_ms);
         }
     }
 
     /// Keeps a new connection for the next request.
-    pub fn keep(&self, id: &str, sender: Sender) {
-        self.push(id, sender, IDLE_MS);
+    pub fn add_idle(&self, id: &str, connection: Connection) {
+        self.push(id, connection, IDLE_MS);
     }
 
-    fn push(&self, id: &str, sender: Sender, idle_ms: u64) {
+    fn push(&self, id: &str, connection: Connection, idle_ms: u64) {
         let until_ms = now_ms() + idle_ms;
-        locked(&self.pool).idle.entry(id.to_owned()).or_default().push(Idle { sender, until_ms });
+        locked(&self.pool)
+            .idle
+            .entry(id.to_owned())
+            .or_default()
+            .push(Idle { connection, until_ms });
     }
 
     /// Closes connections that have been idle for long.
-    pub fn tidy(&self, now_ms: u64) {
+    pub fn close_expired(&self, now_ms: u64) {
         let mut pool = locked(&self.pool);
         for waiting in pool.idle.values_mut() {
-            waiting.retain(|one| one.until_ms > now_ms && !one.sender.is_closed());
+            waiting.retain(|one| one.until_ms > now_ms && !one.connection.is_closed());
         }
         pool.idle.retain(|_, waiting| !waiting.is_empty());
     }
 
     /// Closes all idle connections, since one to an upstream is silent.
-    pub fn suspect(&self, silent_since_ms: u64) {
-        suspect(&self.pool, silent_since_ms);
+    pub fn close_suspects(&self, silent_since_ms: u64) {
+        close_suspects(&self.pool, silent_since_ms);
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn forget(&self, id: &str) {
+    pub fn close_idle_to(&self, id: &str) {
         locked(&self.pool).idle.remove(id);
     }
 }
 
-fn suspect(pool: &Mutex<Pool>, silent_since_ms: u64) {
-    let closed = locked(pool).suspect(now_ms(), silent_since_ms);
+fn close_suspects(pool: &Mutex<Pool>, silent_since_ms: u64) {
+    let closed = locked(pool).close_suspects(now_ms(), silent_since_ms);
     if let Some(count) = closed.filter(|count| *count > 0) {
         info!(target: "connections",
             "event=connections_suspected closed={count} silent_since_ms={silent_since_ms}");
@@ -196,13 +200,13 @@
 /// # Errors
 /// Fails with whether the request can have arrived.
 pub async fn send(
-    sender: &mut Sender,
+    connection: &mut Connection,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, SendError> {
-    match sender.try_send_request(request).await {
+    match connection.try_send_request(request).await {
         Ok(response) => Ok(response),
         Err(mut error) => {
-            let cause = with_cause(error.error());
+            let cause = error_with_cause(error.error());
             let unsent = error.take_message().is_some();
             Err(if unsent { SendError::NotSent(cause) } else { SendError::Unknown(cause) })
         }
@@ -211,7 +215,7 @@
 
 /// An error with what caused it.
 #[must_use]
-pub fn with_cause(error: &hyper::Error) -> String {
+pub fn error_with_cause(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(cause) => format!("{error}: {cause}"),
         None => error.to_string(),
@@ -222,7 +226,7 @@
 ///
 /// # Errors
 /// Fails when the socket refuses an option.
-pub fn tune(stream: &TcpStream) -> std::io::Result<()> {
+pub fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT))?;
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -35,7 +35,7 @@
         Told::Outdated => info!(target: "entries", "event=upstream_outdated {seen}"),
         Told::Restarted => {
             info!(target: "entries", "event=upstream_restarted {seen}");
-            gateway.connections.forget(id);
+            gateway.connections.close_idle_to(id);
             changed = true;
         }
     }
@@ -45,7 +45,7 @@
 /// Takes an upstream out; what runs there goes on.
 pub fn take_out(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str) {
     state.upstreams.remove(now_ms, id);
-    gateway.connections.forget(id);
+    gateway.connections.close_idle_to(id);
 }
 
 /// Takes the start of the run that answered a call made at `asked_at_ms`, by which it may
@@ -60,7 +60,7 @@
     if told == Told::Restarted {
         info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
             shown(started_at_ms));
-        gateway.connections.forget(id);
+        gateway.connections.close_idle_to(id);
         gateway.capacity_changed.notify_waiters();
     }
     told
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -134,7 +134,7 @@
             info!(target: "stores", "event=saves_lost store={store} count={count}");
         }
         drop(state);
-        gateway.connections.tidy(now_ms);
+        gateway.connections.close_expired(now_ms);
     }
 }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::gateway::connections::tune;
+use crate::gateway::connections::set_socket_options;
 use crate::gateway::decisions::site::ClientLimits;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::serve::serve;
@@ -51,7 +51,7 @@
 }
 
 async fn connection(gateway: Arc<Gateway>, stream: TcpStream) {
-    if let Err(error) = tune(&stream) {
+    if let Err(error) = set_socket_options(&stream) {
         debug!(target: "listener", "event=socket_option_refused cause=\"{error}\"");
     }
     let limits = gateway.state().site.as_ref().map(|site| site.limits.clone()).unwrap_or_default();
--- a/src/gateway/reach.rs
+++ b/src/gateway/reach.rs
@@ -31,18 +31,18 @@
 fn unreachable(gateway: &Gateway) -> Vec<(String, SocketAddr)> {
     let mut state = gateway.state();
     if let Some(silent_since_ms) = state.upstreams.mark_silent_unreachable(now_ms()) {
-        gateway.connections.suspect(silent_since_ms);
+        gateway.connections.close_suspects(silent_since_ms);
     }
     let unreachable = state.upstreams.current().filter(|one| one.is_unreachable());
     unreachable.map(|one| (one.id.clone(), one.entry.address)).collect()
 }
 
 async fn look(gateway: Arc<Gateway>, id: String, address: SocketAddr) {
-    gateway.connections.forget(&id);
-    let Ok(sender) = gateway.connections.take(&id, address).await else {
+    gateway.connections.close_idle_to(&id);
+    let Ok(connection) = gateway.connections.check_out(&id, address).await else {
         return;
     };
-    gateway.connections.keep(&id, sender);
+    gateway.connections.add_idle(&id, connection);
     if let Some(upstream) = gateway.state().upstreams.get_mut(&id) {
         upstream.mark_reachable();
     }
--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -269,7 +269,7 @@
         match body.frame().await {
             None => return Read::End,
             Some(Err(error)) => {
-                return Read::Broken(crate::gateway::connections::with_cause(&error));
+                return Read::Broken(crate::gateway::connections::error_with_cause(&error));
             }
             Some(Ok(frame)) => {
                 if let Ok(bytes) = frame.into_data() {
