--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -17,7 +17,7 @@
 use crate::gateway::decisions::site::Repeat;
 use crate::gateway::decisions::units::whole_ms;
 use crate::gateway::decisions::urgency;
-use crate::gateway::heads::{AnswerHead, Forward};
+use crate::gateway::heads::{ForwardHead, ResponseHead};
 use crate::gateway::kernel::Gateway;
 use crate::gateway::place::Place;
 use crate::platform::exchange;
@@ -56,8 +56,8 @@
 
 impl Outgoing {
     /// Rank at an engine. A stream that has begun is as urgent as ever.
-    fn rank(&self, now_ms: u64, choice: &Choice, after_event: Option<&str>) -> u8 {
-        if after_event.is_some() {
+    fn rank(&self, now_ms: u64, choice: &Choice, last_event_id: Option<&str>) -> u8 {
+        if last_event_id.is_some() {
             return self.priority;
         }
         let expected_at_ms = now_ms + whole_ms(choice.expected_ms);
@@ -120,7 +120,7 @@
     /// Headers.
     pub head: HeaderMap,
     /// What it says of itself.
-    pub told: AnswerHead,
+    pub told: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// The place at the upstream.
@@ -164,7 +164,7 @@
     gateway: &Arc<Gateway>,
     outgoing: &Outgoing,
     choice: &Choice,
-    after_event: Option<&str>,
+    last_event_id: Option<&str>,
 ) -> Attempted {
     let Some(address) = gateway.state().upstreams.address(&choice.upstream.id) else {
         return Attempted::NotSent { cause: "the upstream is gone".to_owned() };
@@ -187,14 +187,14 @@
         &outgoing.target,
         &outgoing.head,
         &outgoing.body,
-        &Forward {
+        &ForwardHead {
             upstream_id: &choice.upstream.id,
-            left_ms: outgoing.deadline_ms.saturating_sub(now_ms),
+            remaining_ms: outgoing.deadline_ms.saturating_sub(now_ms),
             account: outgoing.account.as_deref(),
-            priority: outgoing.rank(now_ms, choice, after_event),
+            priority: outgoing.rank(now_ms, choice, last_event_id),
             context: choice.context.as_ref(),
             transfers_until_ms: transfers_until_ms(gateway, choice.chosen_at_ms),
-            after_event,
+            last_event_id,
         },
     );
     let response = match timeout_at(deadline, send(&mut connection, request)).await {
@@ -246,7 +246,7 @@
     Attempted::Answered(Box::new(reply))
 }
 
-fn not_run_cause(status: StatusCode, told: &AnswerHead, upstream_id: &str) -> NotRunCause {
+fn not_run_cause(status: StatusCode, told: &ResponseHead, upstream_id: &str) -> NotRunCause {
     if status != StatusCode::MISDIRECTED_REQUEST {
         return NotRunCause::Refused(status.as_u16());
     }
--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -162,7 +162,7 @@
     route: &Route,
     asked: &RequestHead,
 ) -> Result<Option<&'a Account>, Reason> {
-    let account = asked.key.as_deref().and_then(|key| site.account(key));
+    let account = asked.api_key.as_deref().and_then(|key| site.account(key));
     if account.is_none() && site.asks_for_keys() && !route.public {
         return Err(Reason::UnknownKey);
     }
--- a/src/gateway/heads.rs
+++ b/src/gateway/heads.rs
@@ -12,7 +12,7 @@
     /// Host, in lower case and without a port.
     pub host: Option<String>,
     /// Key of the client.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// Time that the client will wait.
     pub timeout_ms: Option<u64>,
     /// Prompt, when it describes one.
@@ -21,7 +21,7 @@
 
 /// What an upstream's answer says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Request that it answers.
     pub request_id: Option<String>,
     /// Whether the upstream vouches for it.
@@ -39,11 +39,11 @@
 }
 
 /// What is set towards an upstream beside the client's own headers.
-pub struct Forward<'a> {
+pub struct ForwardHead<'a> {
     /// Incarnation that may run the request.
     pub upstream_id: &'a str,
     /// Time that is left.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// Client account.
     pub account: Option<&'a str>,
     /// Order of work.
@@ -54,5 +54,5 @@
     /// one nothing is fetched.
     pub transfers_until_ms: Option<u64>,
     /// Last event that the client has, when a stream is taken up again.
-    pub after_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -10,7 +10,7 @@
 use crate::gateway::decisions::context::{ContextPlan, PartSource};
 use crate::gateway::decisions::notice::Notice;
 use crate::gateway::decisions::prompt::Prompt;
-use crate::gateway::heads::{AnswerHead, Forward, RequestHead};
+use crate::gateway::heads::{ForwardHead, RequestHead, ResponseHead};
 use crate::platform::headers;
 
 /// Headers that concern one connection only.
@@ -41,7 +41,7 @@
     RequestHead {
         request_id: text(head, &headers::REQUEST_ID).map(str::to_owned),
         host: host.map(|host| host.split(':').next().unwrap_or(host).to_ascii_lowercase()),
-        key: text(head, &headers::CLIENT_KEY).map(str::to_owned),
+        api_key: text(head, &headers::CLIENT_KEY).map(str::to_owned),
         timeout_ms: text(head, &headers::TIME_LEFT_MS).and_then(whole_ms),
         prompt,
     }
@@ -54,7 +54,7 @@
     target: &Uri,
     client_head: &HeaderMap,
     body: &Bytes,
-    forward: &Forward<'_>,
+    forward: &ForwardHead<'_>,
 ) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(body.clone()));
     *request.method_mut() = method.clone();
@@ -70,12 +70,12 @@
         head.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
     }
     set(head, headers::UPSTREAM_ID, forward.upstream_id);
-    head.insert(headers::TIME_LEFT_MS, HeaderValue::from(forward.left_ms));
+    head.insert(headers::TIME_LEFT_MS, HeaderValue::from(forward.remaining_ms));
     head.insert(headers::PRIORITY, HeaderValue::from(u16::from(forward.priority.min(9))));
     if let Some(account) = forward.account {
         set(head, headers::ACCOUNT, account);
     }
-    if let Some(event) = forward.after_event {
+    if let Some(event) = forward.last_event_id {
         set(head, headers::LAST_EVENT_ID, event);
     }
     if let Some(context) = forward.context {
@@ -117,9 +117,9 @@
 
 /// Reads what an upstream's answer says.
 #[must_use]
-pub fn answer_head(status: StatusCode, head: &HeaderMap) -> AnswerHead {
+pub fn answer_head(status: StatusCode, head: &HeaderMap) -> ResponseHead {
     let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-    AnswerHead {
+    ResponseHead {
         request_id: text(head, &headers::REQUEST_ID).map(str::to_owned),
         sealed: head.contains_key(headers::SEAL),
         not_run: misdirected || head.contains_key(headers::NOT_RUN),
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -18,7 +18,7 @@
 use coursestile::gateway::decisions::upstream::Entry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile::gateway::decisions::weights::NamedVersions;
-use coursestile::gateway::heads::Forward;
+use coursestile::gateway::heads::ForwardHead;
 use coursestile::platform::exchange;
 use hyper::{HeaderMap, Method, Uri};
 use proptest::prelude::*;
@@ -163,14 +163,14 @@
         &Uri::from_static("/a/"),
         &HeaderMap::new(),
         &Bytes::new(),
-        &Forward {
+        &ForwardHead {
             upstream_id: "a",
-            left_ms: 1000,
+            remaining_ms: 1000,
             account: None,
             priority: 0,
             context: choice.context.as_ref(),
             transfers_until_ms: Some(5000),
-            after_event: None,
+            last_event_id: None,
         },
     );
     ["kv-fetch", "kv-save"]
