--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -18,8 +18,8 @@
 use crate::gateway::decisions::units::whole_ms;
 use crate::gateway::decisions::urgency;
 use crate::gateway::heads::{ForwardHead, ResponseHead};
+use crate::gateway::in_flight::InFlight;
 use crate::gateway::kernel::Gateway;
-use crate::gateway::place::Place;
 use crate::platform::exchange;
 
 /// Time that a transfer of context may take.
@@ -74,7 +74,7 @@
 /// How an attempt ended.
 pub enum Attempted {
     /// The upstream answers; the body follows.
-    Answered(Box<Reply>),
+    Answered(Box<UpstreamResponse>),
     /// The upstream did not run the request and never will.
     NotRun {
         /// Why.
@@ -114,7 +114,7 @@
 }
 
 /// The head of an upstream's answer, with all that is needed to read on.
-pub struct Reply {
+pub struct UpstreamResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
@@ -123,20 +123,20 @@
     pub told: ResponseHead,
     /// Body.
     pub body: Incoming,
-    /// The place at the upstream.
-    pub place: Place,
+    /// Accounts for the request at the upstream.
+    pub in_flight: InFlight,
     connection: Connection,
 }
 
-impl Reply {
+impl UpstreamResponse {
     /// Gives the connection back after the whole body was read.
     pub fn finished(self) {
-        let Self { head, mut place, connection, .. } = self;
-        place.answered();
-        place.succeeded();
-        let gateway = place.gateway.clone();
-        let id = place.upstream.id.clone();
-        drop(place);
+        let Self { head, mut in_flight, connection, .. } = self;
+        in_flight.record_first_token();
+        in_flight.record_success();
+        let gateway = in_flight.gateway.clone();
+        let id = in_flight.upstream.id.clone();
+        drop(in_flight);
         tokio::spawn(async move { gateway.connections.check_in(&id, &head, connection).await });
     }
 
@@ -149,7 +149,7 @@
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|error| error.to_string())?;
             let Ok(data) = frame.into_data() else { continue };
-            self.place.heard();
+            self.in_flight.record_activity();
             bytes.extend_from_slice(&data);
             if bytes.len() > MAX_WHOLE_BYTES {
                 return Ok(Start::Part(bytes.into()));
@@ -159,7 +159,7 @@
     }
 }
 
-/// Makes one attempt. Silence does not end it: a caller that has another place drops it.
+/// Makes one attempt. Silence does not end it: a caller that has another upstream drops it.
 pub async fn attempt(
     gateway: &Arc<Gateway>,
     outgoing: &Outgoing,
@@ -169,13 +169,13 @@
     let Some(address) = gateway.state().upstreams.address(&choice.upstream.id) else {
         return Attempted::NotSent { cause: "the upstream is gone".to_owned() };
     };
-    let place = Place::take(gateway, choice);
+    let in_flight = InFlight::begin(gateway, choice);
     let deadline = instant_at(outgoing.deadline_ms);
     let connecting = gateway.connections.check_out(&choice.upstream.id, address);
     let mut connection = match timeout_at(deadline, connecting).await {
         Ok(Ok(connection)) => connection,
         Ok(Err(cause)) => {
-            place.unreached();
+            in_flight.record_unreachable();
             return Attempted::NotSent { cause };
         }
         Err(_) => return Attempted::NotSent { cause: "the time is over".to_owned() },
@@ -201,48 +201,55 @@
         Ok(Ok(response)) => response,
         Ok(Err(SendError::NotSent(cause))) => return Attempted::NotSent { cause },
         Ok(Err(SendError::Unknown(cause))) => {
-            place.failed();
-            crashes::note_broken_off(gateway, &place.upstream, outgoing.fingerprint);
+            in_flight.record_failure();
+            crashes::note_broken_off(gateway, &in_flight.upstream, outgoing.fingerprint);
             return Attempted::Unknown { cause };
         }
         Err(_) => return Attempted::TimeOver,
     };
-    place.heard();
-    judge(outgoing, response, place, connection)
+    in_flight.record_activity();
+    judge(outgoing, response, in_flight, connection)
 }
 
 /// Whether the answer is this request's own, and what it says.
 fn judge(
     outgoing: &Outgoing,
     response: Response<Incoming>,
-    place: Place,
+    in_flight: InFlight,
     connection: Connection,
 ) -> Attempted {
     let (parts, body) = response.into_parts();
     let told = exchange::answer_head(parts.status, &parts.headers);
     if !told.notice.is_empty() {
-        place.heed(told.notice);
+        in_flight.apply_notice(told.notice);
     }
     let own = told.request_id.as_deref() == Some(outgoing.request_id.as_str());
     if told.not_run && (own || told.request_id.is_none()) {
-        let cause = not_run_cause(parts.status, &told, &place.upstream.id);
+        let cause = not_run_cause(parts.status, &told, &in_flight.upstream.id);
         match cause {
-            NotRunCause::OtherIncarnation => place.supersede(),
-            NotRunCause::Refused(_) => place.turned_away(),
+            NotRunCause::OtherIncarnation => in_flight.record_superseded(),
+            NotRunCause::Refused(_) => in_flight.record_rejection(),
             NotRunCause::OtherVersion => {}
         }
         return Attempted::NotRun { cause };
     }
     if !own {
-        place.failed();
+        in_flight.record_failure();
         return Attempted::Unknown { cause: "the answer is another request's".to_owned() };
     }
     if parts.status.is_success() && (!told.sealed || told.encoded) {
-        place.failed();
+        in_flight.record_failure();
         return Attempted::Unknown { cause: "the answer is not the upstream's own".to_owned() };
     }
-    place.took_request();
-    let reply = Reply { status: parts.status, head: parts.headers, told, body, place, connection };
+    in_flight.record_accepted();
+    let reply = UpstreamResponse {
+        status: parts.status,
+        head: parts.headers,
+        told,
+        body,
+        in_flight,
+        connection,
+    };
     Attempted::Answered(Box::new(reply))
 }
 
--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -10,13 +10,13 @@
 use tokio::time::timeout;
 
 use crate::fingerprint::Fingerprint;
-use crate::gateway::answer::Reason;
 use crate::gateway::attempt::Outgoing;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
 use crate::gateway::decisions::site::{Account, Route, Site};
 use crate::gateway::heads::RequestHead;
 use crate::gateway::kernel::Gateway;
+use crate::gateway::response::Reason;
 
 /// Time that a client without a deadline of its own will wait.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -47,7 +47,7 @@
     let mut is_urgent = false;
     for request in requests {
         if state.quarantine.crashed(now_ms, *request, upstream.number(), now_ms) == News::Urgent {
-            quarantine::log_crash(&state, now_ms, *request);
+            quarantine::log_quarantined(&state, now_ms, *request);
             is_urgent = true;
         }
     }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -13,7 +13,7 @@
 use crate::gateway::settings::Settings;
 use crate::gateway::{
     catch_up, follow, follow_caches, gossip, leader, leadership, listener, members, quarantine,
-    reach, store_updates,
+    reachability, store_updates,
 };
 use crate::phase::Phase;
 
@@ -56,13 +56,13 @@
     tokio::spawn(catch_up::run(gateway.clone()));
     tokio::spawn(catch_up::give(gateway.clone(), peers));
     tokio::spawn(store_updates::subscribe(gateway.clone()));
-    tokio::spawn(reach::run(gateway.clone()));
+    tokio::spawn(reachability::run(gateway.clone()));
     tokio::spawn(leadership::run(gateway.clone(), socket.clone()));
     tokio::spawn(leader::run(gateway.clone(), socket.clone()));
     tokio::spawn(leader::free(gateway.clone(), socket.clone()));
     tokio::spawn(leader::tidy(gateway.clone(), socket));
     tokio::spawn(members::run(gateway.clone()));
-    tokio::spawn(quarantine::run(gateway.clone()));
+    tokio::spawn(quarantine::maintain_stored(gateway.clone()));
     tokio::spawn(listener::clients(gateway.clone(), clients));
     gateway.wait_for_phase(Phase::Stopped).await;
     info!(target: "daemon", "event=stopped box={}", gateway.settings.name);
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -360,7 +360,7 @@
                 warn!(target: "follow", "event=removal_ignored key={key} reason=never_reverts");
             }
             (Kind::Members, Some(value)) => members::take(gateway, &mut state.peers, value),
-            (Kind::Quarantine, Some(value)) => quarantine::take(gateway, state, now_ms, value),
+            (Kind::Quarantine, Some(value)) => quarantine::restore(gateway, state, now_ms, value),
             (Kind::Members | Kind::Quarantine, None) | (Kind::Own | Kind::Other, _) => {}
         }
     }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -21,8 +21,8 @@
 use crate::gateway::decisions::weights::NamedVersion;
 use crate::gateway::helpers::{HelpReply, HelpRequest, help};
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
-use crate::gateway::loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
 use crate::gateway::quarantine;
+use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
 use crate::names::number;
 use crate::phase::Phase;
 
@@ -302,7 +302,7 @@
     supersede(&mut state, &gossip.superseded);
     take_leaving(&mut state, &gossip.leaving);
     take_resting(&mut state, now_ms, &gossip.resting);
-    quarantine::hear(gateway, &mut state, now_ms, &gossip);
+    quarantine::merge_peer_reports(gateway, &mut state, now_ms, &gossip);
     if let Some(clock_ms) = gossip.upstream_clock_ms {
         state.update_upstream_clock_offset(now_ms, clock_ms);
     }
--- a/src/gateway/place.rs
+++ b/src/gateway/in_flight.rs
@@ -16,15 +16,15 @@
 use crate::gateway::silence;
 
 /// Time to the first token beside reading and fetching, and some more.
-const FIRST_TOKEN_MS: f64 = 60.0;
+const FIRST_TOKEN_OVERHEAD_MS: f64 = 60.0;
 /// Time in which an upstream answers that it does not even queue a request: some round trips.
-const AT_ONCE_MS: u64 = 100;
+const IMMEDIATE_REJECTION_MS: u64 = 100;
 /// Prompts that keep an engine for some 20 ms or more: others should know at
 /// once, and not only with the next message.
 const LONG_PROMPT_TOKENS: u32 = 1000;
 
 /// A place that a request takes at an upstream, for as long as this lives.
-pub struct Place {
+pub struct InFlight {
     /// Who has the state.
     pub(super) gateway: Arc<Gateway>,
     /// The upstream.
@@ -41,10 +41,10 @@
     objective_at_ms: Option<u64>,
 }
 
-impl Place {
+impl InFlight {
     /// Takes a place.
     #[must_use]
-    pub fn take(gateway: &Arc<Gateway>, choice: &Choice) -> Self {
+    pub fn begin(gateway: &Arc<Gateway>, choice: &Choice) -> Self {
         let context = choice.context.as_ref();
         let pending_prefill_tokens = context.map_or(0, |plan| plan.prefill_tokens);
         let fetches: Vec<(String, u32)> =
@@ -80,7 +80,7 @@
     }
 
     /// Notes that bytes have arrived.
-    pub fn heard(&self) {
+    pub fn record_activity(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_receive(now_ms());
         }
@@ -88,31 +88,36 @@
 
     /// Notes that the prompt has been read, and how long its fetches took. A prompt
     /// that had to wait for the engine says nothing of the stores.
-    pub fn read_prompt(&mut self) {
-        let late_ms = as_f64(now_ms() - self.taken_at_ms) - self.expected_ms - FIRST_TOKEN_MS;
+    pub fn record_first_bytes(&mut self) {
+        let late_ms =
+            as_f64(now_ms() - self.taken_at_ms) - self.expected_ms - FIRST_TOKEN_OVERHEAD_MS;
         let ratio =
             (self.calm && self.fetch_ms > 0.0).then(|| 1.0 + late_ms.max(0.0) / self.fetch_ms);
-        self.answered();
-        self.prompt_is_over(ratio);
+        self.record_first_token();
+        self.end_prompt(ratio);
     }
 
     /// Tells the limits when the wait for a first token ended.
-    pub(super) fn answered(&mut self) {
+    pub(super) fn record_first_token(&mut self) {
         let Some(objective_at_ms) = self.objective_at_ms.take() else { return };
         let late = now_ms() > objective_at_ms;
-        self.note_wait(if late { FirstTokenOutcome::Late } else { FirstTokenOutcome::InTime });
+        self.report_first_token(if late {
+            FirstTokenOutcome::Late
+        } else {
+            FirstTokenOutcome::InTime
+        });
     }
 
     /// Tells the limits of a first token that never came, if it is late by now: one that
     /// was turned away at once, or whose client has left, says nothing of the load.
-    fn unanswered(&mut self) {
+    fn record_missing_first_token(&mut self) {
         let objective_at_ms = self.objective_at_ms.take();
         if objective_at_ms.is_some_and(|objective_at_ms| now_ms() > objective_at_ms) {
-            self.note_wait(FirstTokenOutcome::Late);
+            self.report_first_token(FirstTokenOutcome::Late);
         }
     }
 
-    fn note_wait(&self, end: FirstTokenOutcome) {
+    fn report_first_token(&self, end: FirstTokenOutcome) {
         let mut state = self.gateway.state();
         let service = state.upstreams.get_run(&self.upstream).map(|one| one.entry.service.clone());
         if let Some(service) = service {
@@ -120,7 +125,7 @@
         }
     }
 
-    fn prompt_is_over(&mut self, ratio: Option<f64>) {
+    fn end_prompt(&mut self, ratio: Option<f64>) {
         let tokens = std::mem::take(&mut self.pending_prefill_tokens);
         let mut state = self.gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&self.upstream) {
@@ -134,14 +139,14 @@
     }
 
     /// Notes an answer as it should be.
-    pub fn succeeded(&self) {
+    pub fn record_success(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_success();
         }
     }
 
     /// Notes a failure that says something about the upstream.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_failure(now_ms());
         }
@@ -156,9 +161,9 @@
 
     /// Notes that the upstream turned the request away. One that did so after a wait in its
     /// queue is full, which its load shows.
-    pub fn turned_away(&self) {
+    pub fn record_rejection(&self) {
         let now_ms = now_ms();
-        if now_ms >= self.taken_at_ms + AT_ONCE_MS {
+        if now_ms >= self.taken_at_ms + IMMEDIATE_REJECTION_MS {
             return;
         }
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
@@ -168,14 +173,14 @@
     }
 
     /// Notes that the upstream took the request.
-    pub fn took_request(&self) {
+    pub fn record_accepted(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_acceptance();
         }
     }
 
     /// Takes what the upstream asks of this box, and tells others.
-    pub fn heed(&self, notice: Notice) {
+    pub fn apply_notice(&self, notice: Notice) {
         let now_ms = now_ms();
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
             self.upstream.id, notice.leaving, notice.rest_ms.unwrap_or_default());
@@ -196,7 +201,7 @@
 
     /// Whether what runs at the upstream keeps it from loading weights for too long.
     #[must_use]
-    pub fn is_held_up(&self) -> bool {
+    pub fn delays_weight_load(&self) -> bool {
         let (now_ms, apply_ms) = (now_ms(), self.gateway.settings.bounds.weights_apply_ms);
         let state = self.gateway.state();
         let Some(upstream) = state.upstreams.get_run(&self.upstream) else { return false };
@@ -207,13 +212,13 @@
     }
 
     /// Notes that no connection to the upstream came up.
-    pub fn unreached(&self) {
+    pub fn record_unreachable(&self) {
         let own_hall = &self.gateway.settings.hall;
         self.gateway.state().upstreams.record_connect_timeout(now_ms(), &self.upstream, own_hall);
     }
 
     /// Notes that another incarnation has the upstream's address.
-    pub fn supersede(&self) {
+    pub fn record_superseded(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             info!(target: "serve", "event=upstream_superseded upstream={}", self.upstream.id);
             upstream.supersede();
@@ -222,17 +227,17 @@
     }
 
     /// Notes the weight version that the upstream was seen to have.
-    pub fn saw_version(&self, model: &str, version: u64) {
+    pub fn record_version(&self, model: &str, version: u64) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.saw_version(model, version);
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for InFlight {
     fn drop(&mut self) {
-        self.unanswered();
-        self.prompt_is_over(None);
+        self.record_missing_first_token();
+        self.end_prompt(None);
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_request_end(self.memory_tokens);
         }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -13,8 +13,8 @@
 use crate::gateway::decisions::rollout::{self, RolloutCandidate};
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::loads::{LOADING_GOSSIP_MS, Load, note_loading, replace_weights};
 use crate::gateway::space::Space;
+use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, WeightLoad, mark_loading, replace_weights};
 use crate::names::number;
 use crate::phase::Phase;
 
@@ -78,7 +78,7 @@
     (behind_since_ms + bound_ms).saturating_sub(now_ms + FINISH_MS)
 }
 
-fn loads_to_start(gateway: &Gateway, fence: u64) -> Vec<Load> {
+fn loads_to_start(gateway: &Gateway, fence: u64) -> Vec<WeightLoad> {
     let mut state = gateway.state();
     let now_ms = now_ms();
     let State { failed_orders, upstreams, .. } = &mut *state;
@@ -92,14 +92,14 @@
             let Some(engine) = state.upstreams.get(&id) else { continue };
             let (upstream, address) = (engine.incarnation(), engine.entry.address);
             state.loading_engines.insert(id);
-            loads.push(Load { upstream, address, model: model.clone(), version, fence });
+            loads.push(WeightLoad { upstream, address, model: model.clone(), version, fence });
         }
     }
     if !loads.is_empty() {
         for load in &loads {
             info!(target: "leader", "event=drain_started upstream={} model={} version={}",
                 load.upstream.id, load.model, load.version);
-            note_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
+            mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
         }
         gateway.gossip_now.notify_one();
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,7 +9,6 @@
 //! `request_log` tells of it; `leadership`, `claims`, `leader`, `loads` and
 //! `space` do what one box does for all, with the calls that `helpers` make for it.
 
-pub mod answer;
 pub mod attempt;
 pub mod catch_up;
 pub mod check;
@@ -25,23 +24,24 @@
 pub mod gossip;
 pub mod heads;
 pub mod helpers;
+pub mod in_flight;
 pub mod invariants;
 pub mod kernel;
 pub mod leader;
 pub mod leadership;
 pub mod listener;
-pub mod loads;
 pub mod members;
 pub mod metadata;
-pub mod overdue;
-pub mod place;
+pub mod outdated_weights;
 pub mod quarantine;
-pub mod reach;
+pub mod reachability;
 pub mod refuse;
 pub mod relay;
 pub mod request_log;
+pub mod response;
 pub mod serve;
 pub mod settings;
 pub mod silence;
 pub mod space;
 pub mod store_updates;
+pub mod weight_loads;
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -24,19 +24,19 @@
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
 /// The requests that are quarantined, with the numbers of upstreams that crashed.
-pub type Listed = BTreeMap<Fingerprint, Vec<u32>>;
+pub type StoredQuarantine = BTreeMap<Fingerprint, Vec<u32>>;
 
 /// Until when a request is quarantined; `None` if it is not.
 #[must_use]
-pub fn until_ms(gateway: &Gateway, request: Fingerprint) -> Option<u64> {
+pub fn quarantined_until_ms(gateway: &Gateway, request: Fingerprint) -> Option<u64> {
     gateway.state().quarantine.until_ms(now_ms(), request)
 }
 
 /// Waits until a request is quarantined.
-pub async fn entered(gateway: &Gateway, request: Fingerprint) {
+pub async fn wait_until_quarantined(gateway: &Gateway, request: Fingerprint) {
     loop {
         let changed = gateway.quarantine_changed.notified();
-        if until_ms(gateway, request).is_some() {
+        if quarantined_until_ms(gateway, request).is_some() {
             return;
         }
         changed.await;
@@ -44,12 +44,12 @@
 }
 
 /// Takes what a peer told of crashes.
-pub fn hear(gateway: &Gateway, state: &mut State, now_ms: u64, gossip: &Gossip) {
+pub fn merge_peer_reports(gateway: &Gateway, state: &mut State, now_ms: u64, gossip: &Gossip) {
     if state.quarantine.hear(now_ms, &gossip.crashes, &gossip.answers) != News::Urgent {
         return;
     }
     for told in &gossip.crashes {
-        log_crash(state, now_ms, told.request);
+        log_quarantined(state, now_ms, told.request);
     }
     // In a large fleet other boxes hear it from this one.
     gateway.gossip_now.notify_one();
@@ -57,26 +57,26 @@
 }
 
 /// Logs a crash that was not known, if its request is quarantined for it.
-pub fn log_crash(state: &State, now_ms: u64, request: Fingerprint) {
+pub fn log_quarantined(state: &State, now_ms: u64, request: Fingerprint) {
     if state.quarantine.until_ms(now_ms, request).is_some() {
         info!(target: "quarantine", "event=request_quarantined fingerprint={request}");
     }
 }
 
 /// Keeps the list, while this box is the leader.
-pub async fn run(gateway: Arc<Gateway>) {
+pub async fn maintain_stored(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
         tokio::select! {
             () = sleep(COMPARE_PERIOD) => {}
             () = gateway.quarantine_changed.notified() => {}
         }
-        if let Err(error) = keep(&gateway).await {
+        if let Err(error) = write_if_changed(&gateway).await {
             info!(target: "quarantine", "event=quarantine_not_written cause=\"{error}\"");
         }
     }
 }
 
-async fn keep(gateway: &Gateway) -> Result<()> {
+async fn write_if_changed(gateway: &Gateway) -> Result<()> {
     let key = keys::quarantine();
     let now_ms = now_ms();
     let (revision, listed, next) = {
@@ -87,7 +87,7 @@
         let written = state.view.get(&key);
         // One that cannot be read, as `take` has logged, is written anew.
         let listed = written.and_then(|written| read(&written.value).ok());
-        let next: Listed = state.quarantine.quarantined(now_ms).collect();
+        let next: StoredQuarantine = state.quarantine.quarantined(now_ms).collect();
         (written.map_or(0, |written| written.revision), listed, next)
     };
     let is_written = if revision == 0 { next.is_empty() } else { listed.as_ref() == Some(&next) };
@@ -102,7 +102,7 @@
 }
 
 /// Takes the list as the store has it.
-pub fn take(gateway: &Gateway, state: &mut State, now_ms: u64, value: &[u8]) {
+pub fn restore(gateway: &Gateway, state: &mut State, now_ms: u64, value: &[u8]) {
     match read(value) {
         Ok(listed) => {
             for (request, upstreams) in &listed {
@@ -116,7 +116,7 @@
     }
 }
 
-fn read(value: &[u8]) -> Result<Listed> {
+fn read(value: &[u8]) -> Result<StoredQuarantine> {
     postcard::from_bytes(value).map_err(|error| unreadable(&error))
 }
 
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -3,18 +3,18 @@
 use hyper::StatusCode;
 
 use crate::clock::now_ms;
-use crate::gateway::answer::{self, Answer, Reason};
 use crate::gateway::check::Job;
 use crate::gateway::decisions::admission;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::request_log::log_refusal;
+use crate::gateway::response::{self, ClientResponse, Reason};
 use crate::names::number;
 
 /// When a refused client may come back, if nothing more is known.
 pub const RETRY_AFTER_MS: u64 = 400;
 
 /// The answer to a request for which no upstream was found in time.
-pub fn no_place(gateway: &Gateway, job: &Job) -> Answer {
+pub fn no_place(gateway: &Gateway, job: &Job) -> ClientResponse {
     let state = gateway.state();
     let rest_until_ms = state.upstreams.all_rest_until_ms(now_ms(), &job.service, &job.tried);
     let is_known = state.upstreams.of(&job.service).next().is_some();
@@ -30,27 +30,27 @@
 }
 
 /// The answer to a request that no upstream may get until a deadline.
-pub fn hold_back(job: &Job, reason: Reason, until_ms: u64) -> Answer {
+pub fn hold_back(job: &Job, reason: Reason, until_ms: u64) -> ClientResponse {
     if job.ran_perhaps {
         return give_up(job, Reason::UpstreamFailed);
     }
     let request_id = &job.outgoing.request_id;
     log_refusal(job, reason);
-    answer::refusal(reason, Some(request_id), Some(until_ms.saturating_sub(now_ms())))
+    response::refusal(reason, Some(request_id), Some(until_ms.saturating_sub(now_ms())))
 }
 
 /// The answer to a request that no engine can begin with in time.
-pub fn refuse_at_once(job: &Job) -> Answer {
+pub fn refuse_at_once(job: &Job) -> ClientResponse {
     let reason = Reason::UpstreamsFull;
     let request_id = &job.outgoing.request_id;
     let left_ms = job.outgoing.deadline_ms.saturating_sub(now_ms());
     let after_ms = admission::retry_after_ms(number(request_id).into(), left_ms);
     log_refusal(job, reason);
-    answer::refusal(reason, Some(request_id), Some(after_ms))
+    response::refusal(reason, Some(request_id), Some(after_ms))
 }
 
 /// The final answer to a request that was not served.
-pub fn give_up(job: &Job, reason: Reason) -> Answer {
+pub fn give_up(job: &Job, reason: Reason) -> ClientResponse {
     // "Not run" is said only when no attempt may have run.
     let reason = match (job.ran_perhaps, reason.status()) {
         (true, StatusCode::SERVICE_UNAVAILABLE) => Reason::UpstreamFailed,
@@ -59,5 +59,5 @@
     let retry_after_ms =
         (reason.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(RETRY_AFTER_MS);
     log_refusal(job, reason);
-    answer::refusal(reason, Some(&job.outgoing.request_id), retry_after_ms)
+    response::refusal(reason, Some(&job.outgoing.request_id), retry_after_ms)
 }
--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -4,7 +4,7 @@
 //! another upstream can go on after the last one when the first breaks off, or
 //! when the stream leaves it (`leaving`).
 
-mod leaving;
+mod moves;
 
 use std::sync::Arc;
 
@@ -16,8 +16,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::clock::{instant_at, now_ms};
-use crate::gateway::answer::{self, Answer, BrokenOff};
-use crate::gateway::attempt::{Attempted, Reply, attempt};
+use crate::gateway::attempt::{Attempted, UpstreamResponse, attempt};
 use crate::gateway::check::Job;
 use crate::gateway::crashes;
 use crate::gateway::decisions::choose::Choice;
@@ -25,6 +24,7 @@
 use crate::gateway::events::{last_event_end, last_event_id};
 use crate::gateway::kernel::Gateway;
 use crate::gateway::request_log::{log_attempt, log_end, seconds_since};
+use crate::gateway::response::{self, BodyAborted, ClientResponse};
 use crate::gateway::serve::{note_left, resume_place};
 use crate::gateway::silence;
 
@@ -33,7 +33,7 @@
     gateway: Arc<Gateway>,
     job: Job,
     choice: Choice,
-    reply: Option<Reply>,
+    reply: Option<UpstreamResponse>,
     buffer: BytesMut,
     last_event: Option<String>,
     /// What was read before, and not passed on yet.
@@ -50,10 +50,10 @@
 pub fn stream(
     gateway: &Arc<Gateway>,
     job: &mut Job,
-    reply: Reply,
+    reply: UpstreamResponse,
     choice: &Choice,
     pending: Bytes,
-) -> Answer {
+) -> ClientResponse {
     let (status, head) = (reply.status, reply.head.clone());
     let relay = Relay {
         gateway: gateway.clone(),
@@ -72,7 +72,7 @@
         let next = relay.next().await?;
         Some((next.map(Frame::data), relay))
     });
-    answer::passed_on(status, &head, StreamBody::new(frames).boxed_unsync())
+    response::passed_on(status, &head, StreamBody::new(frames).boxed_unsync())
 }
 
 enum Read {
@@ -86,7 +86,7 @@
 }
 
 /// The answer of an upstream that goes on with a stream.
-fn success(attempted: Attempted) -> Option<Reply> {
+fn success(attempted: Attempted) -> Option<UpstreamResponse> {
     match attempted {
         Attempted::Answered(reply) if reply.status.is_success() => Some(*reply),
         _ => None,
@@ -95,7 +95,7 @@
 
 impl Relay {
     /// The next bytes for the client; `None` at the end.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, BodyAborted>> {
         if !self.pending.is_empty() {
             let pending = std::mem::take(&mut self.pending);
             self.passed_bytes += pending.len();
@@ -104,7 +104,7 @@
         loop {
             // A stream that nobody goes on with never looks whole.
             let Some(reply) = self.reply.as_mut() else {
-                return Some(Err(BrokenOff::Upstream));
+                return Some(Err(BodyAborted::Upstream));
             };
             let deadline = instant_at(self.job.outgoing.deadline_ms);
             let resumable = self.job.outgoing.repeat == Repeat::StreamResumable;
@@ -114,18 +114,18 @@
                 // What is there goes first; what was read ahead would else be lost.
                 biased;
                 next = timeout_at(deadline, read(self.ahead.take(), &mut reply.body)) => next,
-                reason = leaving::reason(&reply.place, begun, may_leave_at) => Ok(reason),
+                reason = moves::wait_for_reason(&reply.in_flight, begun, may_leave_at) => Ok(reason),
             };
             let Ok(next) = next else {
                 self.reply = None;
                 self.log_broken("time_over");
-                return Some(Err(BrokenOff::TimeOver));
+                return Some(Err(BodyAborted::TimeOver));
             };
             match next {
                 Read::Data(bytes) => {
-                    reply.place.heard();
+                    reply.in_flight.record_activity();
                     if !std::mem::replace(&mut self.begun, true) {
-                        reply.place.read_prompt();
+                        reply.in_flight.record_first_bytes();
                         self.log_begun();
                     }
                     let bytes = self.take(bytes);
@@ -151,7 +151,7 @@
                 Read::Silent => self.leave_silent().await,
                 Read::Displaced => self.move_on().await,
                 Read::Broken(cause) => {
-                    reply.place.failed();
+                    reply.in_flight.record_failure();
                     if let Some(broken) = self.resume(&cause).await {
                         return Some(Err(broken));
                     }
@@ -177,7 +177,7 @@
     }
 
     /// Goes on at another upstream; an error when that is not possible.
-    async fn resume(&mut self, cause: &str) -> Option<BrokenOff> {
+    async fn resume(&mut self, cause: &str) -> Option<BodyAborted> {
         self.log_broken(cause);
         self.reply = None;
         crashes::note_broken_off(
@@ -186,11 +186,11 @@
             self.job.outgoing.fingerprint,
         );
         if self.job.outgoing.repeat != Repeat::StreamResumable {
-            return Some(BrokenOff::Upstream);
+            return Some(BodyAborted::Upstream);
         }
         loop {
             let Some(choice) = self.other_place().await else {
-                return Some(BrokenOff::Upstream);
+                return Some(BodyAborted::Upstream);
             };
             if self.go_on_at(choice).await {
                 return None;
@@ -213,7 +213,7 @@
     }
 
     /// Takes the stream from another upstream, which begins after the last event.
-    fn go_on_with(&mut self, reply: Reply, choice: Choice) {
+    fn go_on_with(&mut self, reply: UpstreamResponse, choice: Choice) {
         self.reply = Some(reply);
         self.buffer.clear();
         self.choice = choice;
--- a/src/gateway/relay/leaving.rs
+++ b/src/gateway/relay/moves.rs
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use super::{Read, Relay, read, success};
-use crate::gateway::attempt::{Attempted, Reply, attempt};
+use crate::gateway::attempt::{Attempted, UpstreamResponse, attempt};
 use crate::gateway::decisions::choose::Choice;
-use crate::gateway::place::Place;
+use crate::gateway::in_flight::InFlight;
 use crate::gateway::request_log::log_attempt;
 use crate::gateway::serve::quick_place;
 use crate::gateway::silence::place_beside;
@@ -43,7 +43,7 @@
 }
 
 impl Relay {
-    /// Asks another upstream to go on in the place of a silent one, if one can. What is
+    /// Asks another upstream to go on in place of a silent one, if one can. What is
     /// silent may only be busy: it is listened to until the other answers.
     pub(super) async fn leave_silent(&mut self) {
         let before = self.choice.upstream.clone();
@@ -76,7 +76,7 @@
     /// Another upstream for a stream that its own could go on with, which then loads the
     /// sooner. It leaves once only; when there is none, it is looked for again later.
     async fn place_to_leave_for(&mut self) -> Option<Choice> {
-        let held_up = self.reply.as_ref().is_some_and(|reply| reply.place.is_held_up());
+        let held_up = self.reply.as_ref().is_some_and(|reply| reply.in_flight.delays_weight_load());
         let choice = if held_up {
             self.other_place().await
         } else {
@@ -113,14 +113,18 @@
 }
 
 /// Waits until there is a reason to leave an upstream that may still go on.
-pub(super) async fn reason(place: &Place, begun: bool, may_leave_at: Option<Instant>) -> Read {
+pub(super) async fn wait_for_reason(
+    in_flight: &InFlight,
+    begun: bool,
+    may_leave_at: Option<Instant>,
+) -> Read {
     let Some(may_leave_at) = may_leave_at else { return pending().await };
     sleep_until(may_leave_at).await;
     loop {
-        if place.is_silent() {
+        if in_flight.is_silent() {
             return Read::Silent;
         }
-        if begun && place.is_loading() {
+        if begun && in_flight.is_loading() {
             return Read::Displaced;
         }
         sleep(LEAVE_LOOK_PERIOD).await;
@@ -132,7 +136,7 @@
 async fn first_of(
     body: &mut Incoming,
     attempted: impl Future<Output = Attempted>,
-) -> (Option<Reply>, Option<Read>) {
+) -> (Option<UpstreamResponse>, Option<Read>) {
     let mut attempted = pin!(attempted);
     let read = tokio::select! {
         read = read(None, body) => read,
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -7,11 +7,11 @@
 
 use crate::clock::now_ms;
 use crate::fingerprint::Fingerprint;
-use crate::gateway::answer::Reason;
 use crate::gateway::check::Job;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::kernel::{Gateway, State};
+use crate::gateway::response::Reason;
 
 /// Longest time that is shown: a day.
 const LONG_MS: u64 = 86_400_000;
--- a/src/gateway/answer.rs
+++ b/src/gateway/response.rs
@@ -15,20 +15,20 @@
 /// Why a body broke off; the client's connection is closed, so that the answer
 /// does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum BrokenOff {
+pub enum BodyAborted {
     /// the upstream broke off
     Upstream,
     /// the time is over
     TimeOver,
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for BodyAborted {}
 
 /// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, BrokenOff>;
+pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// An answer to a client.
-pub type Answer = Response<Body>;
+pub type ClientResponse = Response<Body>;
 
 /// Why a request is refused or failed by us.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
@@ -82,7 +82,11 @@
 
 /// An answer of our own.
 #[must_use]
-pub fn refusal(reason: Reason, request_id: Option<&str>, retry_after_ms: Option<u64>) -> Answer {
+pub fn refusal(
+    reason: Reason,
+    request_id: Option<&str>,
+    retry_after_ms: Option<u64>,
+) -> ClientResponse {
     let mut answer = Response::new(whole(Bytes::from(format!("{reason}\n"))));
     *answer.status_mut() = reason.status();
     let head = answer.headers_mut();
@@ -98,7 +102,7 @@
 
 /// An upstream's answer, with its status and headers.
 #[must_use]
-pub fn passed_on(status: StatusCode, upstream_head: &HeaderMap, body: Body) -> Answer {
+pub fn passed_on(status: StatusCode, upstream_head: &HeaderMap, body: Body) -> ClientResponse {
     let mut answer = Response::new(body);
     *answer.status_mut() = status;
     for (name, value) in exchange::passed_on(upstream_head) {
@@ -121,12 +125,12 @@
 
 impl<T: Unpin> HttpBody for With<T> {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -9,8 +9,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::clock::{instant_at, now_ms};
-use crate::gateway::answer::{self, Answer, Reason};
-use crate::gateway::attempt::{Attempted, NotRunCause, Reply, Start, attempt};
+use crate::gateway::attempt::{Attempted, NotRunCause, Start, UpstreamResponse, attempt};
 use crate::gateway::check::{Job, check};
 use crate::gateway::decisions::admission::{AdmissionCriteria, Occupancy};
 use crate::gateway::decisions::candidates::Candidates;
@@ -23,7 +22,8 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::refuse::{RETRY_AFTER_MS, give_up, hold_back, no_place, refuse_at_once};
 use crate::gateway::request_log::{log_attempt, log_attempt_end, log_end, log_unread};
-use crate::gateway::{crashes, overdue, quarantine, relay, silence};
+use crate::gateway::response::{self, ClientResponse, Reason};
+use crate::gateway::{crashes, outdated_weights, quarantine, relay, silence};
 use crate::names::number;
 use crate::platform::exchange;
 
@@ -57,7 +57,7 @@
 }
 
 /// Serves a request.
-pub async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> Answer {
+pub async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> ClientResponse {
     let serving = Serving::new(&gateway);
     let arrived_at_ms = now_ms();
     let (parts, body) = request.into_parts();
@@ -69,23 +69,24 @@
             let retry_after_ms = (reason == Reason::NotReady).then_some(RETRY_AFTER_MS);
             let configuration = gateway.state().site.as_ref().map_or(0, |site| site.version);
             log_unread(request_id.as_deref(), reason, configuration, arrived_at_ms);
-            return answer::refusal(reason, request_id.as_deref(), retry_after_ms);
+            return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
     };
     gateway.state().budget.earn(arrived_at_ms, &job.service);
     let mut answer = run(&gateway, job).await;
     // The request is served until its body has been passed on.
-    let body = std::mem::replace(answer.body_mut(), answer::whole(Bytes::new()));
-    *answer.body_mut() = answer::with(body, serving);
+    let body = std::mem::replace(answer.body_mut(), response::whole(Bytes::new()));
+    *answer.body_mut() = response::with(body, serving);
     answer
 }
 
 /// Has a request run, at one upstream after the other if need be.
-async fn run(gateway: &Arc<Gateway>, mut job: Job) -> Answer {
+async fn run(gateway: &Arc<Gateway>, mut job: Job) -> ClientResponse {
     let wait_until = instant_at(job.arrived_at_ms + job.route.latency_objective_ms / WAIT_PART);
     let mut next = None;
     loop {
-        if let Some(until_ms) = quarantine::until_ms(gateway, job.outgoing.fingerprint) {
+        if let Some(until_ms) = quarantine::quarantined_until_ms(gateway, job.outgoing.fingerprint)
+        {
             return hold_back(&job, Reason::Quarantined, until_ms);
         }
         let found = match next.take() {
@@ -108,10 +109,10 @@
                 next = Some(other);
                 continue;
             }
-            () = overdue::must_not_begin(gateway, &job, &choice) => {
+            () = outdated_weights::must_not_begin(gateway, &job, &choice) => {
                 Attempted::Unknown { cause: "its weights are overdue".to_owned() }
             }
-            () = quarantine::entered(gateway, job.outgoing.fingerprint) => {
+            () = quarantine::wait_until_quarantined(gateway, job.outgoing.fingerprint) => {
                 Attempted::Unknown { cause: "upstreams crash under it".to_owned() }
             }
         };
@@ -129,7 +130,7 @@
     job: &mut Job,
     choice: &Choice,
     attempted: Attempted,
-) -> Option<Answer> {
+) -> Option<ClientResponse> {
     match attempted {
         Attempted::Answered(reply) => pass_on(gateway, job, *reply, choice).await,
         Attempted::NotRun { cause } => {
@@ -151,7 +152,7 @@
 
 /// After an attempt that reached nobody, which costs neither an attempt nor
 /// budget.
-fn unsent(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<Answer> {
+fn unsent(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<ClientResponse> {
     job.unsent += 1;
     if job.unsent >= MAX_UNSENT || now_ms() >= job.outgoing.deadline_ms {
         return Some(give_up(job, Reason::NoUpstream));
@@ -165,7 +166,7 @@
 
 /// After an attempt that reached another upstream than was meant, which turned
 /// it away. The one that was meant is gone, so that it costs budget only.
-fn misdirected(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<Answer> {
+fn misdirected(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<ClientResponse> {
     if !spend(gateway, job, now_ms()) {
         return Some(give_up(job, Reason::UpstreamsFull));
     }
@@ -173,7 +174,7 @@
 }
 
 /// After an attempt that may have run.
-fn lost(gateway: &Gateway, job: &mut Job, choice: &Choice, cause: &str) -> Option<Answer> {
+fn lost(gateway: &Gateway, job: &mut Job, choice: &Choice, cause: &str) -> Option<ClientResponse> {
     job.ran_perhaps = true;
     log_attempt_end(job, choice, "unknown", cause);
     try_elsewhere(gateway, job, choice, Reason::UpstreamFailed)
@@ -186,7 +187,7 @@
     log_attempt_end(job, choice, "unknown", "the upstream is silent");
 }
 
-fn time_over(job: &mut Job, choice: &Choice) -> Answer {
+fn time_over(job: &mut Job, choice: &Choice) -> ClientResponse {
     job.ran_perhaps = true;
     log_attempt_end(job, choice, "time_over", "");
     give_up(job, Reason::UpstreamSilent)
@@ -198,7 +199,7 @@
     job: &mut Job,
     choice: &Choice,
     reason: Reason,
-) -> Option<Answer> {
+) -> Option<ClientResponse> {
     job.note_sent(&choice.upstream);
     (!may_try_again(gateway, job)).then(|| give_up(job, reason))
 }
@@ -237,11 +238,11 @@
 async fn pass_on(
     gateway: &Arc<Gateway>,
     job: &mut Job,
-    mut reply: Reply,
+    mut reply: UpstreamResponse,
     choice: &Choice,
-) -> Option<Answer> {
+) -> Option<ClientResponse> {
     if let (Some(version), Some(prompt)) = (reply.told.ran_version, &job.prompt) {
-        reply.place.saw_version(&prompt.model, version);
+        reply.in_flight.record_version(&prompt.model, version);
     }
     if job.outgoing.repeat.is_stream() && reply.status.is_success() {
         return Some(relay::stream(gateway, job, reply, choice, Bytes::new()));
@@ -256,11 +257,11 @@
                 return None;
             }
             log_end(job, choice, status, bytes.len());
-            Some(answer::passed_on(status, &head, answer::whole(bytes)))
+            Some(response::passed_on(status, &head, response::whole(bytes)))
         }
         Ok(Ok(Start::Part(bytes))) => Some(relay::stream(gateway, job, reply, choice, bytes)),
         Ok(Err(cause)) => {
-            reply.place.failed();
+            reply.in_flight.record_failure();
             crashes::note_broken_off(gateway, &choice.upstream, job.outgoing.fingerprint);
             lost(gateway, job, choice, &cause)
         }
@@ -342,7 +343,7 @@
         isolated_account: job.isolated_account.as_deref(),
         weights,
         weights_apply_ms: gateway.settings.bounds.weights_apply_ms,
-        bars_overdue: overdue::is_barred(state, now_ms),
+        bars_overdue: outdated_weights::is_barred(state, now_ms),
         placement: if state.peers.is_small_fleet() {
             Placement::FastestLink { hall: &gateway.settings.hall }
         } else {
--- a/src/gateway/loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -63,7 +63,7 @@
 }
 
 /// An engine that is to be brought to a version.
-pub struct Load {
+pub struct WeightLoad {
     /// The engine.
     pub upstream: Incarnation,
     /// Its address.
@@ -77,14 +77,14 @@
 }
 
 /// Keeps this box from sending to an engine until a deadline.
-pub fn note_loading(state: &mut State, id: &str, until_ms: u64) {
+pub fn mark_loading(state: &mut State, id: &str, until_ms: u64) {
     if let Some(upstream) = state.upstreams.get_mut(id) {
         upstream.loads_until(until_ms);
     }
 }
 
 /// Replaces the weights of one engine, and says how it went.
-pub async fn replace_weights(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, mut load: Load) {
+pub async fn replace_weights(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, mut load: WeightLoad) {
     sleep(GOSSIP_LEAD).await;
     let end = match drain_and_order(&gateway, &socket, &mut load).await {
         Ok(end) => end,
@@ -130,7 +130,7 @@
 async fn drain_and_order(
     gateway: &Arc<Gateway>,
     socket: &UdpSocket,
-    load: &mut Load,
+    load: &mut WeightLoad,
 ) -> Result<LoadEnd> {
     drain(gateway, load).await;
     let Some(_permit) = acquire_permit(gateway, load).await else {
@@ -153,7 +153,7 @@
 }
 
 /// Waits until few enough engines load; `None` when this box leads no more.
-async fn acquire_permit(gateway: &Arc<Gateway>, load: &Load) -> Option<LoadPermit> {
+async fn acquire_permit(gateway: &Arc<Gateway>, load: &WeightLoad) -> Option<LoadPermit> {
     loop {
         {
             let mut state = gateway.state();
@@ -161,7 +161,7 @@
             if !state.leads(now_ms, load.fence) {
                 return None;
             }
-            note_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
+            mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
             let taken = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
             if taken < permits(gateway, &state, now_ms, &load.model) {
                 let id = load.upstream.id.clone();
@@ -178,7 +178,7 @@
 ///
 /// Where leaders follow each other quickly, one that has just taken over waits no longer than
 /// it has led: each would be replaced while it waits.
-async fn drain(gateway: &Gateway, load: &Load) {
+async fn drain(gateway: &Gateway, load: &WeightLoad) {
     let from_ms = now_ms();
     let until_ms = from_ms + quick_drain_ms(gateway, from_ms).unwrap_or(DRAIN_MS).min(DRAIN_MS);
     while now_ms() < until_ms && runs_work(gateway, load) {
@@ -195,21 +195,25 @@
 }
 
 /// Whether the engine runs anything that this box, which leads, waits for.
-fn runs_work(gateway: &Gateway, load: &Load) -> bool {
+fn runs_work(gateway: &Gateway, load: &WeightLoad) -> bool {
     let mut state = gateway.state();
     let now_ms = now_ms();
-    note_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
+    mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
     let requests = state.upstreams.get(&load.upstream.id).map(|one| one.load().requests);
     requests != Some(0) && state.leads(now_ms, load.fence)
 }
 
 /// Gives the order and waits until the engine has the version.
-async fn order_and_wait(gateway: &Gateway, socket: &UdpSocket, load: &mut Load) -> Result<LoadEnd> {
+async fn order_and_wait(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    load: &mut WeightLoad,
+) -> Result<LoadEnd> {
     let give_up_at_ms = now_ms() + ORDER_MS;
     let mut report = fetch_report(gateway, load).await?;
     // It may carry out an older order, which was left unanswered.
     while report.busy && !has_version(&report, load) && now_ms() < give_up_at_ms {
-        note_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
+        mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
         sleep(POLL_PERIOD).await;
         report = fetch_report(gateway, load).await?;
     }
@@ -220,10 +224,10 @@
         return Ok(end);
     }
     // Else this box alone would send to it before the load is over.
-    note_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
+    mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
     sleep(Duration::from_millis(LOAD_MS)).await;
     while now_ms() < give_up_at_ms {
-        note_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
+        mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
         let report = fetch_report(gateway, load).await?;
         if has_version(&report, load) {
             return Ok(LoadEnd::Done);
@@ -242,7 +246,7 @@
 async fn claim_and_order(
     gateway: &Gateway,
     socket: &UdpSocket,
-    load: &Load,
+    load: &WeightLoad,
     taken: u64,
 ) -> Result<Option<LoadEnd>> {
     let target = number(&load.upstream.id);
@@ -267,7 +271,7 @@
 }
 
 /// Asks an engine for its report; the load is of the run that answers.
-async fn fetch_report(gateway: &Gateway, load: &mut Load) -> Result<EngineReport> {
+async fn fetch_report(gateway: &Gateway, load: &mut WeightLoad) -> Result<EngineReport> {
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
     let id = &load.upstream.id;
@@ -277,12 +281,12 @@
     Ok(report)
 }
 
-fn has_version(report: &EngineReport, load: &Load) -> bool {
+fn has_version(report: &EngineReport, load: &WeightLoad) -> bool {
     let mut models = report.models.iter();
     models.any(|(model, version)| *model == load.model && *version >= load.version)
 }
 
-async fn order(gateway: &Gateway, load: &Load, taken: u64) -> Result<OrderOutcome> {
+async fn order(gateway: &Gateway, load: &WeightLoad, taken: u64) -> Result<OrderOutcome> {
     let order = WeightsOrder {
         engine_id: &load.upstream.id,
         model: &load.model,
