--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -23,13 +23,13 @@
 use crate::platform::exchange;
 
 /// Time that a transfer of context may take.
-const TRANSFER_MS: u64 = 2000;
+const MAX_TRANSFER_MS: u64 = 2000;
 /// Longest whole answer that is kept in memory before it is passed on.
-const MAX_WHOLE_BYTES: usize = 256 << 10;
+const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
 /// A request as it is sent, whichever upstream gets it.
 #[derive(Clone)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Id of the request.
     pub request_id: String,
     /// What it asks, whatever its id.
@@ -39,7 +39,7 @@
     /// Path and query.
     pub target: Uri,
     /// The client's headers.
-    pub head: HeaderMap,
+    pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
     /// Client account.
@@ -54,7 +54,7 @@
     pub objective_at_ms: u64,
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     /// Rank at an engine. A stream that has begun is as urgent as ever.
     fn rank(&self, now_ms: u64, choice: &Choice, last_event_id: Option<&str>) -> u8 {
         if last_event_id.is_some() {
@@ -72,7 +72,7 @@
 }
 
 /// How an attempt ended.
-pub enum Attempted {
+pub enum AttemptOutcome {
     /// The upstream answers; the body follows.
     Answered(Box<UpstreamResponse>),
     /// The upstream did not run the request and never will.
@@ -106,11 +106,11 @@
 }
 
 /// How much of a body was read at once.
-pub enum Start {
+pub enum BodyStart {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// As much as is kept in memory; the rest follows.
-    Part(Bytes),
+    Partial(Bytes),
 }
 
 /// The head of an upstream's answer, with all that is needed to read on.
@@ -118,9 +118,9 @@
     /// Status.
     pub status: StatusCode,
     /// Headers.
-    pub head: HeaderMap,
+    pub headers: HeaderMap,
     /// What it says of itself.
-    pub told: ResponseHead,
+    pub response_head: ResponseHead,
     /// Body.
     pub body: Incoming,
     /// Accounts for the request at the upstream.
@@ -130,44 +130,44 @@
 
 impl UpstreamResponse {
     /// Gives the connection back after the whole body was read.
-    pub fn finished(self) {
-        let Self { head, mut in_flight, connection, .. } = self;
+    pub fn finish(self) {
+        let Self { headers, mut in_flight, connection, .. } = self;
         in_flight.record_first_token();
         in_flight.record_success();
         let gateway = in_flight.gateway.clone();
         let id = in_flight.upstream.id.clone();
         drop(in_flight);
-        tokio::spawn(async move { gateway.connections.check_in(&id, &head, connection).await });
+        tokio::spawn(async move { gateway.connections.check_in(&id, &headers, connection).await });
     }
 
     /// Reads the body, as far as it is kept in memory.
     ///
     /// # Errors
     /// Fails when the upstream breaks off.
-    pub async fn read_start(&mut self) -> Result<Start, String> {
+    pub async fn read_start(&mut self) -> Result<BodyStart, String> {
         let mut bytes = Vec::new();
         while let Some(frame) = self.body.frame().await {
             let frame = frame.map_err(|error| error.to_string())?;
             let Ok(data) = frame.into_data() else { continue };
             self.in_flight.record_activity();
             bytes.extend_from_slice(&data);
-            if bytes.len() > MAX_WHOLE_BYTES {
-                return Ok(Start::Part(bytes.into()));
+            if bytes.len() > MAX_BUFFERED_BYTES {
+                return Ok(BodyStart::Partial(bytes.into()));
             }
         }
-        Ok(Start::Whole(bytes.into()))
+        Ok(BodyStart::Complete(bytes.into()))
     }
 }
 
 /// Makes one attempt. Silence does not end it: a caller that has another upstream drops it.
 pub async fn attempt(
     gateway: &Arc<Gateway>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     choice: &Choice,
     last_event_id: Option<&str>,
-) -> Attempted {
+) -> AttemptOutcome {
     let Some(address) = gateway.state().upstreams.address(&choice.upstream.id) else {
-        return Attempted::NotSent { cause: "the upstream is gone".to_owned() };
+        return AttemptOutcome::NotSent { cause: "the upstream is gone".to_owned() };
     };
     let in_flight = InFlight::begin(gateway, choice);
     let deadline = instant_at(outgoing.deadline_ms);
@@ -176,16 +176,16 @@
         Ok(Ok(connection)) => connection,
         Ok(Err(cause)) => {
             in_flight.record_unreachable();
-            return Attempted::NotSent { cause };
+            return AttemptOutcome::NotSent { cause };
         }
-        Err(_) => return Attempted::NotSent { cause: "the time is over".to_owned() },
+        Err(_) => return AttemptOutcome::NotSent { cause: "the time is over".to_owned() },
     };
-    note_saves(gateway, choice);
+    record_saves(gateway, choice);
     let now_ms = now_ms();
     let request = exchange::forward(
         &outgoing.method,
         &outgoing.target,
-        &outgoing.head,
+        &outgoing.headers,
         &outgoing.body,
         &ForwardHead {
             upstream_id: &choice.upstream.id,
@@ -199,72 +199,78 @@
     );
     let response = match timeout_at(deadline, send(&mut connection, request)).await {
         Ok(Ok(response)) => response,
-        Ok(Err(SendError::NotSent(cause))) => return Attempted::NotSent { cause },
+        Ok(Err(SendError::NotSent(cause))) => return AttemptOutcome::NotSent { cause },
         Ok(Err(SendError::Unknown(cause))) => {
             in_flight.record_failure();
-            crashes::note_broken_off(gateway, &in_flight.upstream, outgoing.fingerprint);
-            return Attempted::Unknown { cause };
+            crashes::record_abort(gateway, &in_flight.upstream, outgoing.fingerprint);
+            return AttemptOutcome::Unknown { cause };
         }
-        Err(_) => return Attempted::TimeOver,
+        Err(_) => return AttemptOutcome::TimeOver,
     };
     in_flight.record_activity();
-    judge(outgoing, response, in_flight, connection)
+    classify(outgoing, response, in_flight, connection)
 }
 
 /// Whether the answer is this request's own, and what it says.
-fn judge(
-    outgoing: &Outgoing,
+fn classify(
+    outgoing: &OutgoingRequest,
     response: Response<Incoming>,
     in_flight: InFlight,
     connection: Connection,
-) -> Attempted {
+) -> AttemptOutcome {
     let (parts, body) = response.into_parts();
-    let told = exchange::answer_head(parts.status, &parts.headers);
-    if !told.notice.is_empty() {
-        in_flight.apply_notice(told.notice);
+    let response_head = exchange::answer_head(parts.status, &parts.headers);
+    if !response_head.notice.is_empty() {
+        in_flight.apply_notice(response_head.notice);
     }
-    let own = told.request_id.as_deref() == Some(outgoing.request_id.as_str());
-    if told.not_run && (own || told.request_id.is_none()) {
-        let cause = not_run_cause(parts.status, &told, &in_flight.upstream.id);
+    let is_own = response_head.request_id.as_deref() == Some(outgoing.request_id.as_str());
+    if response_head.not_run && (is_own || response_head.request_id.is_none()) {
+        let cause = not_run_cause(parts.status, &response_head, &in_flight.upstream.id);
         match cause {
             NotRunCause::OtherIncarnation => in_flight.record_superseded(),
             NotRunCause::Refused(_) => in_flight.record_rejection(),
             NotRunCause::OtherVersion => {}
         }
-        return Attempted::NotRun { cause };
+        return AttemptOutcome::NotRun { cause };
     }
-    if !own {
+    if !is_own {
         in_flight.record_failure();
-        return Attempted::Unknown { cause: "the answer is another request's".to_owned() };
+        return AttemptOutcome::Unknown { cause: "the answer is another request's".to_owned() };
     }
-    if parts.status.is_success() && (!told.sealed || told.encoded) {
+    if parts.status.is_success() && (!response_head.sealed || response_head.encoded) {
         in_flight.record_failure();
-        return Attempted::Unknown { cause: "the answer is not the upstream's own".to_owned() };
+        return AttemptOutcome::Unknown {
+            cause: "the answer is not the upstream's own".to_owned(),
+        };
     }
     in_flight.record_accepted();
-    let reply = UpstreamResponse {
+    let response = UpstreamResponse {
         status: parts.status,
-        head: parts.headers,
-        told,
+        headers: parts.headers,
+        response_head,
         body,
         in_flight,
         connection,
     };
-    Attempted::Answered(Box::new(reply))
+    AttemptOutcome::Answered(Box::new(response))
 }
 
-fn not_run_cause(status: StatusCode, told: &ResponseHead, upstream_id: &str) -> NotRunCause {
+fn not_run_cause(
+    status: StatusCode,
+    response_head: &ResponseHead,
+    upstream_id: &str,
+) -> NotRunCause {
     if status != StatusCode::MISDIRECTED_REQUEST {
         return NotRunCause::Refused(status.as_u16());
     }
-    match &told.upstream_id {
+    match &response_head.upstream_id {
         Some(id) if id != upstream_id => NotRunCause::OtherIncarnation,
         Some(_) | None => NotRunCause::OtherVersion,
     }
 }
 
 /// Notes the parts that are being saved.
-fn note_saves(gateway: &Gateway, choice: &Choice) {
+fn record_saves(gateway: &Gateway, choice: &Choice) {
     let Some(context) = &choice.context else { return };
     let mut state = gateway.state();
     let now_ms = now_ms();
@@ -278,6 +284,6 @@
 /// Until when transfers may run, on the upstreams' clock: counted from the choice of their
 /// sources, since a box may stand still between that and the request.
 fn transfers_until_ms(gateway: &Gateway, chosen_at_ms: u64) -> Option<u64> {
-    let ahead_ms = gateway.state().upstream_clock_offset_ms?;
-    chosen_at_ms.checked_add_signed(ahead_ms).map(|clock_ms| clock_ms + TRANSFER_MS)
+    let offset_ms = gateway.state().upstream_clock_offset_ms?;
+    chosen_at_ms.checked_add_signed(offset_ms).map(|clock_ms| clock_ms + MAX_TRANSFER_MS)
 }
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -18,27 +18,27 @@
 
 /// Notes that an upstream broke a request off before the end of its answer. A crash ends all
 /// that ran there, and is looked for once.
-pub fn note_broken_off(gateway: &Arc<Gateway>, upstream: &Incarnation, request: Fingerprint) {
+pub fn record_abort(gateway: &Arc<Gateway>, upstream: &Incarnation, request: Fingerprint) {
     let mut broken_off = locked(&gateway.unexplained_aborts);
     let requests = broken_off.entry(upstream.id.clone()).or_default();
     requests.push(request);
     if requests.len() == 1 {
-        tokio::spawn(look(gateway.clone(), upstream.clone()));
+        tokio::spawn(check_for_crash(gateway.clone(), upstream.clone()));
     }
 }
 
-async fn look(gateway: Arc<Gateway>, upstream: Incarnation) {
+async fn check_for_crash(gateway: Arc<Gateway>, upstream: Incarnation) {
     let crashed = has_crashed(&gateway, &upstream).await;
     let requests = locked(&gateway.unexplained_aborts).remove(&upstream.id).unwrap_or_default();
     info!(target: "crashes", "event=upstream_broke_off upstream={} crashed={crashed} requests={}",
-        upstream.id, listed(&requests));
+        upstream.id, join_fingerprints(&requests));
     if crashed {
         metrics::counter!("coursestile_upstream_crashes_total").increment(1);
-        note_crash(&gateway, &upstream, &requests);
+        record_crash(&gateway, &upstream, &requests);
     }
 }
 
-fn note_crash(gateway: &Gateway, upstream: &Incarnation, requests: &[Fingerprint]) {
+fn record_crash(gateway: &Gateway, upstream: &Incarnation, requests: &[Fingerprint]) {
     let mut state = gateway.state();
     let now_ms = now_ms();
     if let Some(upstream) = state.upstreams.get_run_mut(upstream) {
@@ -59,7 +59,7 @@
 }
 
 /// Notes that an upstream has answered a request to its end.
-pub fn note_answered(gateway: &Gateway, request: Fingerprint) {
+pub fn record_answered(gateway: &Gateway, request: Fingerprint) {
     if gateway.state().quarantine.answered(request, now_ms()) {
         info!(target: "crashes", "event=suspect_answered fingerprint={request}");
         gateway.gossip_now.notify_one();
@@ -72,7 +72,7 @@
     is_closed(address).await
 }
 
-fn listed(requests: &[Fingerprint]) -> String {
+fn join_fingerprints(requests: &[Fingerprint]) -> String {
     let shown: Vec<String> = requests.iter().map(Fingerprint::to_string).collect();
     shown.join(",")
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -42,12 +42,12 @@
     if let Some(address) = settings.metrics {
         match listen(address).await {
             Ok(metrics) => {
-                tokio::spawn(listener::metrics(gateway.clone(), metrics));
+                tokio::spawn(listener::serve_metrics(gateway.clone(), metrics));
             }
             Err(error) => warn!(target: "daemon", "event=no_metrics cause=\"{error}\""),
         }
     }
-    tokio::spawn(listener::readiness(gateway.clone(), ready));
+    tokio::spawn(listener::serve_readiness(gateway.clone(), ready));
     tokio::spawn(follow::run(gateway.clone()));
     tokio::spawn(follow::tick(gateway.clone()));
     tokio::spawn(follow_caches::run(gateway.clone()));
@@ -63,7 +63,7 @@
     tokio::spawn(leader::tidy(gateway.clone(), socket));
     tokio::spawn(members::run(gateway.clone()));
     tokio::spawn(quarantine::maintain_stored(gateway.clone()));
-    tokio::spawn(listener::clients(gateway.clone(), clients));
+    tokio::spawn(listener::accept_clients(gateway.clone(), clients));
     gateway.wait_for_phase(Phase::Stopped).await;
     info!(target: "daemon", "event=stopped box={}", gateway.settings.name);
     Ok(())
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -92,14 +92,20 @@
             let Some(engine) = state.upstreams.get(&id) else { continue };
             let (upstream, address) = (engine.incarnation(), engine.entry.address);
             state.loading_engines.insert(id);
-            loads.push(WeightLoad { upstream, address, model: model.clone(), version, fence });
+            loads.push(WeightLoad {
+                engine: upstream,
+                address,
+                model: model.clone(),
+                version,
+                fence,
+            });
         }
     }
     if !loads.is_empty() {
         for load in &loads {
             info!(target: "leader", "event=drain_started upstream={} model={} version={}",
-                load.upstream.id, load.model, load.version);
-            mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
+                load.engine.id, load.model, load.version);
+            mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
         }
         gateway.gossip_now.notify_one();
     }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -29,10 +29,10 @@
 /// descriptors mostly.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Least buffer that the HTTP library allows.
-const LEAST_BUFFER_BYTES: usize = 8192;
+const MIN_BUFFER_BYTES: usize = 8192;
 
 /// Accepts clients until the box drains.
-pub async fn clients(gateway: Arc<Gateway>, listener: TcpListener) {
+pub async fn accept_clients(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -40,7 +40,7 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::spawn(connection(gateway.clone(), stream));
+                tokio::spawn(serve_client(gateway.clone(), stream));
             }
             Err(error) => {
                 debug!(target: "listener", "event=accept_failed cause=\"{error}\"");
@@ -50,7 +50,7 @@
     }
 }
 
-async fn connection(gateway: Arc<Gateway>, stream: TcpStream) {
+async fn serve_client(gateway: Arc<Gateway>, stream: TcpStream) {
     if let Err(error) = set_socket_options(&stream) {
         debug!(target: "listener", "event=socket_option_refused cause=\"{error}\"");
     }
@@ -59,15 +59,16 @@
     let service = service_fn(move |request: Request<Incoming>| {
         let gateway = serving.clone();
         async move {
-            let mut answer = serve(gateway.clone(), request).await;
+            let mut response = serve(gateway.clone(), request).await;
             if gateway.phase() >= Phase::Leaving {
                 let close = HeaderValue::from_static("close");
-                answer.headers_mut().insert(header::CONNECTION, close);
+                response.headers_mut().insert(header::CONNECTION, close);
             }
-            Ok::<_, Infallible>(answer)
+            Ok::<_, Infallible>(response)
         }
     });
-    let mut connection = pin!(builder(&limits).serve_connection(TokioIo::new(stream), service));
+    let mut connection =
+        pin!(http_builder(&limits).serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
         () = gateway.wait_for_phase(Phase::Draining) => {
@@ -80,20 +81,20 @@
     }
 }
 
-fn builder(limits: &ClientLimits) -> http1::Builder {
+fn http_builder(limits: &ClientLimits) -> http1::Builder {
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(
             limits.header_timeout_ms.max(limits.idle_timeout_ms),
         ))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER_BYTES));
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES));
     builder
 }
 
 /// Answers the balancer's question whether to send new connections.
-pub async fn readiness(gateway: Arc<Gateway>, listener: TcpListener) {
-    small_server(gateway, listener, |gateway| {
+pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
+    serve_endpoint(gateway, listener, |gateway| {
         let known = gateway.state().site.is_some();
         let ready = known && gateway.phase() == Phase::Serving;
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -103,11 +104,11 @@
 }
 
 /// Serves the metrics.
-pub async fn metrics(gateway: Arc<Gateway>, listener: TcpListener) {
-    small_server(gateway, listener, |_| (StatusCode::OK, metering::render())).await;
+pub async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
+    serve_endpoint(gateway, listener, |_| (StatusCode::OK, metering::render())).await;
 }
 
-async fn small_server(
+async fn serve_endpoint(
     gateway: Arc<Gateway>,
     listener: TcpListener,
     respond: fn(&Gateway) -> (StatusCode, String),
--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -16,14 +16,14 @@
 use crate::phase::Phase;
 
 /// Time between two looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(400);
+const PROBE_PERIOD: Duration = Duration::from_millis(400);
 
 /// Looks until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
-        sleep(LOOK_PERIOD).await;
+        sleep(PROBE_PERIOD).await;
         for (id, address) in unreachable(&gateway) {
-            tokio::spawn(look(gateway.clone(), id, address));
+            tokio::spawn(probe(gateway.clone(), id, address));
         }
     }
 }
@@ -37,7 +37,7 @@
     unreachable.map(|one| (one.id.clone(), one.entry.address)).collect()
 }
 
-async fn look(gateway: Arc<Gateway>, id: String, address: SocketAddr) {
+async fn probe(gateway: Arc<Gateway>, id: String, address: SocketAddr) {
     gateway.connections.close_idle_to(&id);
     let Ok(connection) = gateway.connections.check_out(&id, address).await else {
         return;
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -3,7 +3,7 @@
 use hyper::StatusCode;
 
 use crate::clock::now_ms;
-use crate::gateway::check::Job;
+use crate::gateway::check::AdmittedRequest;
 use crate::gateway::decisions::admission;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::request_log::log_refusal;
@@ -14,50 +14,51 @@
 pub const RETRY_AFTER_MS: u64 = 400;
 
 /// The answer to a request for which no upstream was found in time.
-pub fn no_place(gateway: &Gateway, job: &Job) -> ClientResponse {
+pub fn no_upstream_found(gateway: &Gateway, request: &AdmittedRequest) -> ClientResponse {
     let state = gateway.state();
-    let rest_until_ms = state.upstreams.all_rest_until_ms(now_ms(), &job.service, &job.tried);
-    let is_known = state.upstreams.of(&job.service).next().is_some();
+    let rest_until_ms =
+        state.upstreams.all_rest_until_ms(now_ms(), &request.service, &request.tried);
+    let is_known = state.upstreams.of(&request.service).next().is_some();
     drop(state);
     match rest_until_ms {
         Some(until_ms) => {
-            let spread_ms = u64::from(number(&job.outgoing.request_id)) % RETRY_AFTER_MS;
-            hold_back(job, Reason::UpstreamsFull, until_ms + spread_ms)
+            let spread_ms = u64::from(number(&request.outgoing.request_id)) % RETRY_AFTER_MS;
+            refuse_until(request, Reason::UpstreamsFull, until_ms + spread_ms)
         }
-        None if is_known => give_up(job, Reason::UpstreamsFull),
-        None => give_up(job, Reason::NoUpstream),
+        None if is_known => give_up(request, Reason::UpstreamsFull),
+        None => give_up(request, Reason::NoUpstream),
     }
 }
 
 /// The answer to a request that no upstream may get until a deadline.
-pub fn hold_back(job: &Job, reason: Reason, until_ms: u64) -> ClientResponse {
-    if job.ran_perhaps {
-        return give_up(job, Reason::UpstreamFailed);
+pub fn refuse_until(request: &AdmittedRequest, reason: Reason, until_ms: u64) -> ClientResponse {
+    if request.may_have_run {
+        return give_up(request, Reason::UpstreamFailed);
     }
-    let request_id = &job.outgoing.request_id;
-    log_refusal(job, reason);
+    let request_id = &request.outgoing.request_id;
+    log_refusal(request, reason);
     response::refusal(reason, Some(request_id), Some(until_ms.saturating_sub(now_ms())))
 }
 
 /// The answer to a request that no engine can begin with in time.
-pub fn refuse_at_once(job: &Job) -> ClientResponse {
+pub fn refuse_immediately(request: &AdmittedRequest) -> ClientResponse {
     let reason = Reason::UpstreamsFull;
-    let request_id = &job.outgoing.request_id;
-    let left_ms = job.outgoing.deadline_ms.saturating_sub(now_ms());
+    let request_id = &request.outgoing.request_id;
+    let left_ms = request.outgoing.deadline_ms.saturating_sub(now_ms());
     let after_ms = admission::retry_after_ms(number(request_id).into(), left_ms);
-    log_refusal(job, reason);
+    log_refusal(request, reason);
     response::refusal(reason, Some(request_id), Some(after_ms))
 }
 
 /// The final answer to a request that was not served.
-pub fn give_up(job: &Job, reason: Reason) -> ClientResponse {
+pub fn give_up(request: &AdmittedRequest, reason: Reason) -> ClientResponse {
     // "Not run" is said only when no attempt may have run.
-    let reason = match (job.ran_perhaps, reason.status()) {
+    let reason = match (request.may_have_run, reason.status()) {
         (true, StatusCode::SERVICE_UNAVAILABLE) => Reason::UpstreamFailed,
         _ => reason,
     };
     let retry_after_ms =
         (reason.status() == StatusCode::SERVICE_UNAVAILABLE).then_some(RETRY_AFTER_MS);
-    log_refusal(job, reason);
-    response::refusal(reason, Some(&job.outgoing.request_id), retry_after_ms)
+    log_refusal(request, reason);
+    response::refusal(reason, Some(&request.outgoing.request_id), retry_after_ms)
 }
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -7,17 +7,17 @@
 
 use crate::clock::now_ms;
 use crate::fingerprint::Fingerprint;
-use crate::gateway::check::Job;
+use crate::gateway::check::AdmittedRequest;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::response::Reason;
 
 /// Longest time that is shown: a day.
-const LONG_MS: u64 = 86_400_000;
+const MAX_BEHIND_MS: u64 = 86_400_000;
 
 /// Logs a request that is refused before all of it is known.
-pub fn log_unread(
+pub fn log_early_refusal(
     request_id: Option<&str>,
     reason: Reason,
     configuration: u64,
@@ -28,10 +28,16 @@
 }
 
 /// Logs a request that is refused or given up.
-pub fn log_refusal(job: &Job, reason: Reason) {
-    let request_id = Some(job.outgoing.request_id.as_str());
-    let held_ms = now_ms() - job.arrived_at_ms;
-    log_refused(request_id, Some(job.outgoing.fingerprint), reason, job.configuration, held_ms);
+pub fn log_refusal(request: &AdmittedRequest, reason: Reason) {
+    let request_id = Some(request.outgoing.request_id.as_str());
+    let held_ms = now_ms() - request.arrived_at_ms;
+    log_refused(
+        request_id,
+        Some(request.outgoing.fingerprint),
+        reason,
+        request.config_version,
+        held_ms,
+    );
 }
 
 fn log_refused(
@@ -51,29 +57,29 @@
 }
 
 /// Logs an attempt that begins.
-pub fn log_attempt(gateway: &Gateway, job: &Job, choice: &Choice) {
+pub fn log_attempt_start(gateway: &Gateway, request: &AdmittedRequest, choice: &Choice) {
     let (limit, behind_ms) = {
         let state = gateway.state();
-        (state.limits.limit_of(&job.service), behind_ms(&state, job, choice))
+        (state.limits.limit_of(&request.service), behind_ms(&state, request, choice))
     };
     let context = choice.context.as_ref();
     info!(target: "serve",
         "event=routed request={} fingerprint={} route={} configuration={} upstream={} attempt={} left_ms={} \
          version={} behind_ms={behind_ms} read_tokens={} reread_tokens={} expected_ms={:.0} context={} part={} \
          load_requests={} load_unread={} load_memory={} limit={limit:.2}",
-        job.outgoing.request_id,
-        job.outgoing.fingerprint,
-        job.route.name,
-        job.configuration,
+        request.outgoing.request_id,
+        request.outgoing.fingerprint,
+        request.route.name,
+        request.config_version,
         choice.upstream.id,
-        job.tried.len() + 1,
-        job.outgoing.deadline_ms.saturating_sub(now_ms()),
+        request.tried.len() + 1,
+        request.outgoing.deadline_ms.saturating_sub(now_ms()),
         context.map_or(0, |plan| plan.version),
         context.map_or(0, |plan| plan.prefill_tokens),
         context.map_or(0, |plan| plan.recomputed_tokens),
         choice.expected_ms,
         context.map_or_else(|| "-".to_owned(), ContextPlan::summary),
-        job.prompt.as_ref().and_then(|one| one.shared_parts().last()).map_or("-", |one| &one.id),
+        request.prompt.as_ref().and_then(|one| one.shared_parts().last()).map_or("-", |one| &one.id),
         choice.load.requests,
         choice.load.pending_prefill_tokens,
         choice.load.memory_tokens);
@@ -81,18 +87,18 @@
 
 /// For how long a newer version than the chosen engine has was named, as far as this box
 /// knows; 0 when none was.
-fn behind_ms(state: &State, job: &Job, choice: &Choice) -> u64 {
-    let named = job.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
+fn behind_ms(state: &State, request: &AdmittedRequest, choice: &Choice) -> u64 {
+    let named = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let version = choice.context.as_ref().map_or(0, |plan| plan.version);
     let since_ms = named.and_then(|named| named.behind_since_ms(version));
     // A time that is not known would show as that since 1970.
-    since_ms.map_or(0, |since_ms| now_ms().saturating_sub(since_ms).min(LONG_MS))
+    since_ms.map_or(0, |since_ms| now_ms().saturating_sub(since_ms).min(MAX_BEHIND_MS))
 }
 
 /// Logs an attempt that ended without an answer.
-pub fn log_attempt_end(job: &Job, choice: &Choice, end: &str, cause: &str) {
+pub fn log_attempt_end(request: &AdmittedRequest, choice: &Choice, end: &str, cause: &str) {
     info!(target: "serve", "event=attempt_ended request={} upstream={} end={end} cause=\"{cause}\"",
-        job.outgoing.request_id, choice.upstream.id);
+        request.outgoing.request_id, choice.upstream.id);
 }
 
 /// Time since a moment, in seconds, as metrics have it.
@@ -102,10 +108,10 @@
 }
 
 /// Logs the end of a request that was served.
-pub fn log_end(job: &Job, choice: &Choice, status: StatusCode, bytes: usize) {
+pub fn log_answered(request: &AdmittedRequest, choice: &Choice, status: StatusCode, bytes: usize) {
     metrics::counter!("coursestile_requests_total", "end" => "answered").increment(1);
-    metrics::histogram!("coursestile_request_seconds").record(seconds_since(job.arrived_at_ms));
+    metrics::histogram!("coursestile_request_seconds").record(seconds_since(request.arrived_at_ms));
     info!(target: "serve",
         "event=answered request={} upstream={} status={} bytes={bytes} held_ms={}",
-        job.outgoing.request_id, choice.upstream.id, status.as_u16(), now_ms() - job.arrived_at_ms);
+        request.outgoing.request_id, choice.upstream.id, status.as_u16(), now_ms() - request.arrived_at_ms);
 }
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -24,7 +24,7 @@
 
 impl std::error::Error for BodyAborted {}
 
-/// Body of an answer.
+/// Body of an response.
 pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// An answer to a client.
@@ -60,7 +60,7 @@
 }
 
 impl Reason {
-    /// The status of the answer. 503 says that the request has not run and
+    /// The status of the response. 503 says that the request has not run and
     /// never will; 502 and 504 say nothing of it.
     #[must_use]
     pub fn status(self) -> StatusCode {
@@ -87,43 +87,47 @@
     request_id: Option<&str>,
     retry_after_ms: Option<u64>,
 ) -> ClientResponse {
-    let mut answer = Response::new(whole(Bytes::from(format!("{reason}\n"))));
-    *answer.status_mut() = reason.status();
-    let head = answer.headers_mut();
-    head.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    let mut response = Response::new(full_body(Bytes::from(format!("{reason}\n"))));
+    *response.status_mut() = reason.status();
+    let headers = response.headers_mut();
+    headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     if let Some(request_id) = request_id {
-        exchange::set_request_id(head, request_id);
+        exchange::set_request_id(headers, request_id);
     }
     if let Some(after_ms) = retry_after_ms {
-        exchange::set_retry_after(head, after_ms);
+        exchange::set_retry_after(headers, after_ms);
     }
-    answer
+    response
 }
 
 /// An upstream's answer, with its status and headers.
 #[must_use]
-pub fn passed_on(status: StatusCode, upstream_head: &HeaderMap, body: Body) -> ClientResponse {
-    let mut answer = Response::new(body);
-    *answer.status_mut() = status;
-    for (name, value) in exchange::passed_on(upstream_head) {
-        answer.headers_mut().append(name, value.clone());
+pub fn from_upstream(
+    status: StatusCode,
+    upstream_headers: &HeaderMap,
+    body: Body,
+) -> ClientResponse {
+    let mut response = Response::new(body);
+    *response.status_mut() = status;
+    for (name, value) in exchange::passed_on(upstream_headers) {
+        response.headers_mut().append(name, value.clone());
     }
-    answer
+    response
 }
 
 /// A body that is there already.
 #[must_use]
-pub fn whole(bytes: Bytes) -> Body {
+pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
 /// A body that keeps something alive until it has been passed on.
-struct With<T> {
+struct GuardedBody<T> {
     body: Body,
-    _kept: T,
+    _guard: T,
 }
 
-impl<T: Unpin> HttpBody for With<T> {
+impl<T: Unpin> HttpBody for GuardedBody<T> {
     type Data = Bytes;
     type Error = BodyAborted;
 
@@ -144,6 +148,6 @@
 }
 
 /// Keeps `kept` alive until `body` has been passed on.
-pub fn with<T: Unpin + Send + 'static>(body: Body, kept: T) -> Body {
-    With { body, _kept: kept }.boxed_unsync()
+pub fn with_guard<T: Unpin + Send + 'static>(body: Body, guard: T) -> Body {
+    GuardedBody { body, _guard: guard }.boxed_unsync()
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Serves one request: checks it, finds an upstream, passes its answer on.
+//! Serves one request: checks it, finds an upstream, passes its response on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::clock::{instant_at, now_ms};
-use crate::gateway::attempt::{Attempted, NotRunCause, Start, UpstreamResponse, attempt};
-use crate::gateway::check::{Job, check};
+use crate::gateway::attempt::{AttemptOutcome, BodyStart, NotRunCause, UpstreamResponse, attempt};
+use crate::gateway::check::{AdmittedRequest, validate};
 use crate::gateway::decisions::admission::{AdmissionCriteria, Occupancy};
 use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::choose::{Choice, choose};
@@ -20,37 +20,41 @@
 use crate::gateway::decisions::upstream::Upstream;
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::refuse::{RETRY_AFTER_MS, give_up, hold_back, no_place, refuse_at_once};
-use crate::gateway::request_log::{log_attempt, log_attempt_end, log_end, log_unread};
+use crate::gateway::refuse::{
+    RETRY_AFTER_MS, give_up, no_upstream_found, refuse_immediately, refuse_until,
+};
+use crate::gateway::request_log::{
+    log_answered, log_attempt_end, log_attempt_start, log_early_refusal,
+};
 use crate::gateway::response::{self, ClientResponse, Reason};
 use crate::gateway::{crashes, outdated_weights, quarantine, relay, silence};
 use crate::names::number;
 use crate::platform::exchange;
 
 /// Part of the latency objective after which a request that found no place is refused.
-const WAIT_PART: u64 = 4;
+const QUEUE_WAIT_DIVISOR: u64 = 4;
 /// Connections to an upstream that a box may have in any case: one for a request
 /// and one for the look whether it can be reached.
-const LEAST_CONNECTIONS: u32 = 2;
+const MIN_CONNECTIONS: u32 = 2;
 /// Attempts that may reach nobody before the request is given up: each may
 /// take the 300 ms of a connection.
-const MAX_UNSENT: u32 = 4;
+const MAX_UNDELIVERED: u32 = 4;
 /// Least time that must be left for another attempt: some round trips.
-const LEAST_LEFT_MS: u64 = 20;
+const MIN_RETRY_TIME_MS: u64 = 20;
 /// Pause before an attempt when the last one was turned away.
-const AGAIN_PAUSE: Duration = Duration::from_millis(5);
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
 /// Counts a request for as long as it is served.
-struct Serving(Arc<Gateway>);
+struct ActiveRequest(Arc<Gateway>);
 
-impl Serving {
+impl ActiveRequest {
     fn new(gateway: &Arc<Gateway>) -> Self {
         gateway.state().requests_in_flight += 1;
         Self(gateway.clone())
     }
 }
 
-impl Drop for Serving {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.state().requests_in_flight -= 1;
     }
@@ -58,292 +62,338 @@
 
 /// Serves a request.
 pub async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> ClientResponse {
-    let serving = Serving::new(&gateway);
+    let active = ActiveRequest::new(&gateway);
     let arrived_at_ms = now_ms();
     let (parts, body) = request.into_parts();
-    let asked = exchange::request_head(&parts.uri, &parts.headers);
-    let request_id = asked.request_id.clone();
-    let job = match check(&gateway, &asked, parts, body, arrived_at_ms).await {
-        Ok(job) => job,
+    let head = exchange::request_head(&parts.uri, &parts.headers);
+    let request_id = head.request_id.clone();
+    let request = match validate(&gateway, &head, parts, body, arrived_at_ms).await {
+        Ok(request) => request,
         Err(reason) => {
             let retry_after_ms = (reason == Reason::NotReady).then_some(RETRY_AFTER_MS);
             let configuration = gateway.state().site.as_ref().map_or(0, |site| site.version);
-            log_unread(request_id.as_deref(), reason, configuration, arrived_at_ms);
+            log_early_refusal(request_id.as_deref(), reason, configuration, arrived_at_ms);
             return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
     };
-    gateway.state().budget.earn(arrived_at_ms, &job.service);
-    let mut answer = run(&gateway, job).await;
+    gateway.state().budget.earn(arrived_at_ms, &request.service);
+    let mut response = run_attempts(&gateway, request).await;
     // The request is served until its body has been passed on.
-    let body = std::mem::replace(answer.body_mut(), response::whole(Bytes::new()));
-    *answer.body_mut() = response::with(body, serving);
-    answer
+    let body = std::mem::replace(response.body_mut(), response::full_body(Bytes::new()));
+    *response.body_mut() = response::with_guard(body, active);
+    response
 }
 
 /// Has a request run, at one upstream after the other if need be.
-async fn run(gateway: &Arc<Gateway>, mut job: Job) -> ClientResponse {
-    let wait_until = instant_at(job.arrived_at_ms + job.route.latency_objective_ms / WAIT_PART);
+async fn run_attempts(gateway: &Arc<Gateway>, mut request: AdmittedRequest) -> ClientResponse {
+    let wait_until =
+        instant_at(request.arrived_at_ms + request.route.latency_objective_ms / QUEUE_WAIT_DIVISOR);
     let mut next = None;
     loop {
-        if let Some(until_ms) = quarantine::quarantined_until_ms(gateway, job.outgoing.fingerprint)
+        if let Some(until_ms) =
+            quarantine::quarantined_until_ms(gateway, request.outgoing.fingerprint)
         {
-            return hold_back(&job, Reason::Quarantined, until_ms);
+            return refuse_until(&request, Reason::Quarantined, until_ms);
         }
         let found = match next.take() {
             Some(choice) => Some(choice),
-            None => find_place(gateway, &job, wait_until).await,
+            None => wait_for_upstream(gateway, &request, wait_until).await,
         };
         let Some(choice) = found else {
-            return no_place(gateway, &job);
+            return no_upstream_found(gateway, &request);
         };
-        if choice.occupancy == Occupancy::Full && !job.ran_perhaps {
-            return refuse_at_once(&job);
+        if choice.occupancy == Occupancy::Full && !request.may_have_run {
+            return refuse_immediately(&request);
         }
-        log_attempt(gateway, &job, &choice);
+        log_attempt_start(gateway, &request, &choice);
         let attempted = tokio::select! {
-            // An answer that is there is not left for another place.
+            // An response that is there is not left for another place.
             biased;
-            attempted = attempt(gateway, &job.outgoing, &choice, None) => attempted,
-            other = silence::place_when_silent(gateway, &job, &choice) => {
-                note_left(&mut job, &choice);
+            attempted = attempt(gateway, &request.outgoing, &choice, None) => attempted,
+            other = silence::alternative_when_silent(gateway, &request, &choice) => {
+                record_abandoned(&mut request, &choice);
                 next = Some(other);
                 continue;
             }
-            () = outdated_weights::must_not_begin(gateway, &job, &choice) => {
-                Attempted::Unknown { cause: "its weights are overdue".to_owned() }
+            () = outdated_weights::wait_for_withdrawal(gateway, &request, &choice) => {
+                AttemptOutcome::Unknown { cause: "its weights are overdue".to_owned() }
             }
-            () = quarantine::wait_until_quarantined(gateway, job.outgoing.fingerprint) => {
-                Attempted::Unknown { cause: "upstreams crash under it".to_owned() }
+            () = quarantine::wait_until_quarantined(gateway, request.outgoing.fingerprint) => {
+                AttemptOutcome::Unknown { cause: "upstreams crash under it".to_owned() }
             }
         };
-        if let Some(answer) = settle(gateway, &mut job, &choice, attempted).await {
-            return answer;
+        if let Some(response) = handle_outcome(gateway, &mut request, &choice, attempted).await {
+            return response;
         }
-        tokio::time::sleep(AGAIN_PAUSE).await;
+        tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// What an attempt means for its request: an answer, or `None` when it is to
+/// What an attempt means for its request: an response, or `None` when it is to
 /// be sent again.
-async fn settle(
+async fn handle_outcome(
     gateway: &Arc<Gateway>,
-    job: &mut Job,
+    request: &mut AdmittedRequest,
     choice: &Choice,
-    attempted: Attempted,
+    attempted: AttemptOutcome,
 ) -> Option<ClientResponse> {
     match attempted {
-        Attempted::Answered(reply) => pass_on(gateway, job, *reply, choice).await,
-        Attempted::NotRun { cause } => {
-            note_turned_away(gateway, job, choice, cause);
-            log_attempt_end(job, choice, "not_run", &cause.to_string());
+        AttemptOutcome::Answered(response) => {
+            forward_response(gateway, request, *response, choice).await
+        }
+        AttemptOutcome::NotRun { cause } => {
+            update_version_after_rejection(gateway, request, choice, cause);
+            log_attempt_end(request, choice, "not_run", &cause.to_string());
             if cause == NotRunCause::OtherIncarnation {
-                return misdirected(gateway, job, choice);
+                return handle_misdirected(gateway, request, choice);
             }
-            try_elsewhere(gateway, job, choice, Reason::UpstreamsFull)
+            retry_or_give_up(gateway, request, choice, Reason::UpstreamsFull)
+        }
+        AttemptOutcome::NotSent { cause } => {
+            log_attempt_end(request, choice, "not_sent", &cause);
+            handle_undelivered(gateway, request, choice)
         }
-        Attempted::NotSent { cause } => {
-            log_attempt_end(job, choice, "not_sent", &cause);
-            unsent(gateway, job, choice)
+        AttemptOutcome::Unknown { cause } => {
+            handle_unknown_outcome(gateway, request, choice, &cause)
         }
-        Attempted::Unknown { cause } => lost(gateway, job, choice, &cause),
-        Attempted::TimeOver => Some(time_over(job, choice)),
+        AttemptOutcome::TimeOver => Some(handle_timeout(request, choice)),
     }
 }
 
 /// After an attempt that reached nobody, which costs neither an attempt nor
 /// budget.
-fn unsent(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<ClientResponse> {
-    job.unsent += 1;
-    if job.unsent >= MAX_UNSENT || now_ms() >= job.outgoing.deadline_ms {
-        return Some(give_up(job, Reason::NoUpstream));
+fn handle_undelivered(
+    gateway: &Gateway,
+    request: &mut AdmittedRequest,
+    choice: &Choice,
+) -> Option<ClientResponse> {
+    request.undelivered_attempts += 1;
+    if request.undelivered_attempts >= MAX_UNDELIVERED || now_ms() >= request.outgoing.deadline_ms {
+        return Some(give_up(request, Reason::NoUpstream));
     }
-    job.tried.push(choice.upstream.clone());
-    if untried(gateway, job) == 0 {
-        job.tried.clear();
+    request.tried.push(choice.upstream.clone());
+    if count_untried(gateway, request) == 0 {
+        request.tried.clear();
     }
     None
 }
 
 /// After an attempt that reached another upstream than was meant, which turned
 /// it away. The one that was meant is gone, so that it costs budget only.
-fn misdirected(gateway: &Gateway, job: &mut Job, choice: &Choice) -> Option<ClientResponse> {
-    if !spend(gateway, job, now_ms()) {
-        return Some(give_up(job, Reason::UpstreamsFull));
+fn handle_misdirected(
+    gateway: &Gateway,
+    request: &mut AdmittedRequest,
+    choice: &Choice,
+) -> Option<ClientResponse> {
+    if !spend_retry_budget(gateway, request, now_ms()) {
+        return Some(give_up(request, Reason::UpstreamsFull));
     }
-    unsent(gateway, job, choice)
+    handle_undelivered(gateway, request, choice)
 }
 
 /// After an attempt that may have run.
-fn lost(gateway: &Gateway, job: &mut Job, choice: &Choice, cause: &str) -> Option<ClientResponse> {
-    job.ran_perhaps = true;
-    log_attempt_end(job, choice, "unknown", cause);
-    try_elsewhere(gateway, job, choice, Reason::UpstreamFailed)
+fn handle_unknown_outcome(
+    gateway: &Gateway,
+    request: &mut AdmittedRequest,
+    choice: &Choice,
+    cause: &str,
+) -> Option<ClientResponse> {
+    request.may_have_run = true;
+    log_attempt_end(request, choice, "unknown", cause);
+    retry_or_give_up(gateway, request, choice, Reason::UpstreamFailed)
 }
 
 /// After an attempt that was left for another upstream.
-pub fn note_left(job: &mut Job, choice: &Choice) {
-    job.ran_perhaps = true;
-    job.note_sent(&choice.upstream);
-    log_attempt_end(job, choice, "unknown", "the upstream is silent");
+pub fn record_abandoned(request: &mut AdmittedRequest, choice: &Choice) {
+    request.may_have_run = true;
+    request.record_attempt(&choice.upstream);
+    log_attempt_end(request, choice, "unknown", "the upstream is silent");
 }
 
-fn time_over(job: &mut Job, choice: &Choice) -> ClientResponse {
-    job.ran_perhaps = true;
-    log_attempt_end(job, choice, "time_over", "");
-    give_up(job, Reason::UpstreamSilent)
+fn handle_timeout(request: &mut AdmittedRequest, choice: &Choice) -> ClientResponse {
+    request.may_have_run = true;
+    log_attempt_end(request, choice, "time_over", "");
+    give_up(request, Reason::UpstreamSilent)
 }
 
 /// `None` when the request is to be sent to another upstream.
-fn try_elsewhere(
+fn retry_or_give_up(
     gateway: &Gateway,
-    job: &mut Job,
+    request: &mut AdmittedRequest,
     choice: &Choice,
     reason: Reason,
 ) -> Option<ClientResponse> {
-    job.note_sent(&choice.upstream);
-    (!may_try_again(gateway, job)).then(|| give_up(job, reason))
+    request.record_attempt(&choice.upstream);
+    (!take_retry(gateway, request)).then(|| give_up(request, reason))
 }
 
 /// Upstreams of the service that the request was not sent to.
-fn untried(gateway: &Gateway, job: &Job) -> usize {
+fn count_untried(gateway: &Gateway, request: &AdmittedRequest) -> usize {
     let state = gateway.state();
-    let tried = |one: &Upstream| job.tried.iter().any(|tried| one.is(tried));
-    state.upstreams.of(&job.service).filter(|one| !tried(one)).count()
+    let tried = |one: &Upstream| request.tried.iter().any(|tried| one.is(tried));
+    state.upstreams.of(&request.service).filter(|one| !tried(one)).count()
 }
 
 /// Whether the request can be sent to another upstream; takes the budget.
-fn may_try_again(gateway: &Gateway, job: &Job) -> bool {
+fn take_retry(gateway: &Gateway, request: &AdmittedRequest) -> bool {
     let now_ms = now_ms();
-    has_attempt_left(job, now_ms) && spend(gateway, job, now_ms)
+    is_retry_allowed(request, now_ms) && spend_retry_budget(gateway, request, now_ms)
 }
 
 /// Whether the request may be sent to another upstream, but for the budget.
-pub(super) fn has_attempt_left(job: &Job, now_ms: u64) -> bool {
-    let allowed = !job.ran_perhaps || job.outgoing.repeat.may_run_again();
-    let time_left = now_ms + LEAST_LEFT_MS < job.outgoing.deadline_ms;
-    allowed && job.sent < job.route.attempts && time_left
+pub(super) fn is_retry_allowed(request: &AdmittedRequest, now_ms: u64) -> bool {
+    let allowed = !request.may_have_run || request.outgoing.repeat.may_run_again();
+    let time_left = now_ms + MIN_RETRY_TIME_MS < request.outgoing.deadline_ms;
+    allowed && request.attempts_made < request.route.attempts && time_left
 }
 
 /// Takes a repeat from the budget; there is none for what upstreams crash under.
-pub(super) fn spend(gateway: &Gateway, job: &Job, now_ms: u64) -> bool {
+pub(super) fn spend_retry_budget(
+    gateway: &Gateway,
+    request: &AdmittedRequest,
+    now_ms: u64,
+) -> bool {
     let mut state = gateway.state();
-    if state.quarantine.until_ms(now_ms, job.outgoing.fingerprint).is_some() {
+    if state.quarantine.until_ms(now_ms, request.outgoing.fingerprint).is_some() {
         return false;
     }
     let boxes = state.peers.live_boxes(now_ms);
-    state.budget.spend(now_ms, &job.service, boxes)
+    state.budget.spend(now_ms, &request.service, boxes)
 }
 
-/// Passes an upstream's answer on; `None` when the request is to be sent again.
-async fn pass_on(
+/// Passes an upstream's response on; `None` when the request is to be sent again.
+async fn forward_response(
     gateway: &Arc<Gateway>,
-    job: &mut Job,
-    mut reply: UpstreamResponse,
+    request: &mut AdmittedRequest,
+    mut response: UpstreamResponse,
     choice: &Choice,
 ) -> Option<ClientResponse> {
-    if let (Some(version), Some(prompt)) = (reply.told.ran_version, &job.prompt) {
-        reply.in_flight.record_version(&prompt.model, version);
+    if let (Some(version), Some(prompt)) = (response.response_head.ran_version, &request.prompt) {
+        response.in_flight.record_version(&prompt.model, version);
     }
-    if job.outgoing.repeat.is_stream() && reply.status.is_success() {
-        return Some(relay::stream(gateway, job, reply, choice, Bytes::new()));
+    if request.outgoing.repeat.is_stream() && response.status.is_success() {
+        return Some(relay::stream(gateway, request, response, choice, Bytes::new()));
     }
-    let deadline = instant_at(job.outgoing.deadline_ms);
-    match timeout_at(deadline, reply.read_start()).await {
-        Ok(Ok(Start::Whole(bytes))) => {
-            let (status, head) = (reply.status, reply.head.clone());
-            reply.finished();
-            crashes::note_answered(gateway, job.outgoing.fingerprint);
-            if status.is_server_error() && repeats_failure(gateway, job, choice, status) {
+    let deadline = instant_at(request.outgoing.deadline_ms);
+    match timeout_at(deadline, response.read_start()).await {
+        Ok(Ok(BodyStart::Complete(bytes))) => {
+            let (status, head) = (response.status, response.headers.clone());
+            response.finish();
+            crashes::record_answered(gateway, request.outgoing.fingerprint);
+            if status.is_server_error() && retry_after_failure(gateway, request, choice, status) {
                 return None;
             }
-            log_end(job, choice, status, bytes.len());
-            Some(response::passed_on(status, &head, response::whole(bytes)))
+            log_answered(request, choice, status, bytes.len());
+            Some(response::from_upstream(status, &head, response::full_body(bytes)))
+        }
+        Ok(Ok(BodyStart::Partial(bytes))) => {
+            Some(relay::stream(gateway, request, response, choice, bytes))
         }
-        Ok(Ok(Start::Part(bytes))) => Some(relay::stream(gateway, job, reply, choice, bytes)),
         Ok(Err(cause)) => {
-            reply.in_flight.record_failure();
-            crashes::note_broken_off(gateway, &choice.upstream, job.outgoing.fingerprint);
-            lost(gateway, job, choice, &cause)
+            response.in_flight.record_failure();
+            crashes::record_abort(gateway, &choice.upstream, request.outgoing.fingerprint);
+            handle_unknown_outcome(gateway, request, choice, &cause)
         }
-        Err(_) => Some(time_over(job, choice)),
+        Err(_) => Some(handle_timeout(request, choice)),
     }
 }
 
 /// Whether a request that an upstream has failed is sent to another; if not,
-/// the upstream's own answer is the answer.
-fn repeats_failure(gateway: &Gateway, job: &mut Job, choice: &Choice, status: StatusCode) -> bool {
-    if job.outgoing.repeat != Repeat::Repeatable {
+/// the upstream's own response is the response.
+fn retry_after_failure(
+    gateway: &Gateway,
+    request: &mut AdmittedRequest,
+    choice: &Choice,
+    status: StatusCode,
+) -> bool {
+    if request.outgoing.repeat != Repeat::Repeatable {
         return false;
     }
-    job.note_sent(&choice.upstream);
-    let repeats = untried(gateway, job) > 0 && may_try_again(gateway, job);
+    request.record_attempt(&choice.upstream);
+    let repeats = count_untried(gateway, request) > 0 && take_retry(gateway, request);
     if repeats {
-        job.ran_perhaps = true;
-        log_attempt_end(job, choice, "failed", &format!("status {}", status.as_u16()));
+        request.may_have_run = true;
+        log_attempt_end(request, choice, "failed", &format!("status {}", status.as_u16()));
     }
     repeats
 }
 
 /// An upstream that goes on with a stream, if it may be sent again.
-pub async fn resume_place(gateway: &Arc<Gateway>, job: &Job) -> Option<Choice> {
-    let until = instant_at(now_ms() + job.route.latency_objective_ms / WAIT_PART);
-    let choice = find_place(gateway, job, until).await?;
-    if !may_try_again(gateway, job) {
+pub async fn find_resume_upstream(
+    gateway: &Arc<Gateway>,
+    request: &AdmittedRequest,
+) -> Option<Choice> {
+    let until = instant_at(now_ms() + request.route.latency_objective_ms / QUEUE_WAIT_DIVISOR);
+    let choice = wait_for_upstream(gateway, request, until).await?;
+    if !take_retry(gateway, request) {
         return None;
     }
-    log_attempt(gateway, job, &choice);
+    log_attempt_start(gateway, request, &choice);
     Some(choice)
 }
 
 /// An upstream that is expected to go on with a stream in `most_ms`, if it may be sent again.
-pub fn quick_place(gateway: &Gateway, job: &Job, most_ms: f64) -> Option<Choice> {
-    let choice = choose_now(&mut gateway.state(), gateway, job)?;
-    if choice.expected_ms > most_ms || !may_try_again(gateway, job) {
+pub fn find_quick_upstream(
+    gateway: &Gateway,
+    request: &AdmittedRequest,
+    most_ms: f64,
+) -> Option<Choice> {
+    let choice = choose_upstream(&mut gateway.state(), gateway, request)?;
+    if choice.expected_ms > most_ms || !take_retry(gateway, request) {
         return None;
     }
-    log_attempt(gateway, job, &choice);
+    log_attempt_start(gateway, request, &choice);
     Some(choice)
 }
 
 /// Waits for an upstream that can take the request.
-async fn find_place(gateway: &Arc<Gateway>, job: &Job, until: Instant) -> Option<Choice> {
+async fn wait_for_upstream(
+    gateway: &Arc<Gateway>,
+    request: &AdmittedRequest,
+    until: Instant,
+) -> Option<Choice> {
     loop {
         let woken = gateway.capacity_changed.notified();
-        if let Some(choice) = choose_now(&mut gateway.state(), gateway, job) {
+        if let Some(choice) = choose_upstream(&mut gateway.state(), gateway, request) {
             return Some(choice);
         }
-        if rests_past(gateway, job, until) {
+        if all_rest_past(gateway, request, until) {
             return None;
         }
         if timeout_at(until, woken).await.is_err() {
-            return choose_now(&mut gateway.state(), gateway, job);
+            return choose_upstream(&mut gateway.state(), gateway, request);
         }
     }
 }
 
 /// Whether all upstreams that are left rest beyond a deadline.
-fn rests_past(gateway: &Gateway, job: &Job, until: Instant) -> bool {
+fn all_rest_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
     let state = gateway.state();
-    let rest_until_ms = state.upstreams.all_rest_until_ms(now_ms(), &job.service, &job.tried);
+    let rest_until_ms =
+        state.upstreams.all_rest_until_ms(now_ms(), &request.service, &request.tried);
     rest_until_ms.is_some_and(|rest_until_ms| instant_at(rest_until_ms) > until)
 }
 
 /// The upstream that can take the request now.
-pub(super) fn choose_now(state: &mut State, gateway: &Gateway, job: &Job) -> Option<Choice> {
+pub(super) fn choose_upstream(
+    state: &mut State,
+    gateway: &Gateway,
+    request: &AdmittedRequest,
+) -> Option<Choice> {
     let now_ms = now_ms();
     let boxes = u32::try_from(state.peers.live_boxes(now_ms)).unwrap_or(u32::MAX);
     let site = state.site.as_ref()?;
-    let service = site.services.get(&job.service)?;
-    let weights = job.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
+    let service = site.services.get(&request.service)?;
+    let weights = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let demand = Demand {
-        service: &job.service,
+        service: &request.service,
         box_number: state.peers.local().number,
         hall: &gateway.settings.hall,
-        prompt: job.prompt.as_ref(),
-        isolated_account: job.isolated_account.as_deref(),
+        prompt: request.prompt.as_ref(),
+        isolated_account: request.isolated_account.as_deref(),
         weights,
         weights_apply_ms: gateway.settings.bounds.weights_apply_ms,
-        bars_overdue: outdated_weights::is_barred(state, now_ms),
+        bars_overdue: outdated_weights::enforces_weight_deadline(state, now_ms),
         placement: if state.peers.is_small_fleet() {
             Placement::FastestLink { hall: &gateway.settings.hall }
         } else {
@@ -352,24 +402,33 @@
         candidates: if state.peers.is_small_fleet() {
             Candidates::All
         } else {
-            Candidates::Sampled { seed: now_ms ^ u64::from(number(&job.outgoing.request_id)) << 32 }
+            Candidates::Sampled {
+                seed: now_ms ^ u64::from(number(&request.outgoing.request_id)) << 32,
+            }
         },
-        tried: &job.tried,
-        max_requests: (service.max_connections / (boxes + 1)).max(LEAST_CONNECTIONS),
+        tried: &request.tried,
+        max_requests: (service.max_connections / (boxes + 1)).max(MIN_CONNECTIONS),
         admission: AdmissionCriteria {
-            higher_priority_ranks: site.higher_priority_ranks(&job.service, job.route.priority),
-            objective_ms: job.route.latency_objective_ms,
-            objective_missed: now_ms >= job.outgoing.objective_at_ms,
-            load_limit: state.limits.limit_of(&job.service),
+            higher_priority_ranks: site
+                .higher_priority_ranks(&request.service, request.route.priority),
+            objective_ms: request.route.latency_objective_ms,
+            objective_missed: now_ms >= request.outgoing.objective_at_ms,
+            load_limit: state.limits.limit_of(&request.service),
         },
-        objective_at_ms: Some(job.outgoing.objective_at_ms),
+        objective_at_ms: Some(request.outgoing.objective_at_ms),
     };
     choose(now_ms, &state.upstreams, &state.stores, service.engine.as_ref(), &demand)
 }
 
 /// Takes note of why an upstream turned a request away.
-fn note_turned_away(gateway: &Gateway, job: &Job, choice: &Choice, cause: NotRunCause) {
-    let Some(prompt) = job.prompt.as_ref().filter(|_| cause == NotRunCause::OtherVersion) else {
+fn update_version_after_rejection(
+    gateway: &Gateway,
+    request: &AdmittedRequest,
+    choice: &Choice,
+    cause: NotRunCause,
+) {
+    let Some(prompt) = request.prompt.as_ref().filter(|_| cause == NotRunCause::OtherVersion)
+    else {
         return;
     };
     let mut state = gateway.state();
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -13,15 +13,15 @@
 use tokio::time::sleep;
 
 use crate::clock::now_ms;
-use crate::gateway::check::Job;
+use crate::gateway::check::AdmittedRequest;
 use crate::gateway::decisions::admission::Occupancy;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::kernel::Gateway;
-use crate::gateway::serve::{choose_now, has_attempt_left, spend};
+use crate::gateway::serve::{choose_upstream, is_retry_allowed, spend_retry_budget};
 
 /// Time between two looks whether an upstream is silent: short beside the silence.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
 /// Whether an upstream owes answers and has said nothing for long. One whose entry has
 /// gone is not: it may serve on for seconds, and what it runs is not cut. Beside a silent
@@ -39,16 +39,20 @@
 
 /// Waits until the upstream of a request is silent and another can take the request;
 /// takes the budget. Never ends for a request that runs at most once.
-pub async fn place_when_silent(gateway: &Arc<Gateway>, job: &Job, asked: &Choice) -> Choice {
-    if !job.outgoing.repeat.may_run_again() {
+pub async fn alternative_when_silent(
+    gateway: &Arc<Gateway>,
+    request: &AdmittedRequest,
+    current: &Choice,
+) -> Choice {
+    if !request.outgoing.repeat.may_run_again() {
         return pending().await;
     }
     loop {
-        sleep(LOOK_PERIOD).await;
-        if !is_silent(gateway, &asked.upstream) {
+        sleep(CHECK_PERIOD).await;
+        if !is_silent(gateway, &current.upstream) {
             continue;
         }
-        if let Some(choice) = place_beside(gateway, job, &asked.upstream) {
+        if let Some(choice) = find_alternative(gateway, request, &current.upstream) {
             return choice;
         }
     }
@@ -56,20 +60,24 @@
 
 /// Another upstream, neither failing nor silent nor full, for a request that runs at one
 /// already; takes the budget.
-pub fn place_beside(gateway: &Gateway, job: &Job, asked: &Incarnation) -> Option<Choice> {
+pub fn find_alternative(
+    gateway: &Gateway,
+    request: &AdmittedRequest,
+    current: &Incarnation,
+) -> Option<Choice> {
     let now_ms = now_ms();
-    let mut job = job.clone();
-    if !job.tried.contains(asked) {
-        job.note_sent(asked);
+    let mut request = request.clone();
+    if !request.tried.contains(current) {
+        request.record_attempt(current);
     }
-    if !has_attempt_left(&job, now_ms) {
+    if !is_retry_allowed(&request, now_ms) {
         return None;
     }
     let mut state = gateway.state();
-    let choice = choose_now(&mut state, gateway, &job)?;
+    let choice = choose_upstream(&mut state, gateway, &request)?;
     let doubtful =
         state.upstreams.get_run(&choice.upstream).is_none_or(|one| one.is_unhealthy(now_ms));
     drop(state);
     let full = choice.occupancy == Occupancy::Full;
-    (!doubtful && !full && spend(gateway, &job, now_ms)).then_some(choice)
+    (!doubtful && !full && spend_retry_budget(gateway, &request, now_ms)).then_some(choice)
 }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -20,26 +20,26 @@
 use crate::names::number;
 
 /// Time that gossip takes to the other boxes.
-const GOSSIP_LEAD: Duration = Duration::from_millis(15);
+const GOSSIP_DELAY: Duration = Duration::from_millis(15);
 /// Time after which a load may be over; it takes 760 ms and more.
 const LOAD_MS: u64 = 800;
 /// Time between two looks at a load: reports are 100 ms late.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
 /// Longest time for which the order waits until running requests have ended.
-const DRAIN_MS: u64 = 1500;
+const MAX_DRAIN_MS: u64 = 1500;
 /// Time between two looks whether they have.
-const DRAIN_PERIOD: Duration = Duration::from_millis(50);
+const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(50);
 /// Longest time for which one order is followed up.
-const ORDER_MS: u64 = 4000;
+const ORDER_TIMEOUT_MS: u64 = 4000;
 /// Time for which an engine that has taken an order counts as loading: twice the usual. One
 /// that hangs must not keep others from loading for as long as it is followed up.
 const PERMIT_MS: u64 = 2 * LOAD_MS;
 /// Time for which one counts that is about to get an order; an answer takes some
 /// milliseconds. One that does not answer does not load, and others may.
-const ASKED_PERMIT_MS: u64 = 200;
+const UNCONFIRMED_PERMIT_MS: u64 = 200;
 /// Pause before an engine that failed is tried again. While it grew to 4 s, engines that
 /// carried out lost orders seconds late had the newest weights too late.
-const FAILED_PAUSE_MS: u64 = 500;
+const RETRY_PAUSE_MS: u64 = 500;
 /// Time for which one message says that an engine loads.
 pub const LOADING_GOSSIP_MS: u64 = 700;
 /// Time for which peers are told of a version after it was seen.
@@ -65,7 +65,7 @@
 /// An engine that is to be brought to a version.
 pub struct WeightLoad {
     /// The engine.
-    pub upstream: Incarnation,
+    pub engine: Incarnation,
     /// Its address.
     pub address: SocketAddr,
     /// Model.
@@ -85,28 +85,28 @@
 
 /// Replaces the weights of one engine, and says how it went.
 pub async fn replace_weights(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, mut load: WeightLoad) {
-    sleep(GOSSIP_LEAD).await;
+    sleep(GOSSIP_DELAY).await;
     let end = match drain_and_order(&gateway, &socket, &mut load).await {
         Ok(end) => end,
         Err(error) => {
-            info!(target: "leader", "event=order_failed upstream={} cause=\"{error}\"", load.upstream.id);
+            info!(target: "leader", "event=order_failed upstream={} cause=\"{error}\"", load.engine.id);
             LoadEnd::Failed
         }
     };
     let mut state = gateway.state();
-    state.loading_engines.remove(&load.upstream.id);
+    state.loading_engines.remove(&load.engine.id);
     match end {
         LoadEnd::Done => {
-            state.failed_orders.remove(&load.upstream.id);
+            state.failed_orders.remove(&load.engine.id);
         }
         LoadEnd::LeadershipLost | LoadEnd::NotClaimed => {}
         LoadEnd::TurnedAway | LoadEnd::TooSlow | LoadEnd::Failed => {
-            let failed = state.failed_orders.entry(load.upstream.id.clone()).or_default();
+            let failed = state.failed_orders.entry(load.engine.id.clone()).or_default();
             failed.count += 1;
-            failed.retry_at_ms = now_ms() + FAILED_PAUSE_MS;
+            failed.retry_at_ms = now_ms() + RETRY_PAUSE_MS;
         }
     }
-    if let Some(upstream) = state.upstreams.get_run_mut(&load.upstream) {
+    if let Some(upstream) = state.upstreams.get_run_mut(&load.engine) {
         upstream.loads_until(0);
         if end == LoadEnd::Done {
             upstream.saw_version(&load.model, load.version);
@@ -114,7 +114,7 @@
     }
     if end == LoadEnd::Done {
         state.observed_versions.push(ObservedVersion {
-            engine: load.upstream.number(),
+            engine: load.engine.number(),
             model: number(&load.model),
             version: load.version,
             until_ms: now_ms() + VERSION_GOSSIP_MS,
@@ -122,7 +122,7 @@
     }
     drop(state);
     info!(target: "leader", "event=order_ended upstream={} model={} version={} end=\"{end}\"",
-        load.upstream.id, load.model, load.version);
+        load.engine.id, load.model, load.version);
     gateway.gossip_now.notify_one();
     gateway.capacity_changed.notify_waiters();
 }
@@ -161,15 +161,15 @@
             if !state.leads(now_ms, load.fence) {
                 return None;
             }
-            mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
+            mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
             let taken = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
             if taken < permits(gateway, &state, now_ms, &load.model) {
-                let id = load.upstream.id.clone();
-                state.load_permits.insert(id.clone(), now_ms + ASKED_PERMIT_MS);
+                let id = load.engine.id.clone();
+                state.load_permits.insert(id.clone(), now_ms + UNCONFIRMED_PERMIT_MS);
                 return Some(LoadPermit(gateway.clone(), id));
             }
         }
-        sleep(DRAIN_PERIOD).await;
+        sleep(DRAIN_CHECK_PERIOD).await;
     }
 }
 
@@ -180,14 +180,15 @@
 /// it has led: each would be replaced while it waits.
 async fn drain(gateway: &Gateway, load: &WeightLoad) {
     let from_ms = now_ms();
-    let until_ms = from_ms + quick_drain_ms(gateway, from_ms).unwrap_or(DRAIN_MS).min(DRAIN_MS);
-    while now_ms() < until_ms && runs_work(gateway, load) {
-        sleep(DRAIN_PERIOD).await;
+    let until_ms =
+        from_ms + takeover_drain_ms(gateway, from_ms).unwrap_or(MAX_DRAIN_MS).min(MAX_DRAIN_MS);
+    while now_ms() < until_ms && has_running_requests(gateway, load) {
+        sleep(DRAIN_CHECK_PERIOD).await;
     }
 }
 
 /// For how long this box has led, where leaders follow each other quickly.
-fn quick_drain_ms(gateway: &Gateway, now_ms: u64) -> Option<u64> {
+fn takeover_drain_ms(gateway: &Gateway, now_ms: u64) -> Option<u64> {
     let state = gateway.state();
     let held = state.leadership?;
     let follows = claims::has_waiting(&state, &gateway.settings.bounds, now_ms);
@@ -195,11 +196,11 @@
 }
 
 /// Whether the engine runs anything that this box, which leads, waits for.
-fn runs_work(gateway: &Gateway, load: &WeightLoad) -> bool {
+fn has_running_requests(gateway: &Gateway, load: &WeightLoad) -> bool {
     let mut state = gateway.state();
     let now_ms = now_ms();
-    mark_loading(&mut state, &load.upstream.id, now_ms + LOADING_GOSSIP_MS);
-    let requests = state.upstreams.get(&load.upstream.id).map(|one| one.load().requests);
+    mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
+    let requests = state.upstreams.get(&load.engine.id).map(|one| one.load().requests);
     requests != Some(0) && state.leads(now_ms, load.fence)
 }
 
@@ -209,11 +210,11 @@
     socket: &UdpSocket,
     load: &mut WeightLoad,
 ) -> Result<LoadEnd> {
-    let give_up_at_ms = now_ms() + ORDER_MS;
+    let give_up_at_ms = now_ms() + ORDER_TIMEOUT_MS;
     let mut report = fetch_report(gateway, load).await?;
     // It may carry out an older order, which was left unanswered.
     while report.busy && !has_version(&report, load) && now_ms() < give_up_at_ms {
-        mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
+        mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOADING_GOSSIP_MS);
         sleep(POLL_PERIOD).await;
         report = fetch_report(gateway, load).await?;
     }
@@ -224,10 +225,10 @@
         return Ok(end);
     }
     // Else this box alone would send to it before the load is over.
-    mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
+    mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
     sleep(Duration::from_millis(LOAD_MS)).await;
     while now_ms() < give_up_at_ms {
-        mark_loading(&mut gateway.state(), &load.upstream.id, now_ms() + LOADING_GOSSIP_MS);
+        mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOADING_GOSSIP_MS);
         let report = fetch_report(gateway, load).await?;
         if has_version(&report, load) {
             return Ok(LoadEnd::Done);
@@ -249,13 +250,13 @@
     load: &WeightLoad,
     taken: u64,
 ) -> Result<Option<LoadEnd>> {
-    let target = number(&load.upstream.id);
+    let target = number(&load.engine.id);
     match claims::claim(gateway, socket, load.fence, target).await {
         Ok(true) => {}
         Ok(false) => return Ok(Some(LoadEnd::LeadershipLost)),
         Err(error) => {
             info!(target: "leader", "event=engine_not_claimed upstream={} cause=\"{error}\"",
-                load.upstream.id);
+                load.engine.id);
             return Ok(Some(LoadEnd::NotClaimed));
         }
     }
@@ -263,7 +264,7 @@
         return Ok(Some(LoadEnd::LeadershipLost));
     }
     let ordered = order(gateway, load, taken).await?;
-    if let Some(until_ms) = gateway.state().load_permits.get_mut(&load.upstream.id) {
+    if let Some(until_ms) = gateway.state().load_permits.get_mut(&load.engine.id) {
         *until_ms = now_ms() + PERMIT_MS;
     }
     let turned_away = matches!(ordered, OrderOutcome::Fenced | OrderOutcome::WrongEngine);
@@ -274,9 +275,9 @@
 async fn fetch_report(gateway: &Gateway, load: &mut WeightLoad) -> Result<EngineReport> {
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
-    let id = &load.upstream.id;
+    let id = &load.engine.id;
     if entries::answered_by(gateway, id, report.started_at_ms, asked_at_ms) == Told::Restarted {
-        load.upstream.started_at_ms = report.started_at_ms;
+        load.engine.started_at_ms = report.started_at_ms;
     }
     Ok(report)
 }
@@ -288,7 +289,7 @@
 
 async fn order(gateway: &Gateway, load: &WeightLoad, taken: u64) -> Result<OrderOutcome> {
     let order = WeightsOrder {
-        engine_id: &load.upstream.id,
+        engine_id: &load.engine.id,
         model: &load.model,
         version: load.version,
         leader: &gateway.settings.name,
@@ -298,7 +299,7 @@
     metrics::counter!("coursestile_orders_total").increment(1);
     info!(target: "leader",
         "event=order_given upstream={} model={} version={} fence={} orders_taken={taken}",
-        load.upstream.id, load.model, load.version, load.fence);
+        load.engine.id, load.model, load.version, load.fence);
     gateway.state().orders_in_flight += 1;
     let ordered = gateway.engines.order(load.address, &order).await;
     gateway.state().orders_in_flight -= 1;
