--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -1,4 +1,4 @@
-//! What one gateway process shares among its tasks.
+//! State that the tasks of a gateway process share.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -34,74 +34,74 @@
 use crate::quarantine::Quarantine;
 use crate::sync::locked;
 
-/// Heartbeats for which the metadata store must have been away before an upstream's
-/// item can have lapsed: it does after three that are missed, the first of which may
-/// have been due at any time in the first period.
+/// Heartbeats for which the metadata store must have been unavailable before an upstream's item
+/// can have expired. An item expires after three missed heartbeats, the first of which may have
+/// been due at any time in the first period.
 const LAPSE_HEARTBEATS: u64 = 2;
 
-/// Time in which the store answers a new watch, and boxes that are slow.
+/// Allowance for the time that the store takes to answer a new watch, and for slow boxes.
 const RESPONSE_MS: u64 = 100;
 
-/// State that decisions read and change; no call is awaited under its lock.
+/// State behind the gateway's lock. No call is awaited while the lock is held.
 pub struct State {
-    /// Items of the metadata store.
+    /// Items of the metadata store, as this box knows them.
     pub view: MetadataView,
-    /// Configuration in force.
+    /// The configuration in force; `None` until the first one arrives.
     pub site: Option<Arc<Site>>,
-    /// Weight versions named by operators, by model.
+    /// Target weight versions set by operators, by model.
     pub weights: HashMap<String, NamedVersions>,
-    /// Upstreams of all services.
+    /// Upstreams of all services, by id.
     pub upstreams: Upstreams,
-    /// Stores of kept context.
     pub stores: Stores,
-    /// Time that clients usually give, by route.
+    /// Time limits that clients usually send, by route.
     pub usual_limits: UsualLimits,
-    /// Limits found for the load of engines.
+    /// Limits on the load of engines, learned per service.
     pub limits: AdmissionLimits,
-    /// Budget for repeats.
+    /// Retry budgets, by service.
     pub budget: Budget,
-    /// Requests under which upstreams crashed.
+    /// Requests that crashed upstreams.
     pub quarantine: Quarantine,
-    /// The other boxes.
+    /// The other boxes of the fleet.
     pub peers: Peers,
-    /// Whether this box follows the metadata store itself.
+    /// Whether this box watches the metadata store itself instead of hearing of changes from
+    /// peers.
     pub follows_metadata: bool,
-    /// Whether this box follows the stores of context itself.
+    /// Whether this box watches the stores of kept context itself.
     pub follows_caches: bool,
-    /// When the box had had time to hear of its peers, since it started.
+    /// When this box had waited long enough after its start to have heard from its peers.
     pub warmed_up_at_ms: Option<u64>,
-    /// Whether all boxes follow everything, as it was decided last.
+    /// Whether the fleet is so small that every box watches everything.
     pub small_fleet: bool,
-    /// Difference of the upstreams' clock to ours, once it was told.
+    /// How far the upstreams' clock is ahead of the local one; `None` until a message has told it.
     pub upstream_clock_offset_ms: Option<i64>,
-    /// Requests that are being served.
+    /// Client requests in flight, including those whose response body is still being sent.
     pub requests_in_flight: usize,
-    /// The leadership, while this box has it.
+    /// The leader lease, while this box holds it.
     pub leadership: Option<Leadership>,
-    /// When leaders were seen to be over.
+    /// When the leases of earlier leaders were seen to end.
     pub terms: LeaderTerms,
-    /// What leaders have written down, while this box leads.
+    /// Claims that leaders have written, while this box leads.
     pub book: Option<Book>,
-    /// Orders of this box that are not answered yet.
+    /// Orders of this box that engines have not answered yet.
     pub orders_in_flight: usize,
-    /// Engines that this box brings to other weights; they get no new work.
+    /// Engines whose weights this box is replacing; they get no new requests.
     pub loading_engines: HashSet<String>,
-    /// Engines among them that may load, with when they no longer count as loading.
+    /// Those among them that may load now, with the time at which each permit expires.
     pub load_permits: HashMap<String, u64>,
-    /// Engines whose last orders have failed.
+    /// Engines whose latest orders failed, by id.
     pub failed_orders: HashMap<String, FailedOrders>,
-    /// Versions that engines were seen to reach lately.
+    /// Weight versions that engines were recently seen to reach, to be gossiped.
     pub observed_versions: Vec<ObservedVersion>,
 }
 
 impl State {
-    /// Whether this box leads with `fence`.
+    /// Whether this box holds the leader lease with fencing token `fence`.
     #[must_use]
     pub fn leads(&self, now_ms: u64, fence: u64) -> bool {
         self.leadership.is_some_and(|held| held.fence == fence && now_ms < held.until_ms)
     }
 
-    /// Orders nothing from now on.
+    /// Gives up leadership locally: no order is given from now on.
     pub fn stop_leading(&mut self) {
         self.book = None;
         if let Some(held) = &mut self.leadership {
@@ -109,21 +109,21 @@
         }
     }
 
-    /// Forgets what stores of context keep.
+    /// Forgets what the stores of kept context hold.
     pub fn forget_store_contents(&mut self) {
         for (_, store) in self.stores.iter_mut() {
             store.holder.mark_unknown();
         }
     }
 
-    /// Whether this box passes on between its hall and others: the strongest of each hall do
-    /// in a large fleet, those that follow the stores of context.
+    /// Whether this box relays gossip between its hall and others. In a large fleet the boxes that
+    /// watch the stores of kept context do, which are the strongest of each hall.
     #[must_use]
     pub fn is_bridge(&self) -> bool {
         self.follows_caches && !self.small_fleet
     }
 
-    /// Takes what all other boxes together told of an upstream.
+    /// Applies the combined load that all other boxes report for one upstream.
     pub fn apply_peer_load(&mut self, number: u32) {
         if let Some(upstream) = self.upstreams.numbered_mut(number) {
             upstream.others = self.peers.load(number);
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Takes what all other boxes told: of those that fell silent no load is left, and an
-    /// upstream may be new to this box alone.
+    /// Applies the reports of all other boxes. Load reported by boxes that have fallen silent
+    /// lapses; and an upstream may be new to this box although peers have reported on it before.
     pub fn apply_peer_reports(&mut self, now_ms: u64) {
         let Self { peers, upstreams, stores, limits, .. } = self;
         peers.expire(now_ms);
@@ -146,15 +146,15 @@
         limits.set_peer_limits(peers.limits(now_ms));
     }
 
-    /// Takes what the upstreams' clock showed when a message left. The time that
-    /// it was under way makes the clock look late, never early.
+    /// Updates the offset from the time that the upstreams' clock showed when a message was sent.
+    /// Transit time makes that clock appear late, never early, so the largest offset is kept.
     pub fn update_upstream_clock_offset(&mut self, now_ms: u64, clock_ms: u64) {
         let ahead_ms = clock_ms.cast_signed() - now_ms.cast_signed();
         let known = self.upstream_clock_offset_ms.unwrap_or(i64::MIN);
         self.upstream_clock_offset_ms = Some(known.max(ahead_ms));
     }
 
-    /// How the metadata store answers this box.
+    /// How the metadata store responds to this box.
     #[must_use]
     pub fn metadata_store_status(&self) -> MetadataStoreStatus {
         match (self.follows_metadata, self.view.is_store_available()) {
@@ -165,71 +165,68 @@
     }
 }
 
-/// Orders to an engine that have failed, one after the other.
+/// Consecutive orders to an engine that failed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FailedOrders {
-    /// How many.
     pub count: u32,
-    /// When it may be tried again.
+    /// When the engine may be given an order again.
     pub retry_at_ms: u64,
 }
 
-/// A version that an engine was seen to reach.
+/// A weight version that an engine was seen to reach.
 #[derive(Clone, Debug)]
 pub struct ObservedVersion {
-    /// Number of the engine.
+    /// Number of the engine in gossip.
     pub engine: u32,
-    /// Number of the model.
+    /// Number of the model in gossip.
     pub model: u32,
-    /// Version.
     pub version: u64,
-    /// Until when peers are told.
+    /// When this box stops telling peers about it.
     pub until_ms: u64,
 }
 
-/// What one gateway process shares among its tasks.
+/// What the tasks of a gateway process share.
 pub struct Gateway {
-    /// Settings of the box.
     pub settings: Settings,
-    /// The platform's metadata store.
     pub metadata: MetadataStore,
-    /// Calls about kept context.
+    /// Client for calls to engines and stores about kept context.
     pub caches: Caches,
-    /// Calls to model engines.
+    /// Client for reports of engines and orders to them.
     pub engines: Engines,
-    /// Connections to upstreams.
+    /// Connection pool to upstreams.
     pub connections: Connections,
     /// Wakes requests that wait for an upstream.
     pub capacity_changed: Notify,
-    /// Wakes the follower of the metadata store.
+    /// Makes the task that watches the metadata store read it again.
     pub refresh_metadata: Notify,
-    /// Wakes who fetches what this box lacks.
+    /// Wakes the task that fetches missing items from a peer that is ahead.
     pub catch_up_now: Notify,
-    /// Wakes the sender of gossip, for what the own hall should know at once.
+    /// Sends gossip to this box's own hall at once.
     pub load_changed: Notify,
-    /// Wakes the sender of gossip.
+    /// Sends gossip to all recipients at once.
     pub gossip_now: Notify,
-    /// Wakes who acts when a request is quarantined.
+    /// Wakes tasks that wait for a request to be quarantined.
     pub quarantine_changed: Notify,
-    /// Wakes those who follow the set of upstreams and stores.
+    /// Changes when upstreams, stores, the configuration or this box's role may have changed.
     pub upstreams_changed: watch::Sender<u64>,
-    /// Whether this box is to lead no more, since it stops.
+    /// Whether this box must no longer lead because it is stopping.
     pub resigned: watch::Sender<bool>,
-    /// Answers of peers that made a call for the leader.
+    /// Replies of peers that made a metadata store call on behalf of this box.
     pub help_replies: watch::Sender<Option<HelpReply>>,
-    /// Requests that broke off, by upstreams of which it is not known yet whether they crashed.
+    /// Requests whose upstream aborted them, by upstream, while it is being checked whether the
+    /// upstream crashed.
     pub unexplained_aborts: Mutex<HashMap<String, Vec<Fingerprint>>>,
-    /// Held while a claim is written: one after the other.
+    /// Serialises writes of claims.
     pub claim_lock: tokio::sync::Mutex<()>,
     state: Mutex<State>,
     phase: watch::Sender<Phase>,
 }
 
 impl Gateway {
-    /// Prepares a gateway.
+    /// Creates the shared state.
     ///
     /// # Errors
-    /// Fails when an HTTP client cannot be made.
+    /// Fails when an HTTP client cannot be created.
     pub fn new(settings: Settings) -> Result<Arc<Self>> {
         let bounds = &settings.bounds;
         let terms = budget::Terms {
@@ -286,38 +283,39 @@
         }))
     }
 
-    /// The state, locked.
+    /// Locks the state.
     pub fn state(&self) -> MutexGuard<'_, State> {
         locked(&self.state)
     }
 
-    /// Where the box is in its life.
+    /// The lifecycle phase of this box.
     #[must_use]
     pub fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
 
-    /// Goes on to a later phase.
+    /// Advances to a later phase.
     pub fn enter(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
-    /// Waits until a phase is reached.
+    /// Waits until `phase` or a later one is reached.
     pub async fn wait_for_phase(&self, phase: Phase) {
         let mut seen = self.phase.subscribe();
-        // The sender lives as long as the gateway.
+        // The sender lives as long as the gateway, so this cannot fail.
         let _ = seen.wait_for(|now| *now >= phase).await;
     }
 }
 
-/// Time for which the metadata store must not have answered before an upstream's item can
-/// have lapsed: a watch that was lost with its connection alone says nothing of the store.
+/// Time for which the metadata store must have been unavailable before an upstream's item can have
+/// expired. It is at least as long as a watch takes to be re-established, since a lost connection
+/// alone does not mean that the store is down.
 fn min_outage_ms(bounds: &Bounds) -> u64 {
     let lost_watch_ms = follow::lost_watch_ms(bounds) + RESPONSE_MS;
     (LAPSE_HEARTBEATS * bounds.heartbeat_ms).max(lost_watch_ms)
 }
 
-/// What a box tells of itself.
+/// The identity that this box announces to its peers.
 fn own(settings: &Settings) -> LocalBox {
     #[expect(
         clippy::cast_possible_truncation,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,13 +1,20 @@
-//! The gateway: passes requests on to upstreams whose protocol it does not
-//! need to know, for many client accounts that share them.
+//! The gateway: forwards HTTP requests of many client accounts to shared upstreams, without
+//! knowing the upstreams' application protocol.
 //!
-//! `decisions` holds what is decided, as pure functions of state and time; everything else
-//! carries it out. `follow`, `follow_caches`, `gossip` and `catch_up` bring in what the box knows,
-//! `entries` what upstreams tell of themselves, `members` where other boxes are;
-//! `listener`, `check`, `serve`, `refuse`, `attempt`, `place`, `silence`, `overdue` and `relay` take a
-//! request through, `crashes` and `quarantine` keep it from upstreams that would crash under it,
-//! `request_log` tells of it; `leadership`, `claims`, `leader`, `loads` and
-//! `space` do what one box does for all, with the calls that `helpers` make for it.
+//! `decisions` holds the policies, as pure functions of state and time; all other modules perform
+//! I/O and apply them.
+//!
+//! State of the fleet: `follow` and `follow_caches` watch the metadata store and the stores of
+//! kept context, `gossip` and `catch_up` exchange state with other boxes, `entries` reads what
+//! upstreams publish about themselves, and `members` where other boxes are.
+//!
+//! Request path: `listener`, `check`, `serve`, `refuse`, `attempt`, `in_flight`, `silence`,
+//! `outdated_weights` and `relay`; `crashes` and `quarantine` withhold requests that crash
+//! upstreams, `reachability` probes upstreams, and `request_log` writes the log lines.
+//!
+//! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `space` do what a single box
+//! does for the whole fleet; `helpers` makes calls on behalf of a leader that cannot reach the
+//! metadata store itself.
 
 pub mod attempt;
 pub mod catch_up;
