--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request run by one upstream.
+//! One attempt at having a request run by one upstream.
 
 use std::sync::Arc;
 
@@ -22,40 +22,39 @@
 use crate::gateway::kernel::Gateway;
 use crate::platform::exchange;
 
-/// Time that a transfer of context may take.
+/// Longest time for transfers of kept context to an engine, from the choice of their sources.
 const MAX_TRANSFER_MS: u64 = 2000;
-/// Longest whole answer that is kept in memory before it is passed on.
+/// Responses up to this size are read whole before they are forwarded, so that the request can
+/// still be retried.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// A request as it is sent, whichever upstream gets it.
+/// A request as it is sent to any upstream.
 #[derive(Clone)]
 pub struct OutgoingRequest {
-    /// Id of the request.
     pub request_id: String,
-    /// What it asks, whatever its id.
+    /// Identifies requests with the same content, whatever their id.
     pub fingerprint: Fingerprint,
-    /// Method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
     /// The client's headers.
     pub headers: HeaderMap,
-    /// Body.
     pub body: Bytes,
-    /// Client account.
+    /// Client account, if the request has one.
     pub account: Option<String>,
-    /// Order of work.
+    /// Scheduling priority at engines; lower values run first.
     pub priority: u8,
-    /// Whether it may run again.
+    /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// When it is given up.
+    /// When the request is given up.
     pub deadline_ms: u64,
-    /// Until when an answer, or its first event, is wanted.
+    /// When the response, or its first event, is due.
     pub objective_at_ms: u64,
 }
 
 impl OutgoingRequest {
-    /// Rank at an engine. A stream that has begun is as urgent as ever.
+    /// Scheduling rank at the engine. A request that cannot meet its objective any more ranks
+    /// lower, unless its stream has begun.
     fn rank(&self, now_ms: u64, choice: &Choice, last_event_id: Option<&str>) -> u8 {
         if last_event_id.is_some() {
             return self.priority;
@@ -71,30 +70,24 @@
     }
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 pub enum AttemptOutcome {
-    /// The upstream answers; the body follows.
+    /// The upstream has sent the response head; the body follows.
     Answered(Box<UpstreamResponse>),
     /// The upstream did not run the request and never will.
-    NotRun {
-        /// Why.
-        cause: NotRunCause,
-    },
-    /// No byte of the request left.
-    NotSent {
-        /// Why.
-        cause: String,
-    },
+    NotRun { cause: NotRunCause },
+    /// No byte of the request was sent.
+    NotSent { cause: String },
     /// The request may have run.
     Unknown {
-        /// Why there is no answer.
+        /// Why there is no response.
         cause: String,
     },
-    /// The time was over.
+    /// The deadline of the request passed; it may have run.
     TimeOver,
 }
 
-/// Why an upstream did not run a request.
+/// Why an upstream did not run a request. The texts are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum NotRunCause {
     /// another incarnation has the address
@@ -105,31 +98,28 @@
     Refused(u16),
 }
 
-/// How much of a body was read at once.
+/// What was read of a response body before forwarding it.
 pub enum BodyStart {
-    /// All of it.
+    /// The whole body.
     Complete(Bytes),
-    /// As much as is kept in memory; the rest follows.
+    /// The beginning of a body that exceeds the buffer; the rest is still to be read.
     Partial(Bytes),
 }
 
-/// The head of an upstream's answer, with all that is needed to read on.
+/// The head of an upstream's response, and what is needed to read its body.
 pub struct UpstreamResponse {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// What it says of itself.
-    pub response_head: ResponseHead,
-    /// Body.
+    /// The head, decoded.
+    pub head: ResponseHead,
     pub body: Incoming,
-    /// Accounts for the request at the upstream.
+    /// Accounts for the request at the upstream while it is in flight.
     pub in_flight: InFlight,
     connection: Connection,
 }
 
 impl UpstreamResponse {
-    /// Gives the connection back after the whole body was read.
+    /// Returns the connection to the pool after the whole body has been read.
     pub fn finish(self) {
         let Self { headers, mut in_flight, connection, .. } = self;
         in_flight.record_first_token();
@@ -140,10 +130,10 @@
         tokio::spawn(async move { gateway.connections.check_in(&id, &headers, connection).await });
     }
 
-    /// Reads the body, as far as it is kept in memory.
+    /// Reads the body until it ends or exceeds the buffer.
     ///
     /// # Errors
-    /// Fails when the upstream breaks off.
+    /// Fails when the upstream aborts the response.
     pub async fn read_start(&mut self) -> Result<BodyStart, String> {
         let mut bytes = Vec::new();
         while let Some(frame) = self.body.frame().await {
@@ -159,7 +149,8 @@
     }
 }
 
-/// Makes one attempt. Silence does not end it: a caller that has another upstream drops it.
+/// Makes one attempt. A silent upstream does not end it; a caller that has an alternative drops
+/// the future instead.
 pub async fn attempt(
     gateway: &Arc<Gateway>,
     outgoing: &OutgoingRequest,
@@ -167,7 +158,7 @@
     last_event_id: Option<&str>,
 ) -> AttemptOutcome {
     let Some(address) = gateway.state().upstreams.address(&choice.upstream.id) else {
-        return AttemptOutcome::NotSent { cause: "the upstream is gone".to_owned() };
+        return AttemptOutcome::NotSent { cause: "the upstream is no longer listed".to_owned() };
     };
     let in_flight = InFlight::begin(gateway, choice);
     let deadline = instant_at(outgoing.deadline_ms);
@@ -178,7 +169,11 @@
             in_flight.record_unreachable();
             return AttemptOutcome::NotSent { cause };
         }
-        Err(_) => return AttemptOutcome::NotSent { cause: "the time is over".to_owned() },
+        Err(_) => {
+            return AttemptOutcome::NotSent {
+                cause: "deadline passed before a connection was established".to_owned(),
+            };
+        }
     };
     record_saves(gateway, choice);
     let now_ms = now_ms();
@@ -211,7 +206,8 @@
     classify(outgoing, response, in_flight, connection)
 }
 
-/// Whether the answer is this request's own, and what it says.
+/// Checks that the response belongs to this request and comes from the upstream itself, and
+/// whether the upstream ran the request.
 fn classify(
     outgoing: &OutgoingRequest,
     response: Response<Incoming>,
@@ -235,19 +231,21 @@
     }
     if !is_own {
         in_flight.record_failure();
-        return AttemptOutcome::Unknown { cause: "the answer is another request's".to_owned() };
+        return AttemptOutcome::Unknown {
+            cause: "the response belongs to another request".to_owned(),
+        };
     }
     if parts.status.is_success() && (!response_head.sealed || response_head.encoded) {
         in_flight.record_failure();
         return AttemptOutcome::Unknown {
-            cause: "the answer is not the upstream's own".to_owned(),
+            cause: "the response does not come from the upstream itself".to_owned(),
         };
     }
     in_flight.record_accepted();
     let response = UpstreamResponse {
         status: parts.status,
         headers: parts.headers,
-        response_head,
+        head: response_head,
         body,
         in_flight,
         connection,
@@ -269,7 +267,7 @@
     }
 }
 
-/// Notes the parts that are being saved.
+/// Records the parts of context that the engine will save to stores.
 fn record_saves(gateway: &Gateway, choice: &Choice) {
     let Some(context) = &choice.context else { return };
     let mut state = gateway.state();
@@ -281,8 +279,8 @@
     }
 }
 
-/// Until when transfers may run, on the upstreams' clock: counted from the choice of their
-/// sources, since a box may stand still between that and the request.
+/// When transfers are given up, on the upstreams' clock. Counted from the choice of their sources,
+/// because this process may be stalled between that and sending the request.
 fn transfers_until_ms(gateway: &Gateway, chosen_at_ms: u64) -> Option<u64> {
     let offset_ms = gateway.state().upstream_clock_offset_ms?;
     chosen_at_ms.checked_add_signed(offset_ms).map(|clock_ms| clock_ms + MAX_TRANSFER_MS)
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -1,4 +1,5 @@
-//! Serves one request: checks it, finds an upstream, passes its response on.
+//! Serves one request: validates it, chooses an upstream, retries if allowed, and forwards the
+//! response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,20 +32,21 @@
 use crate::names::number;
 use crate::platform::exchange;
 
-/// Part of the latency objective after which a request that found no place is refused.
+/// A request for which no upstream was found is refused after the route's latency objective
+/// divided by this.
 const QUEUE_WAIT_DIVISOR: u64 = 4;
-/// Connections to an upstream that a box may have in any case: one for a request
-/// and one for the look whether it can be reached.
+/// Connections to an upstream that a box may always open, whatever its share of the upstream's
+/// limit: one for a request and one for the reachability probe.
 const MIN_CONNECTIONS: u32 = 2;
-/// Attempts that may reach nobody before the request is given up: each may
-/// take the 300 ms of a connection.
+/// Attempts that may reach no upstream before the request is given up. Each may take the connect
+/// timeout of 300 ms.
 const MAX_UNDELIVERED: u32 = 4;
-/// Least time that must be left for another attempt: some round trips.
+/// No retry is made with less time than this before the deadline; it is a few round trips.
 const MIN_RETRY_TIME_MS: u64 = 20;
-/// Pause before an attempt when the last one was turned away.
+/// Pause before an attempt that follows one without a response.
 const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// Counts a request for as long as it is served.
+/// Counts a request as in flight for as long as this value lives.
 struct ActiveRequest(Arc<Gateway>);
 
 impl ActiveRequest {
@@ -60,7 +62,7 @@
     }
 }
 
-/// Serves a request.
+/// Serves a client's request, to its response or a refusal.
 pub async fn serve(gateway: Arc<Gateway>, request: Request<Incoming>) -> ClientResponse {
     let active = ActiveRequest::new(&gateway);
     let arrived_at_ms = now_ms();
@@ -78,13 +80,13 @@
     };
     gateway.state().budget.earn(arrived_at_ms, &request.service);
     let mut response = run_attempts(&gateway, request).await;
-    // The request is served until its body has been passed on.
+    // The request stays in flight until its response body has been sent.
     let body = std::mem::replace(response.body_mut(), response::full_body(Bytes::new()));
     *response.body_mut() = response::with_guard(body, active);
     response
 }
 
-/// Has a request run, at one upstream after the other if need be.
+/// Makes attempts, on one upstream after another if necessary, until there is a response.
 async fn run_attempts(gateway: &Arc<Gateway>, mut request: AdmittedRequest) -> ClientResponse {
     let wait_until =
         instant_at(request.arrived_at_ms + request.route.latency_objective_ms / QUEUE_WAIT_DIVISOR);
@@ -106,38 +108,38 @@
             return refuse_immediately(&request);
         }
         log_attempt_start(gateway, &request, &choice);
-        let attempted = tokio::select! {
-            // An response that is there is not left for another place.
+        let outcome = tokio::select! {
+            // Polled in order: a response that has arrived is not abandoned for another upstream.
             biased;
-            attempted = attempt(gateway, &request.outgoing, &choice, None) => attempted,
-            other = silence::alternative_when_silent(gateway, &request, &choice) => {
+            outcome = attempt(gateway, &request.outgoing, &choice, None) => outcome,
+            alternative = silence::alternative_when_silent(gateway, &request, &choice) => {
                 record_abandoned(&mut request, &choice);
-                next = Some(other);
+                next = Some(alternative);
                 continue;
             }
             () = outdated_weights::wait_for_withdrawal(gateway, &request, &choice) => {
-                AttemptOutcome::Unknown { cause: "its weights are overdue".to_owned() }
+                AttemptOutcome::Unknown { cause: "the engine's weights are too old".to_owned() }
             }
             () = quarantine::wait_until_quarantined(gateway, request.outgoing.fingerprint) => {
                 AttemptOutcome::Unknown { cause: "upstreams crash under it".to_owned() }
             }
         };
-        if let Some(response) = handle_outcome(gateway, &mut request, &choice, attempted).await {
+        if let Some(response) = handle_outcome(gateway, &mut request, &choice, outcome).await {
             return response;
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// What an attempt means for its request: an response, or `None` when it is to
-/// be sent again.
+/// Handles the outcome of an attempt. Returns the response, or `None` if the request is to be sent
+/// again.
 async fn handle_outcome(
     gateway: &Arc<Gateway>,
     request: &mut AdmittedRequest,
     choice: &Choice,
-    attempted: AttemptOutcome,
+    outcome: AttemptOutcome,
 ) -> Option<ClientResponse> {
-    match attempted {
+    match outcome {
         AttemptOutcome::Answered(response) => {
             forward_response(gateway, request, *response, choice).await
         }
@@ -160,8 +162,8 @@
     }
 }
 
-/// After an attempt that reached nobody, which costs neither an attempt nor
-/// budget.
+/// Handles an attempt that reached no upstream. It counts neither towards the attempts of the
+/// route nor towards the retry budget.
 fn handle_undelivered(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
@@ -178,8 +180,8 @@
     None
 }
 
-/// After an attempt that reached another upstream than was meant, which turned
-/// it away. The one that was meant is gone, so that it costs budget only.
+/// Handles an attempt that reached another incarnation than the intended one, which rejected it.
+/// The intended one is gone, so the attempt counts only towards the retry budget.
 fn handle_misdirected(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
@@ -191,7 +193,7 @@
     handle_undelivered(gateway, request, choice)
 }
 
-/// After an attempt that may have run.
+/// Handles an attempt that may have run.
 fn handle_unknown_outcome(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
@@ -203,7 +205,7 @@
     retry_or_give_up(gateway, request, choice, Reason::UpstreamFailed)
 }
 
-/// After an attempt that was left for another upstream.
+/// Records an attempt that was abandoned for another upstream.
 pub fn record_abandoned(request: &mut AdmittedRequest, choice: &Choice) {
     request.may_have_run = true;
     request.record_attempt(&choice.upstream);
@@ -216,7 +218,7 @@
     give_up(request, Reason::UpstreamSilent)
 }
 
-/// `None` when the request is to be sent to another upstream.
+/// Returns `None` if the request may be sent to another upstream, otherwise the final response.
 fn retry_or_give_up(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
@@ -227,27 +229,28 @@
     (!take_retry(gateway, request)).then(|| give_up(request, reason))
 }
 
-/// Upstreams of the service that the request was not sent to.
+/// Number of upstreams of the service that the request has not been sent to.
 fn count_untried(gateway: &Gateway, request: &AdmittedRequest) -> usize {
     let state = gateway.state();
-    let tried = |one: &Upstream| request.tried.iter().any(|tried| one.is(tried));
-    state.upstreams.of(&request.service).filter(|one| !tried(one)).count()
+    let is_tried = |upstream: &Upstream| request.tried.iter().any(|tried| upstream.is(tried));
+    state.upstreams.of(&request.service).filter(|upstream| !is_tried(upstream)).count()
 }
 
-/// Whether the request can be sent to another upstream; takes the budget.
+/// Whether the request may be sent to another upstream. If so, takes one retry from the budget.
 fn take_retry(gateway: &Gateway, request: &AdmittedRequest) -> bool {
     let now_ms = now_ms();
     is_retry_allowed(request, now_ms) && spend_retry_budget(gateway, request, now_ms)
 }
 
-/// Whether the request may be sent to another upstream, but for the budget.
+/// Whether the request may be sent to another upstream, leaving the retry budget aside.
 pub(super) fn is_retry_allowed(request: &AdmittedRequest, now_ms: u64) -> bool {
     let allowed = !request.may_have_run || request.outgoing.repeat.may_run_again();
     let time_left = now_ms + MIN_RETRY_TIME_MS < request.outgoing.deadline_ms;
     allowed && request.attempts_made < request.route.attempts && time_left
 }
 
-/// Takes a repeat from the budget; there is none for what upstreams crash under.
+/// Takes one retry from the budget. A quarantined request gets none, since it would crash another
+/// upstream.
 pub(super) fn spend_retry_budget(
     gateway: &Gateway,
     request: &AdmittedRequest,
@@ -261,14 +264,14 @@
     state.budget.spend(now_ms, &request.service, boxes)
 }
 
-/// Passes an upstream's response on; `None` when the request is to be sent again.
+/// Forwards an upstream's response; `None` if the request is to be sent again.
 async fn forward_response(
     gateway: &Arc<Gateway>,
     request: &mut AdmittedRequest,
     mut response: UpstreamResponse,
     choice: &Choice,
 ) -> Option<ClientResponse> {
-    if let (Some(version), Some(prompt)) = (response.response_head.ran_version, &request.prompt) {
+    if let (Some(version), Some(prompt)) = (response.head.ran_version, &request.prompt) {
         response.in_flight.record_version(&prompt.model, version);
     }
     if request.outgoing.repeat.is_stream() && response.status.is_success() {
@@ -277,14 +280,14 @@
     let deadline = instant_at(request.outgoing.deadline_ms);
     match timeout_at(deadline, response.read_start()).await {
         Ok(Ok(BodyStart::Complete(bytes))) => {
-            let (status, head) = (response.status, response.headers.clone());
+            let (status, headers) = (response.status, response.headers.clone());
             response.finish();
             crashes::record_answered(gateway, request.outgoing.fingerprint);
             if status.is_server_error() && retry_after_failure(gateway, request, choice, status) {
                 return None;
             }
             log_answered(request, choice, status, bytes.len());
-            Some(response::from_upstream(status, &head, response::full_body(bytes)))
+            Some(response::from_upstream(status, &headers, response::full_body(bytes)))
         }
         Ok(Ok(BodyStart::Partial(bytes))) => {
             Some(relay::stream(gateway, request, response, choice, bytes))
@@ -298,8 +301,8 @@
     }
 }
 
-/// Whether a request that an upstream has failed is sent to another; if not,
-/// the upstream's own response is the response.
+/// Whether a request that an upstream failed with a server error is sent to another one. Otherwise
+/// the client gets the upstream's own error response.
 fn retry_after_failure(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
@@ -310,15 +313,15 @@
         return false;
     }
     request.record_attempt(&choice.upstream);
-    let repeats = count_untried(gateway, request) > 0 && take_retry(gateway, request);
-    if repeats {
+    let retries = count_untried(gateway, request) > 0 && take_retry(gateway, request);
+    if retries {
         request.may_have_run = true;
         log_attempt_end(request, choice, "failed", &format!("status {}", status.as_u16()));
     }
-    repeats
+    retries
 }
 
-/// An upstream that goes on with a stream, if it may be sent again.
+/// Waits for another upstream that can resume a stream; takes a retry from the budget.
 pub async fn find_resume_upstream(
     gateway: &Arc<Gateway>,
     request: &AdmittedRequest,
@@ -332,21 +335,22 @@
     Some(choice)
 }
 
-/// An upstream that is expected to go on with a stream in `most_ms`, if it may be sent again.
+/// Another upstream that is expected to resume a stream within `max_ms`; takes a retry from the
+/// budget.
 pub fn find_quick_upstream(
     gateway: &Gateway,
     request: &AdmittedRequest,
-    most_ms: f64,
+    max_ms: f64,
 ) -> Option<Choice> {
     let choice = choose_upstream(&mut gateway.state(), gateway, request)?;
-    if choice.expected_ms > most_ms || !take_retry(gateway, request) {
+    if choice.expected_ms > max_ms || !take_retry(gateway, request) {
         return None;
     }
     log_attempt_start(gateway, request, &choice);
     Some(choice)
 }
 
-/// Waits for an upstream that can take the request.
+/// Waits for an upstream that can take the request; `None` if there is none until `until`.
 async fn wait_for_upstream(
     gateway: &Arc<Gateway>,
     request: &AdmittedRequest,
@@ -366,7 +370,7 @@
     }
 }
 
-/// Whether all upstreams that are left rest beyond a deadline.
+/// Whether all untried upstreams have asked for no requests until after `until`.
 fn all_rest_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
     let state = gateway.state();
     let rest_until_ms =
@@ -374,7 +378,7 @@
     rest_until_ms.is_some_and(|rest_until_ms| instant_at(rest_until_ms) > until)
 }
 
-/// The upstream that can take the request now.
+/// Chooses the upstream for the request among those that can take it now.
 pub(super) fn choose_upstream(
     state: &mut State,
     gateway: &Gateway,
@@ -420,7 +424,8 @@
     choose(now_ms, &state.upstreams, &state.stores, service.engine.as_ref(), &demand)
 }
 
-/// Takes note of why an upstream turned a request away.
+/// Updates what is known of an upstream's weight version after it rejected a request for another
+/// version.
 fn update_version_after_rejection(
     gateway: &Gateway,
     request: &AdmittedRequest,
@@ -435,7 +440,7 @@
     let named = state.weights.get(&prompt.model).map_or(0, NamedVersions::newest);
     let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) else { return };
     if choice.context.as_ref().is_some_and(|plan| plan.version >= named) {
-        // It has started again with older weights, or was brought back to them.
+        // The upstream restarted with older weights, or was reverted to them.
         upstream.lacks_version(&prompt.model);
     } else {
         upstream.saw_version(&prompt.model, named);
