--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -1,5 +1,5 @@
-//! A place that a request takes at an upstream, and what its answers show of the
-//! upstream and of the stores that its parts are fetched from.
+//! A request in flight at an upstream. Accounts for its load, and records what the response shows
+//! of the upstream and of the stores that context is fetched from.
 
 use std::sync::Arc;
 
@@ -15,19 +15,18 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::silence;
 
-/// Time to the first token beside reading and fetching, and some more.
+/// Time to the first token that is spent on neither reading the prompt nor fetching context, with
+/// some margin.
 const FIRST_TOKEN_OVERHEAD_MS: f64 = 60.0;
-/// Time in which an upstream answers that it does not even queue a request: some round trips.
+/// An upstream that rejects a request within this time did not queue it. It is a few round trips.
 const IMMEDIATE_REJECTION_MS: u64 = 100;
-/// Prompts that keep an engine for some 20 ms or more: others should know at
-/// once, and not only with the next message.
+/// Prompts of this length occupy an engine for about 20 ms or more. Other boxes are told of them
+/// at once, not only with the next periodic gossip.
 const LONG_PROMPT_TOKENS: u32 = 1000;
 
-/// A place that a request takes at an upstream, for as long as this lives.
+/// A request in flight at an upstream, from its creation until it is dropped.
 pub struct InFlight {
-    /// Who has the state.
     pub(super) gateway: Arc<Gateway>,
-    /// The upstream.
     pub upstream: Incarnation,
     pending_prefill_tokens: u32,
     memory_tokens: u32,
@@ -35,24 +34,24 @@
     fetch_ms: f64,
     expected_ms: f64,
     calm: bool,
-    taken_at_ms: u64,
-    /// Until when a first token is wanted, as long as it is waited for at an engine
-    /// that was nearly full.
+    begun_at_ms: u64,
+    /// When the first token is due. Set only at an engine that was nearly full, until the first
+    /// token arrives.
     objective_at_ms: Option<u64>,
 }
 
 impl InFlight {
-    /// Takes a place.
+    /// Begins to account for a request.
     #[must_use]
     pub fn begin(gateway: &Arc<Gateway>, choice: &Choice) -> Self {
         let context = choice.context.as_ref();
         let pending_prefill_tokens = context.map_or(0, |plan| plan.prefill_tokens);
         let fetches: Vec<(String, u32)> =
             context.map(ContextPlan::store_fetches).unwrap_or_default();
-        let taken_at_ms = now_ms();
+        let begun_at_ms = now_ms();
         let mut state = gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) {
-            upstream.record_sent(taken_at_ms, pending_prefill_tokens, choice.memory_tokens);
+            upstream.record_sent(begun_at_ms, pending_prefill_tokens, choice.memory_tokens);
         }
         for (name, tokens) in &fetches {
             if let Some((_, store)) = state.stores.get_mut(name) {
@@ -72,32 +71,32 @@
             fetch_ms: context.map_or(0.0, |plan| plan.fetch_ms),
             expected_ms: choice.expected_ms,
             calm: choice.calm,
-            taken_at_ms,
+            begun_at_ms,
             objective_at_ms: choice
                 .objective_at_ms
                 .filter(|_| choice.occupancy == Occupancy::NearlyFull),
         }
     }
 
-    /// Notes that bytes have arrived.
+    /// Records that bytes have arrived.
     pub fn record_activity(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_receive(now_ms());
         }
     }
 
-    /// Notes that the prompt has been read, and how long its fetches took. A prompt
-    /// that had to wait for the engine says nothing of the stores.
+    /// Records that the prompt has been read, and how long fetching context took. A prompt that
+    /// had to wait for the engine says nothing about the stores.
     pub fn record_first_bytes(&mut self) {
         let late_ms =
-            as_f64(now_ms() - self.taken_at_ms) - self.expected_ms - FIRST_TOKEN_OVERHEAD_MS;
-        let ratio =
+            as_f64(now_ms() - self.begun_at_ms) - self.expected_ms - FIRST_TOKEN_OVERHEAD_MS;
+        let slowdown =
             (self.calm && self.fetch_ms > 0.0).then(|| 1.0 + late_ms.max(0.0) / self.fetch_ms);
         self.record_first_token();
-        self.end_prompt(ratio);
+        self.end_prompt(slowdown);
     }
 
-    /// Tells the limits when the wait for a first token ended.
+    /// Reports to the load limits whether the first token came in time.
     pub(super) fn record_first_token(&mut self) {
         let Some(objective_at_ms) = self.objective_at_ms.take() else { return };
         let late = now_ms() > objective_at_ms;
@@ -108,8 +107,9 @@
         });
     }
 
-    /// Tells the limits of a first token that never came, if it is late by now: one that
-    /// was turned away at once, or whose client has left, says nothing of the load.
+    /// Reports to the load limits that no first token came in time. Nothing is reported before the
+    /// objective has passed: a request that was rejected at once, or whose client left, says
+    /// nothing about the load.
     fn record_missing_first_token(&mut self) {
         let objective_at_ms = self.objective_at_ms.take();
         if objective_at_ms.is_some_and(|objective_at_ms| now_ms() > objective_at_ms) {
@@ -119,13 +119,14 @@
 
     fn report_first_token(&self, end: FirstTokenOutcome) {
         let mut state = self.gateway.state();
-        let service = state.upstreams.get_run(&self.upstream).map(|one| one.entry.service.clone());
+        let service =
+            state.upstreams.get_run(&self.upstream).map(|upstream| upstream.entry.service.clone());
         if let Some(service) = service {
             state.limits.record_first_token(&service, end);
         }
     }
 
-    fn end_prompt(&mut self, ratio: Option<f64>) {
+    fn end_prompt(&mut self, slowdown: Option<f64>) {
         let tokens = std::mem::take(&mut self.pending_prefill_tokens);
         let mut state = self.gateway.state();
         if let Some(upstream) = state.upstreams.get_run_mut(&self.upstream) {
@@ -133,37 +134,38 @@
         }
         for (name, tokens) in std::mem::take(&mut self.fetches) {
             if let Some((_, store)) = state.stores.get_mut(&name) {
-                store.record_fetch_end(now_ms(), tokens, ratio);
+                store.record_fetch_end(now_ms(), tokens, slowdown);
             }
         }
     }
 
-    /// Notes an answer as it should be.
+    /// Records a correct response.
     pub fn record_success(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_success();
         }
     }
 
-    /// Notes a failure that says something about the upstream.
+    /// Records a failure of the upstream.
     pub fn record_failure(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_failure(now_ms());
         }
     }
 
-    /// Whether the upstream owes answers and has said nothing for long. If so, idle
-    /// connections are suspects: the next attempt would meet one.
+    /// Whether the upstream owes responses and has sent nothing for too long. If so, all idle
+    /// connections are closed, since others may be silent too and the next attempt would use one
+    /// of them.
     #[must_use]
     pub fn is_silent(&self) -> bool {
         silence::is_silent(&self.gateway, &self.upstream)
     }
 
-    /// Notes that the upstream turned the request away. One that did so after a wait in its
-    /// queue is full, which its load shows.
+    /// Records that the upstream rejected the request at once. If it did so after queuing the
+    /// request, it is full, which its load shows already.
     pub fn record_rejection(&self) {
         let now_ms = now_ms();
-        if now_ms >= self.taken_at_ms + IMMEDIATE_REJECTION_MS {
+        if now_ms >= self.begun_at_ms + IMMEDIATE_REJECTION_MS {
             return;
         }
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
@@ -172,14 +174,14 @@
         self.gateway.load_changed.notify_one();
     }
 
-    /// Notes that the upstream took the request.
+    /// Records that the upstream accepted the request.
     pub fn record_accepted(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.record_acceptance();
         }
     }
 
-    /// Takes what the upstream asks of this box, and tells others.
+    /// Applies what the upstream asks of this box, and gossips it.
     pub fn apply_notice(&self, notice: Notice) {
         let now_ms = now_ms();
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
@@ -189,7 +191,7 @@
         self.gateway.gossip_now.notify_one();
     }
 
-    /// Whether the upstream is to load weights, and gets no more work.
+    /// Whether the upstream is about to load weights, and gets no new requests.
     #[must_use]
     pub fn is_loading(&self) -> bool {
         let state = self.gateway.state();
@@ -199,7 +201,8 @@
             .is_some_and(|upstream| upstream.is_loading(now_ms()))
     }
 
-    /// Whether what runs at the upstream keeps it from loading weights for too long.
+    /// Whether the requests that run at the upstream delay its load of weights beyond the time
+    /// allowed.
     #[must_use]
     pub fn delays_weight_load(&self) -> bool {
         let (now_ms, apply_ms) = (now_ms(), self.gateway.settings.bounds.weights_apply_ms);
@@ -211,13 +214,13 @@
         })
     }
 
-    /// Notes that no connection to the upstream came up.
+    /// Records that no connection to the upstream could be established.
     pub fn record_unreachable(&self) {
         let own_hall = &self.gateway.settings.hall;
         self.gateway.state().upstreams.record_connect_timeout(now_ms(), &self.upstream, own_hall);
     }
 
-    /// Notes that another incarnation has the upstream's address.
+    /// Records that another incarnation has taken over the upstream's address.
     pub fn record_superseded(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             info!(target: "serve", "event=upstream_superseded upstream={}", self.upstream.id);
@@ -226,7 +229,7 @@
         self.gateway.load_changed.notify_one();
     }
 
-    /// Notes the weight version that the upstream was seen to have.
+    /// Records the weight version that the upstream was seen to have.
     pub fn record_version(&self, model: &str, version: u64) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             upstream.saw_version(model, version);
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -1,4 +1,4 @@
-//! Answers to clients: an upstream's, passed on, or a refusal of our own.
+//! Responses to clients: an upstream's, forwarded, or the gateway's own refusal.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,8 +12,8 @@
 
 use crate::platform::exchange;
 
-/// Why a body broke off; the client's connection is closed, so that the answer
-/// does not look complete.
+/// Why a response body was aborted. The client's connection is closed, so that the response does
+/// not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum BodyAborted {
     /// the upstream broke off
@@ -24,13 +24,11 @@
 
 impl std::error::Error for BodyAborted {}
 
-/// Body of an response.
 pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// An answer to a client.
 pub type ClientResponse = Response<Body>;
 
-/// Why a request is refused or failed by us.
+/// Why the gateway refuses or fails a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Reason {
     /// bad request
@@ -60,8 +58,8 @@
 }
 
 impl Reason {
-    /// The status of the response. 503 says that the request has not run and
-    /// never will; 502 and 504 say nothing of it.
+    /// Status of the response. 503 means that the request has not run and never will; 502 and 504
+    /// leave open whether it ran.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -80,7 +78,7 @@
     }
 }
 
-/// An answer of our own.
+/// The gateway's own response to a request that it refuses or fails.
 #[must_use]
 pub fn refusal(
     reason: Reason,
@@ -100,7 +98,7 @@
     response
 }
 
-/// An upstream's answer, with its status and headers.
+/// A response with an upstream's status and headers.
 #[must_use]
 pub fn from_upstream(
     status: StatusCode,
@@ -115,13 +113,13 @@
     response
 }
 
-/// A body that is there already.
+/// A body that is already complete.
 #[must_use]
 pub fn full_body(bytes: Bytes) -> Body {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that keeps something alive until it has been passed on.
+/// A body that keeps `_guard` alive until it has been sent.
 struct GuardedBody<T> {
     body: Body,
     _guard: T,
@@ -147,7 +145,7 @@
     }
 }
 
-/// Keeps `kept` alive until `body` has been passed on.
+/// Keeps `guard` alive until `body` has been sent.
 pub fn with_guard<T: Unpin + Send + 'static>(body: Body, guard: T) -> Body {
     GuardedBody { body, _guard: guard }.boxed_unsync()
 }
