--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -1,5 +1,6 @@
-//! One engine's load of new weights: no new work for it, the claim, the order, and a look
-//! until it has them. A load that cannot go on gives the engine back at once.
+//! Loads new weights on one engine: keeps new requests away, drains it, writes the claim, gives
+//! the order, and polls until the engine has the version. If the load cannot proceed, the engine
+//! gets requests again at once.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,33 +20,34 @@
 use crate::gateway::{claims, entries, invariants};
 use crate::names::number;
 
-/// Time that gossip takes to the other boxes.
+/// Time that gossip takes to reach the other boxes.
 const GOSSIP_DELAY: Duration = Duration::from_millis(15);
-/// Time after which a load may be over; it takes 760 ms and more.
+/// A load is not polled earlier than this; it takes at least 760 ms.
 const LOAD_MS: u64 = 800;
-/// Time between two looks at a load: reports are 100 ms late.
+/// Poll period of a running load. Engines' reports lag by 100 ms.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
-/// Longest time for which the order waits until running requests have ended.
+/// Longest wait for running requests before the order is given.
 const MAX_DRAIN_MS: u64 = 1500;
-/// Time between two looks whether they have.
+/// How often it is checked whether the engine is drained, or a permit is free.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Longest time for which one order is followed up.
+/// Longest time that one order is followed up.
 const ORDER_TIMEOUT_MS: u64 = 4000;
-/// Time for which an engine that has taken an order counts as loading: twice the usual. One
-/// that hangs must not keep others from loading for as long as it is followed up.
+/// An engine that has accepted an order counts as loading for twice the usual time of a load. An
+/// engine that hangs must not keep others from loading for as long as its order is followed up.
 const PERMIT_MS: u64 = 2 * LOAD_MS;
-/// Time for which one counts that is about to get an order; an answer takes some
-/// milliseconds. One that does not answer does not load, and others may.
+/// How long an engine counts as loading while the order is sent. Responses take a few
+/// milliseconds; an engine that does not respond is not loading, and others may.
 const UNCONFIRMED_PERMIT_MS: u64 = 200;
-/// Pause before an engine that failed is tried again. While it grew to 4 s, engines that
-/// carried out lost orders seconds late had the newest weights too late.
+/// Pause before another order to an engine that failed one. It does not grow with repeated
+/// failures: with pauses of up to 4 s, engines that carried out lost orders seconds late got the
+/// newest weights too late.
 const RETRY_PAUSE_MS: u64 = 500;
-/// Time for which one message says that an engine loads.
+/// How long one gossip message marks an engine as loading.
 pub const LOADING_GOSSIP_MS: u64 = 700;
-/// Time for which peers are told of a version after it was seen.
+/// How long peers are told of a weight version after it was seen.
 pub const VERSION_GOSSIP_MS: u64 = 4000;
 
-/// How a load ended.
+/// How a load ended. The texts are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 enum LoadEnd {
     /// done
@@ -62,28 +64,24 @@
     NotClaimed,
 }
 
-/// An engine that is to be brought to a version.
+/// An engine that is to load a weight version.
 pub struct WeightLoad {
-    /// The engine.
     pub engine: Incarnation,
-    /// Its address.
     pub address: SocketAddr,
-    /// Model.
     pub model: String,
-    /// Version.
     pub version: u64,
-    /// Fencing token of the leader.
+    /// Fencing token of the leader's lease.
     pub fence: u64,
 }
 
-/// Keeps this box from sending to an engine until a deadline.
+/// Keeps this box from sending requests to an engine until `until_ms`.
 pub fn mark_loading(state: &mut State, id: &str, until_ms: u64) {
     if let Some(upstream) = state.upstreams.get_mut(id) {
         upstream.loads_until(until_ms);
     }
 }
 
-/// Replaces the weights of one engine, and says how it went.
+/// Replaces the weights of one engine, and updates the state with the outcome.
 pub async fn replace_weights(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, mut load: WeightLoad) {
     sleep(GOSSIP_DELAY).await;
     let end = match drain_and_order(&gateway, &socket, &mut load).await {
@@ -136,14 +134,14 @@
     let Some(_permit) = acquire_permit(gateway, load).await else {
         return Ok(LoadEnd::LeadershipLost);
     };
-    // A newer version may have been named meanwhile.
+    // The target may have changed while the engine was draining.
     if let Some(named) = gateway.state().weights.get(&load.model) {
         load.version = named.newest();
     }
     order_and_wait(gateway, socket, load).await
 }
 
-/// A permit to load, for as long as it lives.
+/// A permit to load weights, held until it is dropped.
 struct LoadPermit(Arc<Gateway>, String);
 
 impl Drop for LoadPermit {
@@ -152,7 +150,7 @@
     }
 }
 
-/// Waits until few enough engines load; `None` when this box leads no more.
+/// Waits until few enough engines are loading; `None` when this box no longer leads.
 async fn acquire_permit(gateway: &Arc<Gateway>, load: &WeightLoad) -> Option<LoadPermit> {
     loop {
         {
@@ -162,8 +160,8 @@
                 return None;
             }
             mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
-            let taken = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
-            if taken < permits(gateway, &state, now_ms, &load.model) {
+            let in_use = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
+            if in_use < permits(gateway, &state, now_ms, &load.model) {
                 let id = load.engine.id.clone();
                 state.load_permits.insert(id.clone(), now_ms + UNCONFIRMED_PERMIT_MS);
                 return Some(LoadPermit(gateway.clone(), id));
@@ -173,11 +171,11 @@
     }
 }
 
-/// Waits until what runs at the engine has ended, for a while. What runs at one whose
-/// entry has gone is not known, and may go on for as long.
+/// Waits until the engine's requests have ended, up to a limit. If its entry in the metadata store
+/// is gone, its requests are unknown and the full limit applies.
 ///
-/// Where leaders follow each other quickly, one that has just taken over waits no longer than
-/// it has led: each would be replaced while it waits.
+/// When leaders succeed one another quickly, a new leader waits no longer than it has already led;
+/// otherwise each one would be replaced while it waits.
 async fn drain(gateway: &Gateway, load: &WeightLoad) {
     let from_ms = now_ms();
     let until_ms =
@@ -187,20 +185,21 @@
     }
 }
 
-/// For how long this box has led, where leaders follow each other quickly.
+/// How long this box has led, if claims of earlier leaders show that leaders succeed one another
+/// quickly.
 fn takeover_drain_ms(gateway: &Gateway, now_ms: u64) -> Option<u64> {
     let state = gateway.state();
     let held = state.leadership?;
-    let follows = claims::has_waiting(&state, &gateway.settings.bounds, now_ms);
-    follows.then(|| now_ms.saturating_sub(held.taken_at_ms))
+    let is_quick_succession = claims::has_waiting(&state, &gateway.settings.bounds, now_ms);
+    is_quick_succession.then(|| now_ms.saturating_sub(held.taken_at_ms))
 }
 
-/// Whether the engine runs anything that this box, which leads, waits for.
+/// Whether the engine still runs requests, and this box still leads.
 fn has_running_requests(gateway: &Gateway, load: &WeightLoad) -> bool {
     let mut state = gateway.state();
     let now_ms = now_ms();
     mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
-    let requests = state.upstreams.get(&load.engine.id).map(|one| one.load().requests);
+    let requests = state.upstreams.get(&load.engine.id).map(|engine| engine.load().requests);
     requests != Some(0) && state.leads(now_ms, load.fence)
 }
 
@@ -212,7 +211,7 @@
 ) -> Result<LoadEnd> {
     let give_up_at_ms = now_ms() + ORDER_TIMEOUT_MS;
     let mut report = fetch_report(gateway, load).await?;
-    // It may carry out an older order, which was left unanswered.
+    // The engine may still be carrying out an earlier order whose response was lost.
     while report.busy && !has_version(&report, load) && now_ms() < give_up_at_ms {
         mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOADING_GOSSIP_MS);
         sleep(POLL_PERIOD).await;
@@ -224,7 +223,8 @@
     if let Some(end) = claim_and_order(gateway, socket, load, report.orders_taken).await? {
         return Ok(end);
     }
-    // Else this box alone would send to it before the load is over.
+    // Without this, the mark would expire during the load, and this box alone would send requests
+    // to the engine.
     mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
     sleep(Duration::from_millis(LOAD_MS)).await;
     while now_ms() < give_up_at_ms {
@@ -234,7 +234,7 @@
             return Ok(LoadEnd::Done);
         }
         if !report.busy {
-            // It has carried out another order, or none.
+            // The engine has carried out another order, or none.
             return Ok(LoadEnd::TurnedAway);
         }
         sleep(POLL_PERIOD).await;
@@ -242,13 +242,12 @@
     Ok(LoadEnd::TooSlow)
 }
 
-/// Writes down that the engine may be ordered, and orders it; how the load has ended, if it
-/// has.
+/// Writes the claim on the engine, then gives the order. Returns how the load ended, if it has.
 async fn claim_and_order(
     gateway: &Gateway,
     socket: &UdpSocket,
     load: &WeightLoad,
-    taken: u64,
+    orders_taken: u64,
 ) -> Result<Option<LoadEnd>> {
     let target = number(&load.engine.id);
     match claims::claim(gateway, socket, load.fence, target).await {
@@ -263,7 +262,7 @@
     if !invariants::order_under_lease(&gateway.state(), now_ms(), load.fence, target) {
         return Ok(Some(LoadEnd::LeadershipLost));
     }
-    let ordered = order(gateway, load, taken).await?;
+    let ordered = order(gateway, load, orders_taken).await?;
     if let Some(until_ms) = gateway.state().load_permits.get_mut(&load.engine.id) {
         *until_ms = now_ms() + PERMIT_MS;
     }
@@ -271,7 +270,8 @@
     Ok(turned_away.then_some(LoadEnd::TurnedAway))
 }
 
-/// Asks an engine for its report; the load is of the run that answers.
+/// Fetches the engine's report. If the engine has restarted, `load` is moved to the new
+/// incarnation.
 async fn fetch_report(gateway: &Gateway, load: &mut WeightLoad) -> Result<EngineReport> {
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
@@ -287,18 +287,18 @@
     models.any(|(model, version)| *model == load.model && *version >= load.version)
 }
 
-async fn order(gateway: &Gateway, load: &WeightLoad, taken: u64) -> Result<OrderOutcome> {
+async fn order(gateway: &Gateway, load: &WeightLoad, orders_taken: u64) -> Result<OrderOutcome> {
     let order = WeightsOrder {
         engine_id: &load.engine.id,
         model: &load.model,
         version: load.version,
         leader: &gateway.settings.name,
         fence: load.fence,
-        orders_taken: taken,
+        orders_taken,
     };
     metrics::counter!("coursestile_orders_total").increment(1);
     info!(target: "leader",
-        "event=order_given upstream={} model={} version={} fence={} orders_taken={taken}",
+        "event=order_given upstream={} model={} version={} fence={} orders_taken={orders_taken}",
         load.engine.id, load.model, load.version, load.fence);
     gateway.state().orders_in_flight += 1;
     let ordered = gateway.engines.order(load.address, &order).await;
