--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -1,8 +1,7 @@
-//! Streams of events, passed on as they arrive.
+//! Forwards response bodies and event streams to clients as they arrive.
 //!
-//! A stream that may be taken up again is passed on by whole events, so that
-//! another upstream can go on after the last one when the first breaks off, or
-//! when the stream leaves it (`leaving`).
+//! A resumable stream is forwarded in whole events. If its upstream breaks off, or if it is moved
+//! (see `moves`), another upstream resumes it after the last event that was forwarded.
 
 mod moves;
 
@@ -28,7 +27,7 @@
 use crate::gateway::serve::{find_resume_upstream, record_abandoned};
 use crate::gateway::silence;
 
-/// A stream under way.
+/// A response body or event stream that is being forwarded.
 struct Relay {
     gateway: Arc<Gateway>,
     request: AdmittedRequest,
@@ -36,17 +35,18 @@
     response: Option<UpstreamResponse>,
     buffer: BytesMut,
     last_event_id: Option<String>,
-    /// What was read before, and not passed on yet.
+    /// Bytes that were read before forwarding began, and are still to be sent.
     pending: Bytes,
     passed_bytes: usize,
     begun: bool,
-    /// What was read while another upstream was asked to go on.
+    /// What was read from the upstream while another was being asked to resume.
     read_ahead: Option<ReadOutcome>,
-    /// When the stream may leave an upstream that could go on, if it did not before.
+    /// When the stream may be moved off an upstream that still works; `None` if it must not be
+    /// moved again.
     may_move_at: Option<Instant>,
 }
 
-/// Passes a body on as it arrives, after what was read of it already.
+/// Forwards a body as it arrives. `pending` is what has been read of it already.
 pub fn stream(
     gateway: &Arc<Gateway>,
     request: &mut AdmittedRequest,
@@ -54,7 +54,7 @@
     choice: &Choice,
     pending: Bytes,
 ) -> ClientResponse {
-    let (status, head) = (response.status, response.headers.clone());
+    let (status, headers) = (response.status, response.headers.clone());
     let relay = Relay {
         gateway: gateway.clone(),
         request: request.detach(),
@@ -72,22 +72,22 @@
         let next = relay.next().await?;
         Some((next.map(Frame::data), relay))
     });
-    response::from_upstream(status, &head, StreamBody::new(frames).boxed_unsync())
+    response::from_upstream(status, &headers, StreamBody::new(frames).boxed_unsync())
 }
 
 enum ReadOutcome {
     Data(Bytes),
     End,
     Broken(String),
-    /// The upstream owes answers and says nothing.
+    /// The upstream owes responses and has sent nothing for too long.
     Silent,
-    /// The upstream is to load weights.
+    /// The upstream is about to load weights.
     MustMove,
 }
 
-/// The answer of an upstream that goes on with a stream.
-fn successful_response(attempted: AttemptOutcome) -> Option<UpstreamResponse> {
-    match attempted {
+/// The response of an upstream that resumes a stream, if it is successful.
+fn successful_response(outcome: AttemptOutcome) -> Option<UpstreamResponse> {
+    match outcome {
         AttemptOutcome::Answered(response) if response.status.is_success() => Some(*response),
         _ => None,
     }
@@ -102,19 +102,19 @@
             return Some(Ok(pending));
         }
         loop {
-            // A stream that nobody goes on with never looks whole.
+            // The stream has no upstream left. It is aborted, so that it does not look complete.
             let Some(response) = self.response.as_mut() else {
                 return Some(Err(BodyAborted::Upstream));
             };
             let deadline = instant_at(self.request.outgoing.deadline_ms);
             let resumable = self.request.outgoing.repeat == Repeat::StreamResumable;
             let may_move_at = self.may_move_at.filter(|_| resumable);
-            let begun = self.last_event_id.is_some();
+            let has_event = self.last_event_id.is_some();
             let next = tokio::select! {
-                // What is there goes first; what was read ahead would else be lost.
+                // Polled in order: data comes first, since dropping the read would lose `read_ahead`.
                 biased;
                 next = timeout_at(deadline, read(self.read_ahead.take(), &mut response.body)) => next,
-                reason = moves::wait_for_reason(&response.in_flight, begun, may_move_at) => Ok(reason),
+                reason = moves::wait_for_reason(&response.in_flight, has_event, may_move_at) => Ok(reason),
             };
             let Ok(next) = next else {
                 self.response = None;
@@ -144,23 +144,23 @@
                     return None;
                 }
                 ReadOutcome::End => {
-                    if let Some(broken) = self.resume("ends within an event").await {
-                        return Some(Err(broken));
+                    if let Some(aborted) = self.resume("ends within an event").await {
+                        return Some(Err(aborted));
                     }
                 }
                 ReadOutcome::Silent => self.move_off_silent().await,
                 ReadOutcome::MustMove => self.move_off_loading().await,
                 ReadOutcome::Broken(cause) => {
                     response.in_flight.record_failure();
-                    if let Some(broken) = self.resume(&cause).await {
-                        return Some(Err(broken));
+                    if let Some(aborted) = self.resume(&cause).await {
+                        return Some(Err(aborted));
                     }
                 }
             }
         }
     }
 
-    /// What of the bytes can be passed on now.
+    /// The bytes that can be forwarded now. Of a resumable stream, these are whole events.
     fn complete_events(&mut self, bytes: Bytes) -> Bytes {
         if self.request.outgoing.repeat != Repeat::StreamResumable {
             return bytes;
@@ -176,7 +176,7 @@
         events
     }
 
-    /// Goes on at another upstream; an error when that is not possible.
+    /// Has another upstream resume the stream. Returns why the body is aborted if none can.
     async fn resume(&mut self, cause: &str) -> Option<BodyAborted> {
         self.log_broken(cause);
         self.response = None;
@@ -198,13 +198,13 @@
         }
     }
 
-    /// Another upstream that may go on with the stream; takes the budget.
+    /// Waits for another upstream to resume the stream; takes a retry from the budget.
     async fn find_other_upstream(&mut self) -> Option<Choice> {
         self.record_ran();
         find_resume_upstream(&self.gateway, &self.request).await
     }
 
-    /// Notes that the stream ran where it is.
+    /// Records that the stream has run at its present upstream.
     fn record_ran(&mut self) {
         self.request.may_have_run = true;
         if !self.request.tried.contains(&self.choice.upstream) {
@@ -212,35 +212,36 @@
         }
     }
 
-    /// Takes the stream from another upstream, which begins after the last event.
+    /// Continues with another upstream's response, which begins after the last event that was
+    /// forwarded.
     fn switch_to(&mut self, response: UpstreamResponse, choice: Choice) {
         self.response = Some(response);
         self.buffer.clear();
         self.choice = choice;
     }
 
-    /// Whether an upstream goes on with the stream.
+    /// Asks an upstream to resume the stream; whether it does.
     async fn resume_at(&mut self, mut choice: Choice) -> bool {
-        let after = self.last_event_id.as_deref();
-        let attempted = loop {
+        let last_event_id = self.last_event_id.as_deref();
+        let outcome = loop {
             tokio::select! {
                 biased;
-                attempted = attempt(&self.gateway, &self.request.outgoing, &choice, after) => {
-                    break attempted;
+                outcome = attempt(&self.gateway, &self.request.outgoing, &choice, last_event_id) => {
+                    break outcome;
                 }
-                other = silence::alternative_when_silent(&self.gateway, &self.request, &choice) => {
+                alternative = silence::alternative_when_silent(&self.gateway, &self.request, &choice) => {
                     record_abandoned(&mut self.request, &choice);
-                    choice = other;
+                    choice = alternative;
                     log_attempt_start(&self.gateway, &self.request, &choice);
                 }
             }
         };
-        let Some(response) = successful_response(attempted) else {
+        let Some(response) = successful_response(outcome) else {
             self.request.record_attempt(&choice.upstream);
             return false;
         };
         info!(target: "relay", "event=resumed request={} upstream={} after_event={}",
-            self.request.outgoing.request_id, choice.upstream.id, after.unwrap_or("-"));
+            self.request.outgoing.request_id, choice.upstream.id, last_event_id.unwrap_or("-"));
         self.switch_to(response, choice);
         true
     }
@@ -260,10 +261,10 @@
     }
 }
 
-/// The next of a body, after what was read `ahead`.
-async fn read(ahead: Option<ReadOutcome>, body: &mut Incoming) -> ReadOutcome {
-    if let Some(ahead) = ahead {
-        return ahead;
+/// The next part of a body: `read_ahead` if there is one.
+async fn read(read_ahead: Option<ReadOutcome>, body: &mut Incoming) -> ReadOutcome {
+    if let Some(outcome) = read_ahead {
+        return outcome;
     }
     loop {
         match body.frame().await {
--- a/src/gateway/relay/moves.rs
+++ b/src/gateway/relay/moves.rs
@@ -1,5 +1,5 @@
-//! Streams that leave an upstream which could still go on with them: one that is silent, or
-//! one that is to load weights, which waits for all that it runs.
+//! Moves streams off upstreams that might still complete them: a silent one, or one that is about
+//! to load weights, which waits for its running requests to end.
 
 use std::future::pending;
 use std::pin::pin;
@@ -17,19 +17,19 @@
 use crate::gateway::serve::find_quick_upstream;
 use crate::gateway::silence::find_alternative;
 
-/// Time in which another upstream must go on with a stream that its own could go on
-/// with.
+/// Time within which another upstream must begin to resume a stream that is moved off an upstream
+/// about to load weights.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time in which another engine must be expected to go on with a stream, that it may leave
-/// one which is to load weights: others wait there while its prompt is read again.
+/// A stream is moved off an engine that is about to load weights only if another engine is
+/// expected to resume it within this time. Resuming reads the prompt again, and other requests
+/// wait there meanwhile.
 const QUICK_MOVE_MS: f64 = 100.0;
-/// Time between two looks whether a stream should leave its upstream: short beside
-/// a load of weights.
+/// How often it is checked whether a stream should be moved; short compared to a load of weights.
 const MOVE_CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Time until another upstream is looked for again: that in which places change.
+/// Pause previous another upstream is looked for again, in which the load of upstreams changes.
 const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How the attempt ended to have another upstream go on.
+/// How an attempt to move a stream ended. The texts are logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 enum MoveEnd {
     /// moved
@@ -43,42 +43,44 @@
 }
 
 impl Relay {
-    /// Asks another upstream to go on in place of a silent one, if one can. What is
-    /// silent may only be busy: it is listened to until the other answers.
+    /// Asks another upstream, if there is one, to resume the stream in place of a silent one. The
+    /// silent one may only be busy, so the stream is still read from it until the other one
+    /// responds.
     pub(super) async fn move_off_silent(&mut self) {
-        let before = self.choice.upstream.clone();
-        let beside = find_alternative(&self.gateway, &self.request, &before);
-        // An upstream that hangs is left again, as long as there are attempts: the other may
-        // turn the stream away, or hang too.
+        let previous = self.choice.upstream.clone();
+        let alternative = find_alternative(&self.gateway, &self.request, &previous);
+        // The stream may be moved again as long as attempts are left: the other upstream may
+        // reject it, or hang as well.
         self.may_move_at = Some(Instant::now() + MOVE_RETRY_PAUSE);
-        let Some(choice) = beside else { return };
-        let Some(mut first) = self.response.take() else { return };
+        let Some(choice) = alternative else { return };
+        let Some(mut silent) = self.response.take() else { return };
         self.record_ran();
         log_attempt_start(&self.gateway, &self.request, &choice);
-        let after = self.last_event_id.as_deref();
-        let attempted = attempt(&self.gateway, &self.request.outgoing, &choice, after);
-        let (other, read) = race_with_silent(&mut first.body, attempted).await;
-        let end = match (&other, &read) {
+        let last_event_id = self.last_event_id.as_deref();
+        let attempt = attempt(&self.gateway, &self.request.outgoing, &choice, last_event_id);
+        let (resumed, read) = race_with_silent(&mut silent.body, attempt).await;
+        let end = match (&resumed, &read) {
             (Some(_), _) => MoveEnd::Moved,
             (None, Some(ReadOutcome::Data(_) | ReadOutcome::End)) => MoveEnd::FirstWentOn,
             (None, _) => MoveEnd::NotAnswered,
         };
-        self.log_move(&before.id, &choice, end);
-        if let Some(other) = other {
-            self.switch_to(other, choice);
+        self.log_move(&previous.id, &choice, end);
+        if let Some(resumed) = resumed {
+            self.switch_to(resumed, choice);
         } else {
             self.request.record_attempt(&choice.upstream);
-            self.response = Some(first);
+            self.response = Some(silent);
             self.read_ahead = read;
         }
     }
 
-    /// Another upstream for a stream that its own could go on with, which then loads the
-    /// sooner. It leaves once only; when there is none, it is looked for again later.
+    /// Another upstream for a stream that its present one could complete, so that the present one
+    /// can load weights sooner. The stream is moved only once for this; if there is no other
+    /// upstream now, it is looked for again later.
     async fn find_upstream_to_move_to(&mut self) -> Option<Choice> {
-        let held_up =
+        let delays_load =
             self.response.as_ref().is_some_and(|response| response.in_flight.delays_weight_load());
-        let choice = if held_up {
+        let choice = if delays_load {
             self.find_other_upstream().await
         } else {
             self.record_ran();
@@ -88,36 +90,36 @@
         choice
     }
 
-    /// Has another upstream go on. Until it answers, this one keeps the stream.
+    /// Has another upstream resume the stream, because its present one is about to load weights.
+    /// The present one keeps the stream until the other responds.
     pub(super) async fn move_off_loading(&mut self) {
-        let before = self.choice.upstream.id.clone();
+        let previous = self.choice.upstream.id.clone();
         let Some(choice) = self.find_upstream_to_move_to().await else { return };
-        let after = self.last_event_id.as_deref();
-        let attempted = attempt(&self.gateway, &self.request.outgoing, &choice, after);
-        let (end, response) = match timeout(MOVE_TIMEOUT, attempted).await.map(successful_response)
-        {
+        let last_event_id = self.last_event_id.as_deref();
+        let attempt = attempt(&self.gateway, &self.request.outgoing, &choice, last_event_id);
+        let (end, response) = match timeout(MOVE_TIMEOUT, attempt).await.map(successful_response) {
             Ok(Some(response)) => (MoveEnd::Moved, Some(response)),
             Ok(None) => (MoveEnd::NotAnswered, None),
             Err(_) => (MoveEnd::TooSlow, None),
         };
-        self.log_move(&before, &choice, end);
+        self.log_move(&previous, &choice, end);
         match response {
             Some(response) => self.switch_to(response, choice),
-            // It may have begun there.
+            // The request may have begun to run there.
             None => self.request.record_attempt(&choice.upstream),
         }
     }
 
-    fn log_move(&self, before: &str, choice: &Choice, end: MoveEnd) {
-        info!(target: "relay", "event=stream_moved request={} from={before} to={} end=\"{end}\"",
+    fn log_move(&self, previous: &str, choice: &Choice, end: MoveEnd) {
+        info!(target: "relay", "event=stream_moved request={} from={previous} to={} end=\"{end}\"",
             self.request.outgoing.request_id, choice.upstream.id);
     }
 }
 
-/// Waits until there is a reason to leave an upstream that may still go on.
+/// Waits for a reason to move the stream off an upstream that might still complete it.
 pub(super) async fn wait_for_reason(
     in_flight: &InFlight,
-    begun: bool,
+    has_event: bool,
     may_move_at: Option<Instant>,
 ) -> ReadOutcome {
     let Some(may_move_at) = may_move_at else { return pending().await };
@@ -126,26 +128,26 @@
         if in_flight.is_silent() {
             return ReadOutcome::Silent;
         }
-        if begun && in_flight.is_loading() {
+        if has_event && in_flight.is_loading() {
             return ReadOutcome::MustMove;
         }
         sleep(MOVE_CHECK_PERIOD).await;
     }
 }
 
-/// What comes first: more of a stream that was silent, or the answer of another upstream
-/// that is to go on with it. When the stream breaks off, only the answer is waited for.
+/// Waits for whichever comes first: more of a silent stream, or the response of another upstream
+/// that is asked to resume it. If the stream breaks off, only the response is waited for.
 async fn race_with_silent(
     body: &mut Incoming,
-    attempted: impl Future<Output = AttemptOutcome>,
+    attempt: impl Future<Output = AttemptOutcome>,
 ) -> (Option<UpstreamResponse>, Option<ReadOutcome>) {
-    let mut attempted = pin!(attempted);
+    let mut attempt = pin!(attempt);
     let read = tokio::select! {
         read = read(None, body) => read,
-        attempted = &mut attempted => return (successful_response(attempted), None),
+        outcome = &mut attempt => return (successful_response(outcome), None),
     };
     match read {
-        ReadOutcome::Broken(_) => (successful_response(attempted.await), Some(read)),
+        ReadOutcome::Broken(_) => (successful_response(attempt.await), Some(read)),
         _ => (None, Some(read)),
     }
 }
