--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -169,11 +169,7 @@
             in_flight.record_unreachable();
             return AttemptOutcome::NotSent { cause };
         }
-        Err(_) => {
-            return AttemptOutcome::NotSent {
-                cause: "deadline passed before a connection was established".to_owned(),
-            };
-        }
+        Err(_) => return AttemptOutcome::NotSent { cause: "deadline passed".to_owned() },
     };
     record_saves(gateway, choice);
     let now_ms = now_ms();
