--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -31,7 +31,7 @@
 fn unreachable(gateway: &Gateway) -> Vec<(String, SocketAddr)> {
     let mut state = gateway.state();
     if let Some(silent_since_ms) = state.upstreams.mark_silent_unreachable(now_ms()) {
-        gateway.connections.close_suspects(silent_since_ms);
+        gateway.connections.close_all_idle(silent_since_ms);
     }
     let unreachable = state.upstreams.current().filter(|one| one.is_unreachable());
     unreachable.map(|one| (one.id.clone(), one.entry.address)).collect()
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -32,7 +32,7 @@
     let since_ms = state.upstreams.get_run(upstream).and_then(|one| one.silent_since_ms(now_ms()));
     drop(state);
     if let Some(since_ms) = since_ms {
-        gateway.connections.close_suspects(since_ms);
+        gateway.connections.close_all_idle(since_ms);
     }
     since_ms.is_some()
 }
