--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -1,4 +1,4 @@
-//! Checks a request: its route, its key, its body.
+//! Validates a request: its framing, route, API key and body.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,58 +18,55 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::response::Reason;
 
-/// Time that a client without a deadline of its own will wait.
+/// Timeout of a request whose client sends none.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
-/// Longest time for a body to arrive.
+/// Longest time for a request body to arrive.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for which a request waits for the first configuration.
+/// How long a request waits for the first configuration after the start of the box.
 const FIRST_CONFIGURATION_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request that has been checked.
+/// A request that was validated and admitted.
 #[derive(Clone)]
 pub struct AdmittedRequest {
-    /// As it is sent.
+    /// The request as it is sent to upstreams.
     pub outgoing: OutgoingRequest,
-    /// Prompt, when it has one.
+    /// The prompt, if the request describes one.
     pub prompt: Option<Prompt>,
-    /// Service.
     pub service: String,
-    /// Its route.
     pub route: Route,
-    /// Version of the configuration that it was admitted under.
+    /// Version of the configuration under which it was admitted.
     pub config_version: u64,
-    /// Account whose context is kept apart.
+    /// Account whose kept context is not shared with other accounts.
     pub isolated_account: Option<String>,
-    /// When it arrived.
     pub arrived_at_ms: u64,
-    /// Upstreams that it was sent to.
+    /// Upstreams that it has been sent to.
     pub tried: Vec<Incarnation>,
-    /// Attempts that count: the upstream that was meant got the request.
+    /// Attempts that count towards the route's limit: the intended upstream may have got them.
     pub attempts_made: u32,
-    /// Attempts that reached nobody, or another than was meant.
+    /// Attempts that reached no upstream, or another incarnation than the intended one.
     pub undelivered_attempts: u32,
-    /// Whether an attempt may have run.
+    /// Whether any attempt may have run.
     pub may_have_run: bool,
 }
 
 impl AdmittedRequest {
-    /// Notes an attempt that counts.
+    /// Records an attempt that counts towards the route's limit.
     pub fn record_attempt(&mut self, upstream: &Incarnation) {
         self.tried.push(upstream.clone());
         self.attempts_made += 1;
     }
 
-    /// The request, to be carried on elsewhere.
+    /// Moves the request out, to be continued in a stream.
     #[must_use]
     pub fn detach(&mut self) -> Self {
         Self { tried: std::mem::take(&mut self.tried), ..self.clone() }
     }
 }
 
-/// Checks a request and reads its body.
+/// Validates a request and reads its body.
 ///
 /// # Errors
-/// Fails with why the request is refused; it has reached nobody.
+/// Fails with the reason for refusing the request; no upstream has received it.
 pub async fn validate(
     gateway: &Gateway,
     head: &RequestHead,
@@ -87,19 +84,20 @@
     let target = parts.uri.path_and_query().cloned().map(Uri::from).ok_or(Reason::BadRequest)?;
     let route = site.route(host, target.path()).ok_or(Reason::NoRoute)?.clone();
     let account = authenticate(&site, &route, head)?.cloned();
-    let bytes = read_body(&site, body).await?;
-    // A change may have come into force while the body arrived.
+    let body = read_body(&site, body).await?;
+    // Chosen only now, since a configuration change may have come into force while the body
+    // arrived.
     let service = route.service(routing_hash(request_id)).ok_or(Reason::NoUpstream)?;
     let timeout_ms = head.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
-    let priority = account.as_ref().and_then(|one| one.priority).unwrap_or(route.priority);
-    let isolated = account.as_ref().filter(|one| one.isolated);
+    let priority = account.as_ref().and_then(|account| account.priority).unwrap_or(route.priority);
+    let isolated_account = account.as_ref().filter(|account| account.isolated);
     let waited_ms = gateway.state().usual_limits.waited_ms(arrived_at_ms, &route.name, timeout_ms);
     let objective_at_ms = (arrived_at_ms + route.latency_objective_ms).saturating_sub(waited_ms);
     Ok(AdmittedRequest {
         prompt: head.prompt.clone(),
         service: service.to_owned(),
         config_version: site.version,
-        isolated_account: isolated.map(|one| one.name.clone()),
+        isolated_account: isolated_account.map(|account| account.name.clone()),
         arrived_at_ms,
         tried: Vec::new(),
         attempts_made: 0,
@@ -108,19 +106,19 @@
         outgoing: OutgoingRequest {
             request_id: request_id.clone(),
             fingerprint: Fingerprint::new(
-                account.as_ref().map_or("", |one| &one.name),
+                account.as_ref().map_or("", |account| &account.name),
                 &[
                     parts.method.as_str(),
                     host,
-                    target.path_and_query().map_or("", |one| one.as_str()),
+                    target.path_and_query().map_or("", |target| target.as_str()),
                 ],
-                &bytes,
+                &body,
             ),
             method: parts.method,
             target,
             headers: parts.headers,
-            body: bytes,
-            account: account.map(|one| one.name),
+            body,
+            account: account.map(|account| account.name),
             priority,
             repeat: route.repeat,
             deadline_ms: arrived_at_ms + timeout_ms.min(route.timeout_ms),
@@ -130,27 +128,27 @@
     })
 }
 
-/// The configuration in force; a box that has just started waits for it a
-/// little, since it takes some round trips.
+/// The configuration in force. A box that has just started waits for it briefly, since fetching it
+/// takes a few round trips.
 async fn wait_for_configuration(gateway: &Gateway) -> Option<Arc<Site>> {
     let known = gateway.state().site.clone();
     if known.is_some() {
         return known;
     }
     let mut changed = gateway.upstreams_changed.subscribe();
-    // After the time-out, what is known now decides.
+    // On a timeout the state read below decides.
     let _ = timeout(FIRST_CONFIGURATION_TIMEOUT, changed.changed()).await;
     gateway.state().site.clone()
 }
 
-/// A number that spreads requests evenly over the targets of a route.
+/// Hash that spreads requests evenly over the target services of a route.
 fn routing_hash(request_id: &str) -> u64 {
     let mut bytes = [0; 8];
     blake3::Hasher::new().update(request_id.as_bytes()).finalize_xof().fill(&mut bytes);
     u64::from_le_bytes(bytes)
 }
 
-/// Whether it is open where the request's body ends.
+/// Whether the headers leave open where the body ends, or which host is meant.
 fn has_ambiguous_framing(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(header::CONTENT_LENGTH).iter().count();
     let encodings = headers.get_all(header::TRANSFER_ENCODING).iter().count();
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -1,5 +1,4 @@
-//! Accepts clients' connections, and serves the balancer's question and the
-//! metrics.
+//! Accepts client connections, and serves the load balancer's readiness check and the metrics.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -25,13 +24,12 @@
 use crate::metering;
 use crate::phase::Phase;
 
-/// Pause after a connection that could not be accepted, for want of
-/// descriptors mostly.
+/// Pause after `accept` failed, usually because file descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Least buffer that the HTTP library allows.
+/// Smallest buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8192;
 
-/// Accepts clients until the box drains.
+/// Accepts client connections until the box drains.
 pub async fn accept_clients(gateway: Arc<Gateway>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
@@ -55,9 +53,9 @@
         debug!(target: "listener", "event=socket_option_refused cause=\"{error}\"");
     }
     let limits = gateway.state().site.as_ref().map(|site| site.limits.clone()).unwrap_or_default();
-    let serving = gateway.clone();
+    let shared = gateway.clone();
     let service = service_fn(move |request: Request<Incoming>| {
-        let gateway = serving.clone();
+        let gateway = shared.clone();
         async move {
             let mut response = serve(gateway.clone(), request).await;
             if gateway.phase() >= Phase::Leaving {
@@ -92,11 +90,11 @@
     builder
 }
 
-/// Answers the balancer's question whether to send new connections.
+/// Answers the load balancer's readiness check: whether to send new connections to this box.
 pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_endpoint(gateway, listener, |gateway| {
-        let known = gateway.state().site.is_some();
-        let ready = known && gateway.phase() == Phase::Serving;
+        let has_configuration = gateway.state().site.is_some();
+        let ready = has_configuration && gateway.phase() == Phase::Serving;
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         (status, String::new())
     })
@@ -130,8 +128,8 @@
                 *response.status_mut() = status;
                 async move { Ok::<_, Infallible>(response) }
             });
-            let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            if let Err(error) = serving.await {
+            let server = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            if let Err(error) = server.await {
                 debug!(target: "listener", "event=question_broken cause=\"{error}\"");
             }
         });
