--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -27,10 +27,10 @@
 use crate::gateway::settings::{Bounds, Settings};
 use crate::names::number;
 use crate::phase::Phase;
-use crate::platform::caches::Caches;
-use crate::platform::engine::Engines;
-use crate::platform::http::Http;
-use crate::platform::metadata::MetadataStore;
+use crate::platform::caches::CacheClient;
+use crate::platform::engine::EngineClient;
+use crate::platform::http::HttpClient;
+use crate::platform::metadata::MetadataClient;
 use crate::quarantine::Quarantine;
 use crate::sync::locked;
 
@@ -188,11 +188,11 @@
 /// What the tasks of a gateway process share.
 pub struct Gateway {
     pub settings: Settings,
-    pub metadata: MetadataStore,
+    pub metadata: MetadataClient,
     /// Client for calls to engines and stores about kept context.
-    pub caches: Caches,
+    pub caches: CacheClient,
     /// Client for reports of engines and orders to them.
-    pub engines: Engines,
+    pub engines: EngineClient,
     /// Connection pool to upstreams.
     pub connections: Connections,
     /// Wakes requests that wait for an upstream.
@@ -234,7 +234,7 @@
             window_ms: bounds.retry_window_ms,
             extra: bounds.retry_extra,
         };
-        let http = Http::new()?;
+        let http = HttpClient::new()?;
         let state = State {
             view: MetadataView::new(min_outage_ms(bounds)),
             site: None,
@@ -262,9 +262,9 @@
             observed_versions: Vec::new(),
         };
         Ok(Arc::new(Self {
-            metadata: MetadataStore::new(Http::to_metadata_store()?, &settings.metadata),
-            caches: Caches::new(http.clone()),
-            engines: Engines::new(http),
+            metadata: MetadataClient::new(HttpClient::for_metadata_store()?, &settings.metadata),
+            caches: CacheClient::new(http.clone()),
+            engines: EngineClient::new(http),
             connections: Connections::default(),
             capacity_changed: Notify::new(),
             refresh_metadata: Notify::new(),
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -14,7 +14,7 @@
 use crate::gateway::decisions::cache_reports::{
     CacheChange, CacheChanges, CacheListing, CachedPart, FreeOutcome, PartialPart,
 };
-use crate::platform::http::{Http, decoded, whole_ms};
+use crate::platform::http::{HttpClient, decoded, whole_ms};
 
 /// Time for which a call for events waits; calls that wait 200 ms or more cost
 /// nothing.
@@ -74,14 +74,14 @@
 
 /// Calls to engines and stores about kept context.
 #[derive(Clone)]
-pub struct Caches {
-    http: Http,
+pub struct CacheClient {
+    http: HttpClient,
 }
 
-impl Caches {
+impl CacheClient {
     /// Calls over `http`.
     #[must_use]
-    pub fn new(http: Http) -> Self {
+    pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -10,7 +10,7 @@
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::platform::entry::Model;
 use crate::platform::headers;
-use crate::platform::http::{Http, decoded};
+use crate::platform::http::{HttpClient, decoded};
 
 /// Time in which a report or an order must be answered.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
@@ -42,14 +42,14 @@
 
 /// Calls to model engines.
 #[derive(Clone)]
-pub struct Engines {
-    http: Http,
+pub struct EngineClient {
+    http: HttpClient,
 }
 
-impl Engines {
+impl EngineClient {
     /// Calls over `http`.
     #[must_use]
-    pub fn new(http: Http) -> Self {
+    pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -39,13 +39,13 @@
 
 /// Makes calls; `fault` says whose failure theirs is.
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     client: Arc<Mutex<Client>>,
     called: Called,
     fault: fn(String) -> Error,
 }
 
-impl Http {
+impl HttpClient {
     /// A client of many places.
     ///
     /// # Errors
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// Fails when the library cannot make one.
-    pub fn to_metadata_store() -> Result<Self> {
+    pub fn for_metadata_store() -> Result<Self> {
         let client = Arc::new(Mutex::new(build()?));
         Ok(Self { client, called: Called::One, fault: Error::Platform })
     }
--- a/src/platform/metadata.rs
+++ b/src/platform/metadata.rs
@@ -14,7 +14,7 @@
 
 use crate::error::Result;
 use crate::gateway::metadata::{Change, Freshness, Item, Lease, Listing, Outcome, Wait, Watched};
-use crate::platform::http::Http;
+use crate::platform::http::HttpClient;
 
 /// Time in which a call must be answered: 250 times the usual 4 ms.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -25,8 +25,8 @@
 
 /// The platform's metadata store.
 #[derive(Clone)]
-pub struct MetadataStore {
-    http: Http,
+pub struct MetadataClient {
+    http: HttpClient,
     address: String,
 }
 
@@ -92,10 +92,10 @@
     ttl_ms: u64,
 }
 
-impl MetadataStore {
+impl MetadataClient {
     /// The store at `address` (IP and port).
     #[must_use]
-    pub fn new(http: Http, address: &str) -> Self {
+    pub fn new(http: HttpClient, address: &str) -> Self {
         Self { http, address: address.to_owned() }
     }
 
