--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::view::{CatchUp, Snapshot, VersionedValue, ViewChange};
 use crate::gateway::decisions::weights::UNKNOWN_TIME_MS;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::metadata::{Change, Freshness, Item, Wait, Watched};
+use crate::gateway::metadata::{Change, Freshness, Item, WatchResult, WatchWait};
 use crate::gateway::settings::Bounds;
 use crate::gateway::{claims, entries, members, quarantine};
 use crate::phase::Phase;
@@ -34,7 +34,7 @@
 const LEAST_WAIT_MS: u64 = 100;
 /// Watch after a failed call: soon over, so that the store's return is seen, and with
 /// patience for a store that is only slow.
-const AFTER_FAILURE: Wait = Wait { wait_ms: 200, late_ms: 1000 };
+const AFTER_FAILURE: WatchWait = WatchWait { wait_ms: 200, grace_ms: 1000 };
 /// Pause after changes, in a large fleet, where each wakes the followers of all
 /// halls: several are told by one answer. A small part of the two seconds in which
 /// a change must be in force.
@@ -215,8 +215,8 @@
         () = gateway.refresh_metadata.notified() => return Ok(Followed::Woken),
     };
     let (changes, at_revision) = match watched {
-        Watched::Changes { changes, at_revision } => (changes, at_revision),
-        Watched::HistoryLost => {
+        WatchResult::Changes { changes, at_revision } => (changes, at_revision),
+        WatchResult::HistoryLost => {
             info!(target: "follow", "event=history_lost after_revision={after}");
             answered(gateway);
             return Ok(Followed::HistoryLost);
@@ -246,23 +246,23 @@
 }
 
 /// How long a watch is waited for while the store answers.
-fn usual_wait(bounds: &Bounds) -> Wait {
+fn usual_wait(bounds: &Bounds) -> WatchWait {
     let change_ms = bounds.change_apply_ms.min(bounds.departure_apply_ms);
     let wait_ms = (change_ms / WAIT_PART).max(LEAST_WAIT_MS);
-    Wait { wait_ms, late_ms: (change_ms / LATE_PART).max(LEAST_WAIT_MS) }
+    WatchWait { wait_ms, grace_ms: (change_ms / LATE_PART).max(LEAST_WAIT_MS) }
 }
 
 /// Time without an answer that one lost watch explains.
 #[must_use]
 pub fn lost_watch_ms(bounds: &Bounds) -> u64 {
-    let Wait { wait_ms, late_ms } = usual_wait(bounds);
+    let WatchWait { wait_ms, grace_ms } = usual_wait(bounds);
     let pauses_ms = 2 * LEAST_PAUSE_MS + whole_ms(CHANGES_PAUSE.as_secs_f64() * 1000.0);
-    wait_ms + late_ms + pauses_ms
+    wait_ms + grace_ms + pauses_ms
 }
 
 /// A wait of another length at each box, so that not all watches end together.
-fn spread(wait: Wait) -> Wait {
-    Wait { wait_ms: wait.wait_ms - fastrand::u64(0..=wait.wait_ms / 4), ..wait }
+fn spread(wait: WatchWait) -> WatchWait {
+    WatchWait { wait_ms: wait.wait_ms - fastrand::u64(0..=wait.wait_ms / 4), ..wait }
 }
 
 fn is_covered(key: &str) -> bool {
@@ -312,9 +312,9 @@
 /// than a watch explains.
 fn named_since(gateway: &Gateway, state: &State, now_ms: u64) -> Named {
     let complete_at_ms = state.view.synced_at_ms();
-    let late_ms = lost_watch_ms(&gateway.settings.bounds);
+    let grace_ms = lost_watch_ms(&gateway.settings.bounds);
     match complete_at_ms {
-        Some(at_ms) if now_ms > at_ms + late_ms => Named::After(at_ms),
+        Some(at_ms) if now_ms > at_ms + grace_ms => Named::After(at_ms),
         Some(_) => Named::Now,
         // It learns from peers only, or has just started.
         None if state.view.is_loaded() => Named::Now,
--- a/src/gateway/helpers.rs
+++ b/src/gateway/helpers.rs
@@ -18,7 +18,7 @@
 use crate::gateway::gossip::Datagram;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::leadership;
-use crate::gateway::metadata::{Lease, Outcome};
+use crate::gateway::metadata::{Lease, WriteOutcome};
 use crate::platform::keys;
 
 /// Time after which peers are asked too: many times the usual 4 ms.
@@ -114,8 +114,8 @@
                 .write_guarded(&keys::claims(), *expected_revision, &value, (&lease, *fence))
                 .await?;
             Ok(match written {
-                Outcome::Done { revision } => CallOutcome::Written(revision),
-                Outcome::Conflict | Outcome::LeaseOver => CallOutcome::Conflict,
+                WriteOutcome::Done { revision } => CallOutcome::Written(revision),
+                WriteOutcome::Conflict | WriteOutcome::LeaseOver => CallOutcome::Conflict,
             })
         }
     }
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
 use crate::gateway::helpers::{self, CallOutcome, LeaderCall};
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::metadata::{Lease, Outcome};
+use crate::gateway::metadata::{Lease, WriteOutcome};
 use crate::phase::Phase;
 use crate::platform::keys;
 
@@ -124,8 +124,8 @@
     let address = gateway.settings.peers.ip().to_string();
     let outcome = gateway.metadata.write(&key, 0, address.as_bytes(), Some(lease)).await;
     let fence = match outcome {
-        Ok(Outcome::Done { revision }) => revision,
-        Ok(Outcome::Conflict | Outcome::LeaseOver) => {
+        Ok(WriteOutcome::Done { revision }) => revision,
+        Ok(WriteOutcome::Conflict | WriteOutcome::LeaseOver) => {
             gateway.metadata.end_lease(lease).await?;
             return Ok(None);
         }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -16,7 +16,7 @@
 use crate::error::{Error, Result};
 use crate::gateway::decisions::peers::{PEER_RETENTION_MS, Peers};
 use crate::gateway::kernel::Gateway;
-use crate::gateway::metadata::Outcome;
+use crate::gateway::metadata::WriteOutcome;
 use crate::phase::Phase;
 use crate::platform::keys;
 
@@ -65,7 +65,7 @@
     let value = postcard::to_stdvec(&next).map_err(|error| unreadable(&error))?;
     let outcome = gateway.metadata.write(&key, revision, &value, None).await?;
     info!(target: "members", "event=members_written count={} done={}", next.len(),
-        matches!(outcome, Outcome::Done { .. }));
+        matches!(outcome, WriteOutcome::Done { .. }));
     Ok(())
 }
 
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -27,16 +27,16 @@
 
 /// How long a watch is waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wait {
+pub struct WatchWait {
     /// Time after which the store answers that nothing has changed.
     pub wait_ms: u64,
     /// Time by which that answer may be late before the store counts as silent.
-    pub late_ms: u64,
+    pub grace_ms: u64,
 }
 
 /// What a watch answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Watched {
+pub enum WatchResult {
     /// Changes up to a revision; none when the wait is over.
     Changes {
         /// The changes, in order.
@@ -68,7 +68,7 @@
 
 /// What became of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum WriteOutcome {
     /// It is done, as this revision.
     Done {
         /// Revision of the change.
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -15,7 +15,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::gateway::decisions::gossip_message::Gossip;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::metadata::Outcome;
+use crate::gateway::metadata::WriteOutcome;
 use crate::phase::Phase;
 use crate::platform::keys;
 use crate::quarantine::News;
@@ -97,7 +97,7 @@
     let value = postcard::to_stdvec(&next).map_err(|error| unreadable(&error))?;
     let outcome = gateway.metadata.write(&key, revision, &value, None).await?;
     info!(target: "quarantine", "event=quarantine_written count={} done={}", next.len(),
-        matches!(outcome, Outcome::Done { .. }));
+        matches!(outcome, WriteOutcome::Done { .. }));
     Ok(())
 }
 
--- a/src/platform/metadata.rs
+++ b/src/platform/metadata.rs
@@ -13,7 +13,9 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
 use crate::error::Result;
-use crate::gateway::metadata::{Change, Freshness, Item, Lease, Listing, Outcome, Wait, Watched};
+use crate::gateway::metadata::{
+    Change, Freshness, Item, Lease, Listing, WatchResult, WatchWait, WriteOutcome,
+};
 use crate::platform::http::HttpClient;
 
 /// Time in which a call must be answered: 250 times the usual 4 ms.
@@ -131,17 +133,17 @@
     ///
     /// # Errors
     /// Fails when the store does not answer as it should.
-    pub async fn watch(&self, prefix: &str, after: u64, wait: Wait) -> Result<Watched> {
-        let Wait { wait_ms, late_ms } = wait;
+    pub async fn watch(&self, prefix: &str, after: u64, wait: WatchWait) -> Result<WatchResult> {
+        let WatchWait { wait_ms, grace_ms } = wait;
         let path = format!("kv-watch?path_prefix={prefix}&after={after}&wait_ms={wait_ms}");
-        let timeout = Duration::from_millis(wait_ms + late_ms);
+        let timeout = Duration::from_millis(wait_ms + grace_ms);
         let answer = self.call(Method::GET, &path, None::<&()>, timeout).await?;
         if answer.status() == StatusCode::GONE {
-            return Ok(Watched::HistoryLost);
+            return Ok(WatchResult::HistoryLost);
         }
         let body: WatchBody = self.decode(answer).await?;
         let changes = body.events.into_iter().map(change).collect();
-        Ok(Watched::Changes { changes, at_revision: body.at })
+        Ok(WatchResult::Changes { changes, at_revision: body.at })
     }
 
     /// Writes `value`, under a lease or to stay, if the item's revision is
@@ -155,7 +157,7 @@
         expected: u64,
         value: &[u8],
         lease: Option<Lease>,
-    ) -> Result<Outcome> {
+    ) -> Result<WriteOutcome> {
         let lease = lease.map_or(NO_LEASE, |lease| lease.id);
         let put = Put { key, value: BASE64_STANDARD.encode(value), lease };
         let expected = vec![Expected { key, rev: expected }];
@@ -173,21 +175,21 @@
         expected: u64,
         value: &[u8],
         (guard, guard_revision): (&str, u64),
-    ) -> Result<Outcome> {
+    ) -> Result<WriteOutcome> {
         let put = Put { key, value: BASE64_STANDARD.encode(value), lease: NO_LEASE };
         let expected =
             vec![Expected { key, rev: expected }, Expected { key: guard, rev: guard_revision }];
         self.transact(&TxnBody { expected, put: vec![put], remove: Vec::new() }).await
     }
 
-    async fn transact(&self, body: &TxnBody<'_>) -> Result<Outcome> {
+    async fn transact(&self, body: &TxnBody<'_>) -> Result<WriteOutcome> {
         let answer = self.call(Method::POST, "kv-txn", Some(body), CALL_TIMEOUT).await?;
         match answer.status() {
-            StatusCode::PRECONDITION_FAILED => Ok(Outcome::Conflict),
-            StatusCode::NOT_FOUND => Ok(Outcome::LeaseOver),
+            StatusCode::PRECONDITION_FAILED => Ok(WriteOutcome::Conflict),
+            StatusCode::NOT_FOUND => Ok(WriteOutcome::LeaseOver),
             _ => {
                 let done: TxnDone = self.decode(answer).await?;
-                Ok(Outcome::Done { revision: done.rev })
+                Ok(WriteOutcome::Done { revision: done.rev })
             }
         }
     }
