--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -14,8 +14,8 @@
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::decisions::claims::Claims;
-use crate::gateway::helpers::{self, CallOutcome, LeaderCall};
 use crate::gateway::kernel::{Gateway, State};
+use crate::gateway::leader_calls::{self, CallOutcome, LeaderCall};
 use crate::gateway::leadership::{Leadership, NAME};
 use crate::gateway::settings::Bounds;
 use crate::names::number;
@@ -192,7 +192,7 @@
 async fn write(gateway: &Gateway, socket: &UdpSocket, fence: u64) -> Result<()> {
     let Some((call, next)) = next_write(gateway, fence) else { return Ok(()) };
     let outcome = tokio::select! {
-        outcome = helpers::make(gateway, socket, call) => outcome,
+        outcome = leader_calls::execute(gateway, socket, call) => outcome,
         revision = seen(gateway, fence, &next) => Ok(CallOutcome::Written(revision)),
     };
     if let Some(book) = &mut gateway.state().book {
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -43,7 +43,7 @@
 /// Time in which the peers that a first one names answer, and name others.
 const LEARN_MS: u64 = 200;
 /// Peers that are asked at once to renew a lease: one may be gone by now.
-const HELPERS: usize = 2;
+const DELEGATES: usize = 2;
 
 /// What a box tells of itself in every message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -96,7 +96,7 @@
     turn: usize,
     /// When all are told next, however often the own hall is told before.
     all_due_at_ms: u64,
-    helper_turn: usize,
+    delegate_turn: usize,
     first_heard_at_ms: Option<u64>,
     /// Whether some peer was not told of this box yet.
     has_untold: bool,
@@ -120,7 +120,7 @@
             known,
             turn: 0,
             all_due_at_ms: 0,
-            helper_turn: 0,
+            delegate_turn: 0,
             first_heard_at_ms: None,
             has_untold: false,
             halls_due_at_ms: 0,
@@ -282,18 +282,18 @@
     }
 
     /// Peers that the metadata store answers, other ones each time.
-    pub fn next_helpers(&mut self, now_ms: u64) -> Vec<SocketAddr> {
+    pub fn next_delegates(&mut self, now_ms: u64) -> Vec<SocketAddr> {
         let mut able: Vec<IpAddr> = self
             .alive(now_ms)
             .filter(|(_, peer)| peer.gossip.metadata_store == MetadataStoreStatus::Available)
             .map(|(address, _)| *address)
             .collect();
         if !able.is_empty() {
-            let start = self.helper_turn % able.len();
+            let start = self.delegate_turn % able.len();
             able.rotate_left(start);
         }
-        self.helper_turn = self.helper_turn.wrapping_add(HELPERS);
-        able.truncate(HELPERS);
+        self.delegate_turn = self.delegate_turn.wrapping_add(DELEGATES);
+        able.truncate(DELEGATES);
         self.at_peer_port(able)
     }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -19,8 +19,8 @@
 use crate::gateway::decisions::notice::NoticeState;
 use crate::gateway::decisions::peers::{Audience, GOSSIP_PERIOD_MS, GossipScope};
 use crate::gateway::decisions::weights::NamedVersion;
-use crate::gateway::helpers::{HelpReply, HelpRequest, help};
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
+use crate::gateway::leader_calls::{DelegatedCall, DelegatedReply, execute_for_peer};
 use crate::gateway::quarantine;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
 use crate::names::number;
@@ -48,9 +48,9 @@
     /// What all halls but the sender's do.
     OtherHallsSummary(OtherHallsSummary),
     /// The sender leads, and the metadata store does not answer it.
-    HelpRequest(HelpRequest),
+    DelegatedCall(DelegatedCall),
     /// The answer to that.
-    HelpReply(HelpReply),
+    DelegatedReply(DelegatedReply),
 }
 
 /// Tells peers, a few times a second.
@@ -273,11 +273,11 @@
             Ok(Datagram::OtherHallsSummary(news)) => {
                 gateway.state().peers.receive_other_halls(now_ms(), &news);
             }
-            Ok(Datagram::HelpRequest(request)) => {
-                tokio::spawn(help(gateway.clone(), socket.clone(), request, from));
+            Ok(Datagram::DelegatedCall(request)) => {
+                tokio::spawn(execute_for_peer(gateway.clone(), socket.clone(), request, from));
             }
-            Ok(Datagram::HelpReply(reply)) => {
-                gateway.help_replies.send_replace(Some(reply));
+            Ok(Datagram::DelegatedReply(reply)) => {
+                gateway.delegated_replies.send_replace(Some(reply));
             }
             Err(error) => {
                 warn!(target: "gossip", "event=gossip_unreadable peer={from} cause=\"{error}\"");
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -22,7 +22,7 @@
 use crate::gateway::decisions::view::MetadataView;
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::follow;
-use crate::gateway::helpers::HelpReply;
+use crate::gateway::leader_calls::DelegatedReply;
 use crate::gateway::leadership::Leadership;
 use crate::gateway::settings::{Bounds, Settings};
 use crate::names::number;
@@ -212,7 +212,7 @@
     /// Whether this box must no longer lead because it is stopping.
     pub resigned: watch::Sender<bool>,
     /// Replies of peers that made a metadata store call on behalf of this box.
-    pub help_replies: watch::Sender<Option<HelpReply>>,
+    pub delegated_replies: watch::Sender<Option<DelegatedReply>>,
     /// Requests whose upstream aborted them, by upstream, while it is being checked whether the
     /// upstream crashed.
     pub unexplained_aborts: Mutex<HashMap<String, Vec<Fingerprint>>>,
@@ -274,7 +274,7 @@
             quarantine_changed: Notify::new(),
             upstreams_changed: watch::Sender::new(0),
             resigned: watch::Sender::new(false),
-            help_replies: watch::Sender::new(None),
+            delegated_replies: watch::Sender::new(None),
             unexplained_aborts: Mutex::default(),
             claim_lock: tokio::sync::Mutex::new(()),
             state: Mutex::new(state),
--- a/src/gateway/helpers.rs
+++ b/src/gateway/leader_calls.rs
@@ -22,7 +22,7 @@
 use crate::platform::keys;
 
 /// Time after which peers are asked too: many times the usual 4 ms.
-const PATIENCE: Duration = Duration::from_millis(150);
+const DELEGATE_AFTER: Duration = Duration::from_millis(150);
 /// Time in which a peer must answer; there must be time for another.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -62,18 +62,18 @@
 
 /// Asks a peer to make a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HelpRequest {
+pub struct DelegatedCall {
     /// Tells the leader's calls apart.
-    pub number: u64,
+    pub call_id: u64,
     /// The call.
     pub call: LeaderCall,
 }
 
 /// A peer's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HelpReply {
+pub struct DelegatedReply {
     /// Which call was made.
-    pub number: u64,
+    pub call_id: u64,
     /// What became of it.
     pub outcome: CallOutcome,
 }
@@ -82,23 +82,27 @@
 ///
 /// # Errors
 /// Fails when neither the store nor a peer answers in time; the call may be done all the same.
-pub async fn make(gateway: &Gateway, socket: &UdpSocket, call: LeaderCall) -> Result<CallOutcome> {
-    let own = perform(gateway, &call);
+pub async fn execute(
+    gateway: &Gateway,
+    socket: &UdpSocket,
+    call: LeaderCall,
+) -> Result<CallOutcome> {
+    let own = call_store(gateway, &call);
     pin!(own);
-    match timeout(PATIENCE, own.as_mut()).await {
+    match timeout(DELEGATE_AFTER, own.as_mut()).await {
         Ok(Ok(outcome)) => Ok(outcome),
         Ok(Err(error)) => {
             info!(target: "leadership", "event=leader_call_failed cause=\"{error}\"");
-            through_peers(gateway, socket, call.clone()).await
+            execute_through_peers(gateway, socket, call.clone()).await
         }
         Err(_) => tokio::select! {
             Ok(outcome) = own => Ok(outcome),
-            outcome = through_peers(gateway, socket, call.clone()) => outcome,
+            outcome = execute_through_peers(gateway, socket, call.clone()) => outcome,
         },
     }
 }
 
-async fn perform(gateway: &Gateway, call: &LeaderCall) -> Result<CallOutcome> {
+async fn call_store(gateway: &Gateway, call: &LeaderCall) -> Result<CallOutcome> {
     match call {
         LeaderCall::Renew { lease_id, ttl_ms } => {
             let lease = Lease { id: *lease_id, ttl_ms: *ttl_ms };
@@ -121,23 +125,23 @@
     }
 }
 
-async fn through_peers(
+async fn execute_through_peers(
     gateway: &Gateway,
     socket: &UdpSocket,
     call: LeaderCall,
 ) -> Result<CallOutcome> {
-    let request = HelpRequest { number: fastrand::u64(..), call };
-    let number = request.number;
-    let mut replies = gateway.help_replies.subscribe();
-    let helpers = gateway.state().peers.next_helpers(now_ms());
-    let request = Datagram::HelpRequest(request);
-    for helper in &helpers {
-        send(socket, &request, *helper).await;
+    let request = DelegatedCall { call_id: fastrand::u64(..), call };
+    let call_id = request.call_id;
+    let mut replies = gateway.delegated_replies.subscribe();
+    let delegates = gateway.state().peers.next_delegates(now_ms());
+    let request = Datagram::DelegatedCall(request);
+    for delegate in &delegates {
+        send(socket, &request, *delegate).await;
     }
-    let answered = replies.wait_for(|reply| reply.is_some_and(|one| one.number == number));
+    let answered = replies.wait_for(|reply| reply.is_some_and(|reply| reply.call_id == call_id));
     match timeout(PEER_TIMEOUT, answered).await {
         Ok(Ok(reply)) => {
-            let outcome = reply.map(|one| one.outcome);
+            let outcome = reply.map(|reply| reply.outcome);
             let outcome = outcome.ok_or_else(|| Error::Message("no answer".to_owned()))?;
             match outcome {
                 CallOutcome::Renewed | CallOutcome::LeaseOver => info!(target: "leadership",
@@ -148,23 +152,23 @@
             Ok(outcome)
         }
         Ok(Err(_)) | Err(_) => {
-            Err(Error::Message(format!("none of {} peers made the call", helpers.len())))
+            Err(Error::Message(format!("none of {} peers made the call", delegates.len())))
         }
     }
 }
 
 /// Makes a call for a peer and tells it. A failure is not told: the peer asks
 /// another.
-pub async fn help(
+pub async fn execute_for_peer(
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
-    request: HelpRequest,
+    request: DelegatedCall,
     peer: SocketAddr,
 ) {
-    match perform(&gateway, &request.call).await {
+    match call_store(&gateway, &request.call).await {
         Ok(outcome) => {
-            let reply = HelpReply { number: request.number, outcome };
-            send(&socket, &Datagram::HelpReply(reply), peer).await;
+            let reply = DelegatedReply { call_id: request.call_id, outcome };
+            send(&socket, &Datagram::DelegatedReply(reply), peer).await;
         }
         Err(error) => {
             info!(target: "leadership", "event=peer_not_helped peer={peer} cause=\"{error}\"");
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -18,8 +18,8 @@
 use crate::error::Result;
 use crate::gateway::claims;
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
-use crate::gateway::helpers::{self, CallOutcome, LeaderCall};
 use crate::gateway::kernel::{Gateway, State};
+use crate::gateway::leader_calls::{self, CallOutcome, LeaderCall};
 use crate::gateway::metadata::{Lease, WriteOutcome};
 use crate::phase::Phase;
 use crate::platform::keys;
@@ -148,7 +148,7 @@
         }
         let asked_at_ms = now_ms();
         let call = LeaderCall::Renew { lease_id: lease.id, ttl_ms: lease.ttl_ms };
-        match helpers::make(gateway, socket, call).await {
+        match leader_calls::execute(gateway, socket, call).await {
             Ok(CallOutcome::Renewed) => {
                 held.until_ms = asked_at_ms + lease.ttl_ms.saturating_sub(MARGIN_MS);
                 gateway.state().leadership = Some(held);
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -13,7 +13,7 @@
 //! upstreams, `reachability` probes upstreams, and `request_log` writes the log lines.
 //!
 //! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `space` do what a single box
-//! does for the whole fleet; `helpers` makes calls on behalf of a leader that cannot reach the
+//! does for the whole fleet; `leader_calls` makes calls on behalf of a leader that cannot reach the
 //! metadata store itself.
 
 pub mod attempt;
@@ -30,11 +30,11 @@
 pub mod follow_caches;
 pub mod gossip;
 pub mod heads;
-pub mod helpers;
 pub mod in_flight;
 pub mod invariants;
 pub mod kernel;
 pub mod leader;
+pub mod leader_calls;
 pub mod leadership;
 pub mod listener;
 pub mod members;
