--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -34,7 +34,7 @@
 const CLAIM_MS: u64 = 1000;
 
 /// What leaders have written down, as the leader has it.
-pub struct Book {
+pub struct ClaimRecord {
     /// The leader.
     fence: u64,
     /// What is surely written.
@@ -46,7 +46,7 @@
     failed_writes: u32,
 }
 
-impl Book {
+impl ClaimRecord {
     /// Forgets orders that lie back for longer than `pause_ms` and an order's call; what is left.
     fn recent(&mut self, now_ms: u64, pause_ms: u64) -> BTreeSet<u32> {
         self.ordered_at_ms.retain(|_, at_ms| now_ms < *at_ms + pause_ms + CALL_MS);
@@ -72,7 +72,7 @@
 
 /// Takes up what the leaders before have written down; false until it is known.
 pub fn open(state: &mut State, held: &Leadership) -> bool {
-    if state.book.as_ref().is_some_and(|book| book.fence == held.fence) {
+    if state.claim_record.as_ref().is_some_and(|record| record.fence == held.fence) {
         return true;
     }
     if state.view.at_revision() < held.fence {
@@ -82,7 +82,8 @@
     info!(target: "leadership", "event=claims_known fence={} engines={}", held.fence, claims.len());
     let ordered_at_ms = BTreeMap::new();
     let fence = held.fence;
-    state.book = Some(Book { fence, claims, revision, ordered_at_ms, failed_writes: 0 });
+    state.claim_record =
+        Some(ClaimRecord { fence, claims, revision, ordered_at_ms, failed_writes: 0 });
     true
 }
 
@@ -114,8 +115,9 @@
 /// name) now, or once it has claimed it.
 #[must_use]
 pub fn may_order(state: &State, bounds: &Bounds, now_ms: u64, target: u32) -> bool {
-    let Some(book) = &state.book else { return false };
-    let from_ms = book.claims.orderable_from_ms(target, book.fence, &state.terms, pause_ms(bounds));
+    let Some(record) = &state.claim_record else { return false };
+    let from_ms =
+        record.claims.orderable_from_ms(target, record.fence, &state.terms, pause_ms(bounds));
     from_ms.is_some_and(|from_ms| now_ms >= from_ms)
 }
 
@@ -123,23 +125,23 @@
 /// leaders follow each other quickly.
 #[must_use]
 pub fn has_waiting(state: &State, bounds: &Bounds, now_ms: u64) -> bool {
-    let book = state.book.as_ref();
-    book.is_some_and(|book| {
-        book.claims.has_paused_targets(now_ms, book.fence, &state.terms, pause_ms(bounds))
+    let record = state.claim_record.as_ref();
+    record.is_some_and(|record| {
+        record.claims.has_paused_targets(now_ms, record.fence, &state.terms, pause_ms(bounds))
     })
 }
 
 /// Whether the leader cannot write down whom it orders, so that another should lead.
 #[must_use]
 pub fn is_stuck(state: &State) -> bool {
-    state.book.as_ref().is_some_and(|book| book.failed_writes >= MOST_FAILED_WRITES)
+    state.claim_record.as_ref().is_some_and(|record| record.failed_writes >= MOST_FAILED_WRITES)
 }
 
 /// Whether the leader with `fence` has claimed `target`.
 #[must_use]
 pub fn is_claimed(state: &State, fence: u64, target: u32) -> bool {
-    let book = state.book.as_ref().filter(|book| book.fence == fence);
-    book.is_some_and(|book| book.claims.claimant(target) == Some(fence))
+    let record = state.claim_record.as_ref().filter(|record| record.fence == fence);
+    record.is_some_and(|record| record.claims.claimant(target) == Some(fence))
 }
 
 /// Claims `target`, which may be ordered, for the leader with `fence`; false when this box is
@@ -155,8 +157,8 @@
             if !state.leads(now_ms(), fence) {
                 return Ok(false);
             }
-            let Some(book) = &mut state.book else { return Ok(false) };
-            book.ordered_at_ms.insert(target, now_ms());
+            let Some(record) = &mut state.claim_record else { return Ok(false) };
+            record.ordered_at_ms.insert(target, now_ms());
             if is_claimed(&state, fence, target) {
                 return Ok(true);
             }
@@ -179,11 +181,13 @@
     let is_due = {
         let mut state = gateway.state();
         let pause_ms = pause_ms(&gateway.settings.bounds);
-        let Some(book) = state.book.as_mut().filter(|book| book.fence == fence) else {
+        let Some(record) = state.claim_record.as_mut().filter(|record| record.fence == fence)
+        else {
             return Ok(());
         };
-        let recent = book.recent(now_ms(), pause_ms);
-        book.revision == 0 || book.claims.targets_of(fence).any(|target| !recent.contains(&target))
+        let recent = record.recent(now_ms(), pause_ms);
+        record.revision == 0
+            || record.claims.targets_of(fence).any(|target| !recent.contains(&target))
     };
     if is_due { write(gateway, socket, fence).await } else { Ok(()) }
 }
@@ -195,8 +199,8 @@
         outcome = leader_calls::execute(gateway, socket, call) => outcome,
         revision = seen(gateway, fence, &next) => Ok(CallOutcome::Written(revision)),
     };
-    if let Some(book) = &mut gateway.state().book {
-        book.failed_writes = if outcome.is_ok() { 0 } else { book.failed_writes + 1 };
+    if let Some(record) = &mut gateway.state().claim_record {
+        record.failed_writes = if outcome.is_ok() { 0 } else { record.failed_writes + 1 };
     }
     let outcome = outcome?;
     if let CallOutcome::Written(revision) = outcome {
@@ -213,8 +217,8 @@
     loop {
         sleep(AGAIN_PAUSE).await;
         let state = gateway.state();
-        let known = state.book.as_ref().filter(|book| book.fence == fence);
-        let known = known.map_or(u64::MAX, |book| book.revision);
+        let known = state.claim_record.as_ref().filter(|record| record.fence == fence);
+        let known = known.map_or(u64::MAX, |record| record.revision);
         let item = state.view.get(&keys::claims()).filter(|item| item.revision > known);
         if let Some(item) = item
             && postcard::from_bytes::<Claims>(&item.value).is_ok_and(|told| told == *claims)
@@ -227,22 +231,22 @@
 /// The write of what is to be claimed. What it strikes out counts as struck out from now on.
 fn next_write(gateway: &Gateway, fence: u64) -> Option<(LeaderCall, Claims)> {
     let mut state = gateway.state();
-    let State { book, terms, .. } = &mut *state;
-    let book = book.as_mut().filter(|book| book.fence == fence)?;
+    let State { claim_record, terms, .. } = &mut *state;
+    let record = claim_record.as_mut().filter(|record| record.fence == fence)?;
     let (now_ms, pause_ms) = (now_ms(), pause_ms(&gateway.settings.bounds));
-    let recent = book.recent(now_ms, pause_ms);
-    book.claims.retain(fence, &recent);
-    let claims = book.claims.updated(now_ms, (fence, &recent), terms, pause_ms);
+    let recent = record.recent(now_ms, pause_ms);
+    record.claims.retain(fence, &recent);
+    let claims = record.claims.updated(now_ms, (fence, &recent), terms, pause_ms);
     let call =
-        LeaderCall::Claim { fence, expected_revision: book.revision, claims: claims.clone() };
+        LeaderCall::Claim { fence, expected_revision: record.revision, claims: claims.clone() };
     Some((call, claims))
 }
 
 fn note_written(gateway: &Gateway, fence: u64, claims: Claims, revision: u64) {
     let mut state = gateway.state();
-    if let Some(book) = state.book.as_mut().filter(|book| book.fence == fence) {
-        book.claims = claims;
-        book.revision = revision;
+    if let Some(record) = state.claim_record.as_mut().filter(|record| record.fence == fence) {
+        record.claims = claims;
+        record.revision = revision;
     }
 }
 
@@ -258,8 +262,8 @@
             Claims::default()
         }
     };
-    if let Some(book) = state.book.as_mut().filter(|book| book.revision < revision) {
-        book.claims = claims;
-        book.revision = revision;
+    if let Some(record) = state.claim_record.as_mut().filter(|record| record.revision < revision) {
+        record.claims = claims;
+        record.revision = revision;
     }
 }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -8,7 +8,7 @@
 use crate::clock::now_ms;
 use crate::error::Result;
 use crate::fingerprint::Fingerprint;
-use crate::gateway::claims::Book;
+use crate::gateway::claims::ClaimRecord;
 use crate::gateway::connections::Connections;
 use crate::gateway::decisions::admission::AdmissionLimits;
 use crate::gateway::decisions::budget::{self, Budget};
@@ -81,7 +81,7 @@
     /// When the leases of earlier leaders were seen to end.
     pub terms: LeaderTerms,
     /// Claims that leaders have written, while this box leads.
-    pub book: Option<Book>,
+    pub claim_record: Option<ClaimRecord>,
     /// Orders of this box that engines have not answered yet.
     pub orders_in_flight: usize,
     /// Engines whose weights this box is replacing; they get no new requests.
@@ -103,7 +103,7 @@
 
     /// Gives up leadership locally: no order is given from now on.
     pub fn stop_leading(&mut self) {
-        self.book = None;
+        self.claim_record = None;
         if let Some(held) = &mut self.leadership {
             held.until_ms = 0;
         }
@@ -254,7 +254,7 @@
             requests_in_flight: 0,
             leadership: None,
             terms: LeaderTerms::default(),
-            book: None,
+            claim_record: None,
             orders_in_flight: 0,
             loading_engines: HashSet::new(),
             load_permits: HashMap::new(),
