--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -137,7 +137,7 @@
 
 /// Engines that load at once, so that all have the version in time.
 #[must_use]
-pub fn permits(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> usize {
+pub fn max_concurrent_loads(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> usize {
     let version = state.weights.get(model).map_or(0, NamedVersions::newest);
     rollout::max_concurrent_loads(&candidates(gateway, state, now_ms, model), version)
 }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -16,7 +16,7 @@
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::gateway::decisions::upstream::Told;
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
-use crate::gateway::leader::permits;
+use crate::gateway::leader::max_concurrent_loads;
 use crate::gateway::{claims, entries, invariants};
 use crate::names::number;
 
@@ -161,7 +161,7 @@
             }
             mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
             let in_use = state.load_permits.values().filter(|until_ms| now_ms < **until_ms).count();
-            if in_use < permits(gateway, &state, now_ms, &load.model) {
+            if in_use < max_concurrent_loads(gateway, &state, now_ms, &load.model) {
                 let id = load.engine.id.clone();
                 state.load_permits.insert(id.clone(), now_ms + UNCONFIRMED_PERMIT_MS);
                 return Some(LoadPermit(gateway.clone(), id));
