--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -176,7 +176,7 @@
 ///
 /// # Errors
 /// Fails when it cannot be written.
-pub async fn tidy(gateway: &Gateway, socket: &UdpSocket, fence: u64) -> Result<()> {
+pub async fn prune(gateway: &Gateway, socket: &UdpSocket, fence: u64) -> Result<()> {
     let _turn = gateway.claim_lock.lock().await;
     let is_due = {
         let mut state = gateway.state();
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -59,8 +59,8 @@
     tokio::spawn(reachability::run(gateway.clone()));
     tokio::spawn(leadership::run(gateway.clone(), socket.clone()));
     tokio::spawn(leader::run(gateway.clone(), socket.clone()));
-    tokio::spawn(leader::free(gateway.clone(), socket.clone()));
-    tokio::spawn(leader::tidy(gateway.clone(), socket));
+    tokio::spawn(leader::free_store_space(gateway.clone(), socket.clone()));
+    tokio::spawn(leader::prune_claims(gateway.clone(), socket));
     tokio::spawn(members::run(gateway.clone()));
     tokio::spawn(quarantine::maintain_stored(gateway.clone()));
     tokio::spawn(listener::accept_clients(gateway.clone(), clients));
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -13,7 +13,7 @@
 use crate::gateway::decisions::rollout::{self, RolloutCandidate};
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
-use crate::gateway::space::Space;
+use crate::gateway::store_cleanup::StoreCleanup;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, WeightLoad, mark_loading, replace_weights};
 use crate::names::number;
 use crate::phase::Phase;
@@ -39,23 +39,23 @@
 
 /// Frees what stores keep for nobody, while this box is the leader. On its own, since a store
 /// that does not answer must not hold up loads.
-pub async fn free(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    let mut space = Space::default();
+pub async fn free_store_space(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+    let mut cleanup = StoreCleanup::default();
     while gateway.phase() != Phase::Stopped {
         sleep(LOOK_PERIOD).await;
         match leading(&gateway) {
-            Some(fence) => space.step(&gateway, &socket, fence).await,
-            None => space = Space::default(),
+            Some(fence) => cleanup.step(&gateway, &socket, fence).await,
+            None => cleanup = StoreCleanup::default(),
         }
     }
 }
 
 /// Strikes claims out, while this box is the leader.
-pub async fn tidy(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
+pub async fn prune_claims(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     while gateway.phase() != Phase::Stopped {
         sleep(TIDY_PERIOD).await;
         let Some(fence) = leading(&gateway) else { continue };
-        if let Err(error) = claims::tidy(&gateway, &socket, fence).await {
+        if let Err(error) = claims::prune(&gateway, &socket, fence).await {
             info!(target: "leader", "event=claims_not_tidied cause=\"{error}\"");
         }
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -12,7 +12,7 @@
 //! `outdated_weights` and `relay`; `crashes` and `quarantine` withhold requests that crash
 //! upstreams, `reachability` probes upstreams, and `request_log` writes the log lines.
 //!
-//! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `space` do what a single box
+//! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `store_cleanup` do what a single box
 //! does for the whole fleet; `leader_calls` makes calls on behalf of a leader that cannot reach the
 //! metadata store itself.
 
@@ -49,6 +49,6 @@
 pub mod serve;
 pub mod settings;
 pub mod silence;
-pub mod space;
+pub mod store_cleanup;
 pub mod store_updates;
 pub mod weight_loads;
--- a/src/gateway/space.rs
+++ b/src/gateway/store_cleanup.rs
@@ -35,7 +35,7 @@
 
 /// What the holder remembers of the stores.
 #[derive(Default)]
-pub struct Space {
+pub struct StoreCleanup {
     boxes: KnownBoxes,
     namings: Vec<ContextRelease>,
     settled_at_ms: HashMap<String, u64>,
@@ -45,7 +45,7 @@
     partial: HashMap<(String, PartKey), (u32, u64)>,
 }
 
-impl Space {
+impl StoreCleanup {
     /// Frees what is due.
     pub async fn step(&mut self, gateway: &Arc<Gateway>, socket: &UdpSocket, fence: u64) {
         let now_ms = now_ms();
