--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -17,7 +17,7 @@
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
-use coursestile::gateway::decisions::upstream::{Entry, Load};
+use coursestile::gateway::decisions::upstream::{Load, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile::gateway::decisions::view::ViewDigest;
 
@@ -131,7 +131,7 @@
 fn choice_us(boxes: u32) -> f64 {
     let mut upstreams = Upstreams::default();
     for engine in 0..engines(boxes) {
-        let entry = Entry {
+        let entry = UpstreamEntry {
             service: SERVICE.to_owned(),
             address: SocketAddr::new(address(engine), 8080),
             hall: format!("hall-{}", engine % HALLS),
@@ -141,9 +141,9 @@
             started_at_ms: None,
         };
         let id = format!("engine-{engine}");
-        upstreams.put(0, &id, entry);
+        upstreams.upsert(0, &id, entry);
         if let Some(upstream) = upstreams.get_mut(&id) {
-            upstream.others =
+            upstream.peer_load =
                 Load { requests: 4, pending_prefill_tokens: 3000 + engine, memory_tokens: 9000 };
         }
     }
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -88,7 +88,7 @@
     demand: &Demand<'a>,
 ) -> Option<Choice> {
     let usable: Vec<&Upstream> =
-        upstreams.of(demand.service).filter(|one| is_usable(now_ms, one, demand)).collect();
+        upstreams.of_service(demand.service).filter(|one| is_usable(now_ms, one, demand)).collect();
     let mut chooser = Chooser { now_ms, upstreams, stores, engine, demand, lookups: Vec::new() };
     let best = match demand.candidates {
         Candidates::All => chooser.best(&usable),
@@ -101,15 +101,15 @@
 
 /// Whether a request may be sent to an upstream at all.
 fn is_usable(now_ms: u64, upstream: &Upstream, demand: &Demand<'_>) -> bool {
-    let tried = demand.tried.iter().any(|one| upstream.is(one));
-    if tried || upstream.own.requests >= demand.max_requests || upstream.is_loading(now_ms) {
+    let tried = demand.tried.iter().any(|one| upstream.is_run(one));
+    if tried || upstream.own_load.requests >= demand.max_requests || upstream.is_loading(now_ms) {
         return false;
     }
     if upstream.rests_until_ms(now_ms).is_some() {
         return false;
     }
     // A request must not begin on such weights, also where no other engine is left.
-    let version = demand.prompt.map_or(0, |prompt| upstream.version(&prompt.model));
+    let version = demand.prompt.map_or(0, |prompt| upstream.weight_version(&prompt.model));
     !(demand.bars_overdue && demand.is_overdue(now_ms, version))
 }
 
@@ -139,7 +139,7 @@
                 .and(demand.objective_at_ms)
                 .filter(|_| !demand.admission.objective_missed),
             memory_tokens: demand.prompt.map_or(0, Prompt::memory_tokens),
-            load: self.upstream.load(),
+            load: self.upstream.total_load(),
             chosen_at_ms: now_ms,
         }
     }
@@ -206,7 +206,7 @@
 
     /// Where the prompt's parts are kept, for the weights of an engine.
     fn lookup(&mut self, prompt: &'a Prompt, upstream: &Upstream) -> &Lookup<'a> {
-        let version = upstream.version(&prompt.model);
+        let version = upstream.weight_version(&prompt.model);
         let known = self.lookups.iter().position(|lookup| lookup.version == version);
         let place = known.unwrap_or_else(|| {
             let (upstreams, stores) = (self.upstreams, self.stores);
@@ -252,7 +252,7 @@
 /// Cost of an upstream of a plain service, in milliseconds.
 fn plain_cost(upstream: &Upstream) -> f64 {
     let slots = upstream.entry.slots.max(1);
-    let requests = upstream.load().requests;
+    let requests = upstream.total_load().requests;
     let full =
         if requests >= slots { f64::from(requests - slots + 1) * QUEUED_COST_MS } else { 0.0 };
     f64::from(requests) * FULL_COST_MS / f64::from(slots) + full
@@ -265,7 +265,7 @@
     plan: &ContextPlan,
     demand: &Demand<'_>,
 ) -> (f64, Expected) {
-    let load = upstream.load();
+    let load = upstream.total_load();
     let waiting_ms = f64::from(load.pending_prefill_tokens) / PREFILL_TOKENS_PER_MS;
     let prefill_ms = f64::from(plan.prefill_tokens) / PREFILL_TOKENS_PER_MS;
     let recompute_ms = f64::from(plan.recomputed_tokens) / PREFILL_TOKENS_PER_MS;
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -80,7 +80,7 @@
         let shared = prompt.shared_parts();
         let parts = shared.iter().enumerate().map(|(place, part)| {
             let key = PartKey::new(&scope, &part.id);
-            let of_service = upstreams.of(demand.service);
+            let of_service = upstreams.of_service(demand.service);
             let engines: Vec<&Upstream> =
                 of_service.filter(|one| one.holder.tokens(key) > 0).collect();
             let kept = !engines.is_empty() || stores.has_part(key);
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -22,7 +22,7 @@
 
 /// An upstream, as it tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct UpstreamEntry {
     /// Service that it belongs to.
     pub service: String,
     /// Address.
@@ -41,9 +41,9 @@
 
 /// What was told of an upstream means this for what is known of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum ReportedRun {
     /// It speaks of the run that is known.
-    Known,
+    Current,
     /// It speaks of a new run, of which nothing else is known.
     Restarted,
     /// It speaks of a run that has ended.
@@ -85,18 +85,18 @@
     /// Number that names its run in messages between boxes.
     pub number: u32,
     /// What it tells of itself.
-    pub entry: Entry,
+    pub entry: UpstreamEntry,
     /// Load from this box.
-    pub own: Load,
+    pub own_load: Load,
     /// Load from all other boxes, as they told last.
-    pub others: Load,
+    pub peer_load: Load,
     /// Kept context.
     pub holder: CacheContents,
     /// Start of its run, as whoever told of it last has it.
     started_at_ms: Option<u64>,
     /// When this box learned of that run.
     known_since_ms: u64,
-    versions: HashMap<String, u64>,
+    observed_versions: HashMap<String, u64>,
     avoid_until_ms: u64,
     avoid_ms: u64,
     failure_rate: f64,
@@ -119,7 +119,7 @@
 impl Upstream {
     /// One of which nothing is known but its entry.
     #[must_use]
-    pub fn new(now_ms: u64, id: &str, entry: Entry) -> Self {
+    pub fn new(now_ms: u64, id: &str, entry: UpstreamEntry) -> Self {
         let incarnation = Incarnation { id: id.to_owned(), started_at_ms: entry.started_at_ms };
         Self {
             number: incarnation.number(),
@@ -127,10 +127,10 @@
             started_at_ms: incarnation.started_at_ms,
             known_since_ms: now_ms,
             entry,
-            own: Load::default(),
-            others: Load::default(),
+            own_load: Load::default(),
+            peer_load: Load::default(),
             holder: CacheContents::default(),
-            versions: HashMap::new(),
+            observed_versions: HashMap::new(),
             avoid_until_ms: 0,
             avoid_ms: FIRST_AVOID_MS,
             failure_rate: 0.0,
@@ -155,7 +155,7 @@
     }
 
     /// Takes what its answers asked.
-    pub fn heed(&mut self, asked: NoticeState) {
+    pub fn apply_notices(&mut self, asked: NoticeState) {
         self.notices.merge(asked);
     }
 
@@ -179,47 +179,47 @@
 
     /// Whether a run may be its present one.
     #[must_use]
-    pub fn is(&self, incarnation: &Incarnation) -> bool {
+    pub fn is_run(&self, incarnation: &Incarnation) -> bool {
         self.id == incarnation.id
             && !is_other_incarnation(self.started_at_ms, incarnation.started_at_ms)
     }
 
     /// Takes an entry of the metadata store, where what is newer comes later.
-    pub fn take_entry(&mut self, now_ms: u64, entry: Entry) -> Told {
+    pub fn update_entry(&mut self, now_ms: u64, entry: UpstreamEntry) -> ReportedRun {
         // One run tells its start in all entries or in none.
         let begins_to_tell = self.started_at_ms.is_none() && entry.started_at_ms.is_some();
         if !begins_to_tell && !is_other_incarnation(self.started_at_ms, entry.started_at_ms) {
             self.entry = entry;
-            return Told::Known;
+            return ReportedRun::Current;
         }
         if self.entry.started_at_ms == entry.started_at_ms {
             // It told of its new run itself, before its entry did.
-            return Told::Outdated;
+            return ReportedRun::Outdated;
         }
         *self = Self::new(now_ms, &self.id, entry);
-        Told::Restarted
+        ReportedRun::Restarted
     }
 
     /// Takes the start of the run that answered a call made at `asked_at_ms`.
-    pub fn answered_by(
+    pub fn record_answering_run(
         &mut self,
         now_ms: u64,
         started_at_ms: Option<u64>,
         asked_at_ms: u64,
-    ) -> Told {
+    ) -> ReportedRun {
         if !is_other_incarnation(self.started_at_ms, started_at_ms) {
             self.learn_start(started_at_ms);
-            return Told::Known;
+            return ReportedRun::Current;
         }
         if asked_at_ms < self.known_since_ms {
             // The answer may be older than the run that is known.
-            return Told::Outdated;
+            return ReportedRun::Outdated;
         }
         // What its earlier run told of itself is the best that is known until its entry comes.
         let told = self.entry.started_at_ms;
-        *self = Self::new(now_ms, &self.id, Entry { started_at_ms, ..self.entry.clone() });
+        *self = Self::new(now_ms, &self.id, UpstreamEntry { started_at_ms, ..self.entry.clone() });
         self.entry.started_at_ms = told;
-        Told::Restarted
+        ReportedRun::Restarted
     }
 
     /// Takes the start of the run that is known, if it was not told before.
@@ -232,37 +232,37 @@
 
     /// Version of a model's weights; 0 when it does not have the model.
     #[must_use]
-    pub fn version(&self, model: &str) -> u64 {
+    pub fn weight_version(&self, model: &str) -> u64 {
         let told = self.entry.models.iter().find(|(name, _)| name == model);
         let told = told.map_or(0, |(_, version)| *version);
-        told.max(self.versions.get(model).copied().unwrap_or_default())
+        told.max(self.observed_versions.get(model).copied().unwrap_or_default())
     }
 
     /// Notes the version of a model's weights that it was seen to have.
-    pub fn saw_version(&mut self, model: &str, version: u64) {
-        if version > self.version(model) {
-            self.versions.insert(model.to_owned(), version);
+    pub fn record_weight_version(&mut self, model: &str, version: u64) {
+        if version > self.weight_version(model) {
+            self.observed_versions.insert(model.to_owned(), version);
             self.holder.clear();
         }
     }
 
     /// Notes that it does not have the version that it was seen to have: what its entry
     /// tells counts again.
-    pub fn lacks_version(&mut self, model: &str) {
-        self.versions.remove(model);
+    pub fn forget_weight_version(&mut self, model: &str) {
+        self.observed_versions.remove(model);
     }
 
     /// The model that a number stands for, among those that it has.
     #[must_use]
-    pub fn model_of(&self, model: u32) -> Option<String> {
+    pub fn model_by_number(&self, model: u32) -> Option<String> {
         self.entry.models.iter().map(|(name, _)| name).find(|name| number(name) == model).cloned()
     }
 
     /// Load from all boxes.
     #[must_use]
-    pub fn load(&self) -> Load {
-        let mut load = self.own;
-        load.add(self.others);
+    pub fn total_load(&self) -> Load {
+        let mut load = self.own_load;
+        load.add(self.peer_load);
         load
     }
 
@@ -274,7 +274,7 @@
     }
 
     /// Notes that another incarnation answered at its address.
-    pub fn supersede(&mut self) {
+    pub fn mark_superseded(&mut self) {
         self.superseded = true;
     }
 
@@ -291,28 +291,29 @@
     }
 
     /// Notes that it loads weights until a deadline, or has ended to (0).
-    pub fn loads_until(&mut self, until_ms: u64) {
+    pub fn set_loading_until(&mut self, until_ms: u64) {
         self.loading_until_ms = until_ms;
     }
 
     /// Counts a request that is sent.
     pub fn record_sent(&mut self, now_ms: u64, pending_prefill_tokens: u32, memory_tokens: u32) {
-        self.own.requests += 1;
-        self.own.pending_prefill_tokens += pending_prefill_tokens;
-        self.own.memory_tokens += memory_tokens;
+        self.own_load.requests += 1;
+        self.own_load.pending_prefill_tokens += pending_prefill_tokens;
+        self.own_load.memory_tokens += memory_tokens;
         self.awaiting_answer_since_ms.get_or_insert(now_ms);
     }
 
     /// Counts a prompt that has been read.
     pub fn record_prefill_end(&mut self, tokens: u32) {
-        self.own.pending_prefill_tokens = self.own.pending_prefill_tokens.saturating_sub(tokens);
+        self.own_load.pending_prefill_tokens =
+            self.own_load.pending_prefill_tokens.saturating_sub(tokens);
     }
 
     /// Counts a request that has ended.
     pub fn record_request_end(&mut self, memory_tokens: u32) {
-        self.own.requests = self.own.requests.saturating_sub(1);
-        self.own.memory_tokens = self.own.memory_tokens.saturating_sub(memory_tokens);
-        if self.own.requests == 0 {
+        self.own_load.requests = self.own_load.requests.saturating_sub(1);
+        self.own_load.memory_tokens = self.own_load.memory_tokens.saturating_sub(memory_tokens);
+        if self.own_load.requests == 0 {
             self.awaiting_answer_since_ms = None;
         }
     }
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -5,7 +5,7 @@
 
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::notice::{NoticeState, UnlistedNotices};
-use crate::gateway::decisions::upstream::{Entry, Told, Upstream};
+use crate::gateway::decisions::upstream::{ReportedRun, Upstream, UpstreamEntry};
 
 /// The upstreams of all services.
 #[derive(Debug, Default)]
@@ -20,35 +20,35 @@
 impl Upstreams {
     /// Takes what an upstream tells of itself in the metadata store, where what is newer
     /// comes later.
-    pub fn put(&mut self, now_ms: u64, id: &str, entry: Entry) -> Told {
+    pub fn upsert(&mut self, now_ms: u64, id: &str, entry: UpstreamEntry) -> ReportedRun {
         let told = if let Some(known) = self.by_id.get_mut(id) {
-            known.take_entry(now_ms, entry)
+            known.update_entry(now_ms, entry)
         } else {
             let mut upstream = Upstream::new(now_ms, id, entry);
-            upstream.heed(self.unlisted.remove(&upstream.incarnation()));
+            upstream.apply_notices(self.unlisted.remove(&upstream.incarnation()));
             self.by_id.insert(id.to_owned(), upstream);
-            Told::Known
+            ReportedRun::Current
         };
-        self.note_number(id);
+        self.index_number(id);
         told
     }
 
     /// Takes the start of the run that answered a call made at `asked_at_ms`.
-    pub fn answered_by(
+    pub fn record_answering_run(
         &mut self,
         now_ms: u64,
         id: &str,
         started_at_ms: Option<u64>,
         asked_at_ms: u64,
-    ) -> Told {
-        let Some(known) = self.by_id.get_mut(id) else { return Told::Known };
-        let told = known.answered_by(now_ms, started_at_ms, asked_at_ms);
-        self.note_number(id);
+    ) -> ReportedRun {
+        let Some(known) = self.by_id.get_mut(id) else { return ReportedRun::Current };
+        let told = known.record_answering_run(now_ms, started_at_ms, asked_at_ms);
+        self.index_number(id);
         told
     }
 
     /// Another run of an upstream has another number.
-    fn note_number(&mut self, id: &str) {
+    fn index_number(&mut self, id: &str) {
         let Some(number) = self.get(id).map(|one| one.number) else { return };
         if self.ids.get(&number).is_none_or(|known| known != id) {
             self.ids.retain(|_, known| known != id);
@@ -57,7 +57,7 @@
     }
 
     /// The upstream whose present run has a number, to be changed.
-    pub fn numbered_mut(&mut self, number: u32) -> Option<&mut Upstream> {
+    pub fn get_by_number_mut(&mut self, number: u32) -> Option<&mut Upstream> {
         self.by_id.get_mut(self.ids.get(&number)?)
     }
 
@@ -115,12 +115,12 @@
     /// An upstream, if a run may be its present one.
     #[must_use]
     pub fn get_run(&self, incarnation: &Incarnation) -> Option<&Upstream> {
-        self.get(&incarnation.id).filter(|one| one.is(incarnation))
+        self.get(&incarnation.id).filter(|one| one.is_run(incarnation))
     }
 
     /// An upstream, to be changed, if a run may be its present one.
     pub fn get_run_mut(&mut self, incarnation: &Incarnation) -> Option<&mut Upstream> {
-        self.get_mut(&incarnation.id).filter(|one| one.is(incarnation))
+        self.get_mut(&incarnation.id).filter(|one| one.is_run(incarnation))
     }
 
     /// All upstreams.
@@ -134,9 +134,9 @@
     }
 
     /// Takes what the run of an upstream asked in an answer.
-    pub fn heed(&mut self, now_ms: u64, upstream: &Incarnation, asked: NoticeState) {
+    pub fn apply_notices(&mut self, now_ms: u64, upstream: &Incarnation, asked: NoticeState) {
         match self.by_id.get_mut(&upstream.id) {
-            Some(known) if known.is(upstream) => known.heed(asked),
+            Some(known) if known.is_run(upstream) => known.apply_notices(asked),
             Some(_) => {}
             None => self.unlisted.insert(now_ms, upstream, asked),
         }
@@ -145,19 +145,20 @@
     /// When the first upstream of a service, but for those in `tried`, takes requests again
     /// from this box, while all rest; `None` when one takes them now, or there is none.
     #[must_use]
-    pub fn all_rest_until_ms(
+    pub fn all_resting_until_ms(
         &self,
         now_ms: u64,
         service: &str,
         tried: &[Incarnation],
     ) -> Option<u64> {
-        let untried = self.of(service).filter(|one| !tried.iter().any(|tried| one.is(tried)));
+        let untried =
+            self.of_service(service).filter(|one| !tried.iter().any(|tried| one.is_run(tried)));
         let rests: Option<Vec<u64>> = untried.map(|one| one.rests_until_ms(now_ms)).collect();
         rests?.into_iter().min()
     }
 
     /// The upstreams of a service that live and are not about to leave.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
+    pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
         self.current().filter(move |one| one.entry.service == service && !one.is_leaving())
     }
 
@@ -169,8 +170,8 @@
     /// Whether most engines of a model are heard by other boxes, and cannot be reached from
     /// here: the way to them is cut, and not they.
     #[must_use]
-    pub fn is_way_cut(&self, now_ms: u64, model: &str) -> bool {
-        let engines = self.current().filter(|one| one.version(model) > 0);
+    pub fn is_partitioned(&self, now_ms: u64, model: &str) -> bool {
+        let engines = self.current().filter(|one| one.weight_version(model) > 0);
         let cut =
             engines.clone().filter(|one| one.is_unreachable() && one.answers_other_boxes(now_ms));
         2 * cut.count() > engines.count()
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -4,7 +4,7 @@
 use log::{info, warn};
 
 use crate::clock::now_ms;
-use crate::gateway::decisions::upstream::Told;
+use crate::gateway::decisions::upstream::ReportedRun;
 use crate::gateway::kernel::{Gateway, State};
 use crate::platform::keys;
 
@@ -29,11 +29,11 @@
         entry.leaving,
         shown(entry.started_at_ms)
     );
-    match state.upstreams.put(now_ms, id, entry) {
-        Told::Known if changed => info!(target: "entries", "event=upstream_seen {seen}"),
-        Told::Known => {}
-        Told::Outdated => info!(target: "entries", "event=upstream_outdated {seen}"),
-        Told::Restarted => {
+    match state.upstreams.upsert(now_ms, id, entry) {
+        ReportedRun::Current if changed => info!(target: "entries", "event=upstream_seen {seen}"),
+        ReportedRun::Current => {}
+        ReportedRun::Outdated => info!(target: "entries", "event=upstream_outdated {seen}"),
+        ReportedRun::Restarted => {
             info!(target: "entries", "event=upstream_restarted {seen}");
             gateway.connections.close_idle_to(id);
             changed = true;
@@ -55,9 +55,10 @@
     id: &str,
     started_at_ms: Option<u64>,
     asked_at_ms: u64,
-) -> Told {
-    let told = gateway.state().upstreams.answered_by(now_ms(), id, started_at_ms, asked_at_ms);
-    if told == Told::Restarted {
+) -> ReportedRun {
+    let told =
+        gateway.state().upstreams.record_answering_run(now_ms(), id, started_at_ms, asked_at_ms);
+    if told == ReportedRun::Restarted {
         info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
             shown(started_at_ms));
         gateway.connections.close_idle_to(id);
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -141,7 +141,7 @@
 /// For how long the engine that is behind longest has been, as far as this box knows.
 fn behind_s(state: &State, now_ms: u64) -> f64 {
     let since_ms = state.weights.iter().flat_map(|(model, named)| {
-        let engines = state.upstreams.current().map(|engine| engine.version(model));
+        let engines = state.upstreams.current().map(|engine| engine.weight_version(model));
         let since_ms = engines.filter_map(|version| named.behind_since_ms(version));
         since_ms.filter(|since_ms| *since_ms != UNKNOWN_TIME_MS)
     });
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -13,7 +13,7 @@
 use crate::error::{Error, Result};
 use crate::gateway::decisions::cache_contents::CacheContents;
 use crate::gateway::decisions::cache_reports::{CacheChanges, CacheListing};
-use crate::gateway::decisions::upstream::Told;
+use crate::gateway::decisions::upstream::ReportedRun;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
 use crate::phase::Phase;
@@ -142,7 +142,8 @@
     let asked_at_ms = now_ms();
     let changes = gateway.caches.changes(address, since).await?;
     if let HolderId::Engine(id) = holder_id
-        && entries::answered_by(gateway, id, changes.started_at_ms, asked_at_ms) != Told::Known
+        && entries::answered_by(gateway, id, changes.started_at_ms, asked_at_ms)
+            != ReportedRun::Current
     {
         // A new run has told only what came after a place in the events of the old one.
         return Ok(());
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -139,7 +139,7 @@
 fn own_loads(state: &State, now_ms: u64) -> impl Iterator<Item = LoadReport> {
     state.upstreams.iter().map(move |one| LoadReport {
         upstream: one.number,
-        load: one.own,
+        load: one.own_load,
         heard_age_ms: one.receive_age_ms(now_ms),
     })
 }
@@ -343,8 +343,8 @@
 /// Takes which upstreams said to a peer that they leave.
 fn take_leaving(state: &mut State, leaving: &[u32]) {
     for number in leaving {
-        if let Some(upstream) = state.upstreams.numbered_mut(*number) {
-            upstream.heed(NoticeState { leaving: true, ..NoticeState::default() });
+        if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
+            upstream.apply_notices(NoticeState { leaving: true, ..NoticeState::default() });
         }
     }
 }
@@ -353,7 +353,7 @@
 fn take_resting(state: &mut State, now_ms: u64, resting: &[(u32, u16)]) {
     let spread_ms = u64::from(state.peers.local().number) % REST_SPREAD_MS;
     for (number, left_ms) in resting {
-        if let Some(upstream) = state.upstreams.numbered_mut(*number) {
+        if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
             upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + spread_ms);
         }
     }
@@ -361,8 +361,8 @@
 
 fn supersede(state: &mut State, upstreams: &[u32]) {
     for upstream in upstreams {
-        if let Some(upstream) = state.upstreams.numbered_mut(*upstream) {
-            upstream.supersede();
+        if let Some(upstream) = state.upstreams.get_by_number_mut(*upstream) {
+            upstream.mark_superseded();
         }
     }
 }
@@ -371,17 +371,17 @@
 fn take_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
     let mut is_new = false;
     for (engine, left_ms) in &gossip.loading_engines {
-        let Some(engine) = state.upstreams.numbered_mut(*engine) else { continue };
+        let Some(engine) = state.upstreams.get_by_number_mut(*engine) else { continue };
         is_new |= !engine.is_loading(now_ms);
-        engine.loads_until(now_ms + u64::from(*left_ms));
+        engine.set_loading_until(now_ms + u64::from(*left_ms));
     }
     for (number, model, version) in &gossip.engine_versions {
-        if let Some(engine) = state.upstreams.numbered_mut(*number)
-            && let Some(name) = engine.model_of(*model)
-            && *version > engine.version(&name)
+        if let Some(engine) = state.upstreams.get_by_number_mut(*number)
+            && let Some(name) = engine.model_by_number(*model)
+            && *version > engine.weight_version(&name)
         {
-            engine.loads_until(0);
-            engine.saw_version(&name, *version);
+            engine.set_loading_until(0);
+            engine.record_weight_version(&name, *version);
             is_new = true;
             if state.is_bridge() {
                 state.observed_versions.push(ObservedVersion {
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -187,7 +187,7 @@
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
             self.upstream.id, notice.leaving, notice.rest_ms.unwrap_or_default());
         let asked = NoticeState::from_notice(now_ms, notice);
-        self.gateway.state().upstreams.heed(now_ms, &self.upstream, asked);
+        self.gateway.state().upstreams.apply_notices(now_ms, &self.upstream, asked);
         self.gateway.gossip_now.notify_one();
     }
 
@@ -209,7 +209,7 @@
         let state = self.gateway.state();
         let Some(upstream) = state.upstreams.get_run(&self.upstream) else { return false };
         state.weights.iter().any(|(model, named)| {
-            let version = upstream.version(model);
+            let version = upstream.weight_version(model);
             version > 0 && named.is_load_overdue(now_ms, version, apply_ms)
         })
     }
@@ -224,7 +224,7 @@
     pub fn record_superseded(&self) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
             info!(target: "serve", "event=upstream_superseded upstream={}", self.upstream.id);
-            upstream.supersede();
+            upstream.mark_superseded();
         }
         self.gateway.load_changed.notify_one();
     }
@@ -232,7 +232,7 @@
     /// Records the weight version that the upstream was seen to have.
     pub fn record_version(&self, model: &str, version: u64) {
         if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
-            upstream.saw_version(model, version);
+            upstream.record_weight_version(model, version);
         }
     }
 }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -125,8 +125,8 @@
 
     /// Applies the combined load that all other boxes report for one upstream.
     pub fn apply_peer_load(&mut self, number: u32) {
-        if let Some(upstream) = self.upstreams.numbered_mut(number) {
-            upstream.others = self.peers.load(number);
+        if let Some(upstream) = self.upstreams.get_by_number_mut(number) {
+            upstream.peer_load = self.peers.load(number);
             upstream.record_peer_receive(self.peers.heard_at_ms(number));
         }
     }
@@ -137,7 +137,7 @@
         let Self { peers, upstreams, stores, limits, .. } = self;
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
-            upstream.others = peers.load(upstream.number);
+            upstream.peer_load = peers.load(upstream.number);
             upstream.record_peer_receive(peers.heard_at_ms(upstream.number));
         }
         for (_, store) in stores.iter_mut() {
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -115,20 +115,20 @@
 fn candidates(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> Vec<RolloutCandidate> {
     let named = state.weights.get(model);
     let bounds = &gateway.settings.bounds;
-    let engines = state.upstreams.current().filter(|one| one.version(model) > 0);
+    let engines = state.upstreams.current().filter(|one| one.weight_version(model) > 0);
     engines
         .filter(|engine| !engine.is_leaving())
         .map(|engine| {
             let failed = state.failed_orders.get(&engine.id).copied().unwrap_or_default();
             RolloutCandidate {
                 id: engine.id.clone(),
-                version: engine.version(model),
-                time_left_ms: left_ms(gateway, named, now_ms, engine.version(model)),
+                version: engine.weight_version(model),
+                time_left_ms: left_ms(gateway, named, now_ms, engine.weight_version(model)),
                 is_updating: state.loading_engines.contains(&engine.id),
                 may_be_ordered: now_ms >= failed.retry_at_ms
                     && claims::may_order(state, bounds, now_ms, number(&engine.id)),
                 failed_orders: failed.count,
-                requests: engine.load().requests,
+                requests: engine.total_load().requests,
                 doubtful: engine.is_unhealthy(now_ms),
             }
         })
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -106,7 +106,7 @@
 /// placed took all of them out of service for 14 s, without any order that arrived.
 fn is_way_cut(state: &State) -> bool {
     let now_ms = now_ms();
-    state.weights.keys().any(|model| state.upstreams.is_way_cut(now_ms, model))
+    state.weights.keys().any(|model| state.upstreams.is_partitioned(now_ms, model))
 }
 
 /// Why another box had better lead.
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -17,8 +17,8 @@
 pub fn no_upstream_found(gateway: &Gateway, request: &AdmittedRequest) -> ClientResponse {
     let state = gateway.state();
     let rest_until_ms =
-        state.upstreams.all_rest_until_ms(now_ms(), &request.service, &request.tried);
-    let is_known = state.upstreams.of(&request.service).next().is_some();
+        state.upstreams.all_resting_until_ms(now_ms(), &request.service, &request.tried);
+    let is_known = state.upstreams.of_service(&request.service).next().is_some();
     drop(state);
     match rest_until_ms {
         Some(until_ms) => {
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -232,8 +232,8 @@
 /// Number of upstreams of the service that the request has not been sent to.
 fn count_untried(gateway: &Gateway, request: &AdmittedRequest) -> usize {
     let state = gateway.state();
-    let is_tried = |upstream: &Upstream| request.tried.iter().any(|tried| upstream.is(tried));
-    state.upstreams.of(&request.service).filter(|upstream| !is_tried(upstream)).count()
+    let is_tried = |upstream: &Upstream| request.tried.iter().any(|tried| upstream.is_run(tried));
+    state.upstreams.of_service(&request.service).filter(|upstream| !is_tried(upstream)).count()
 }
 
 /// Whether the request may be sent to another upstream. If so, takes one retry from the budget.
@@ -374,7 +374,7 @@
 fn all_rest_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
     let state = gateway.state();
     let rest_until_ms =
-        state.upstreams.all_rest_until_ms(now_ms(), &request.service, &request.tried);
+        state.upstreams.all_resting_until_ms(now_ms(), &request.service, &request.tried);
     rest_until_ms.is_some_and(|rest_until_ms| instant_at(rest_until_ms) > until)
 }
 
@@ -441,8 +441,8 @@
     let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) else { return };
     if choice.context.as_ref().is_some_and(|plan| plan.version >= named) {
         // The upstream restarted with older weights, or was reverted to them.
-        upstream.lacks_version(&prompt.model);
+        upstream.forget_weight_version(&prompt.model);
     } else {
-        upstream.saw_version(&prompt.model, named);
+        upstream.record_weight_version(&prompt.model, named);
     }
 }
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -129,7 +129,7 @@
         for (model, named) in &state.weights {
             let newest = named.newest();
             let mut engines = state.upstreams.current();
-            if engines.any(|one| (1..newest).contains(&one.version(model))) {
+            if engines.any(|one| (1..newest).contains(&one.weight_version(model))) {
                 self.settled_at_ms.remove(model);
                 continue;
             }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -14,7 +14,7 @@
 use crate::error::Result;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
-use crate::gateway::decisions::upstream::Told;
+use crate::gateway::decisions::upstream::ReportedRun;
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
 use crate::gateway::leader::max_concurrent_loads;
 use crate::gateway::{claims, entries, invariants};
@@ -77,7 +77,7 @@
 /// Keeps this box from sending requests to an engine until `until_ms`.
 pub fn mark_loading(state: &mut State, id: &str, until_ms: u64) {
     if let Some(upstream) = state.upstreams.get_mut(id) {
-        upstream.loads_until(until_ms);
+        upstream.set_loading_until(until_ms);
     }
 }
 
@@ -105,9 +105,9 @@
         }
     }
     if let Some(upstream) = state.upstreams.get_run_mut(&load.engine) {
-        upstream.loads_until(0);
+        upstream.set_loading_until(0);
         if end == LoadEnd::Done {
-            upstream.saw_version(&load.model, load.version);
+            upstream.record_weight_version(&load.model, load.version);
         }
     }
     if end == LoadEnd::Done {
@@ -199,7 +199,7 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     mark_loading(&mut state, &load.engine.id, now_ms + LOADING_GOSSIP_MS);
-    let requests = state.upstreams.get(&load.engine.id).map(|engine| engine.load().requests);
+    let requests = state.upstreams.get(&load.engine.id).map(|engine| engine.total_load().requests);
     requests != Some(0) && state.leads(now_ms, load.fence)
 }
 
@@ -276,7 +276,9 @@
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
     let id = &load.engine.id;
-    if entries::answered_by(gateway, id, report.started_at_ms, asked_at_ms) == Told::Restarted {
+    if entries::answered_by(gateway, id, report.started_at_ms, asked_at_ms)
+        == ReportedRun::Restarted
+    {
         load.engine.started_at_ms = report.started_at_ms;
     }
     Ok(report)
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -4,7 +4,7 @@
 
 use serde::Deserialize;
 
-use crate::gateway::decisions::upstream::Entry;
+use crate::gateway::decisions::upstream::UpstreamEntry;
 
 /// The entry as every upstream writes it: one that lacks a field, or has it of another
 /// type, is not its own.
@@ -47,9 +47,9 @@
 }
 
 /// Reads an entry.
-pub(super) fn entry(bytes: &[u8]) -> serde_json::Result<Entry> {
+pub(super) fn entry(bytes: &[u8]) -> serde_json::Result<UpstreamEntry> {
     let written: Written = serde_json::from_slice(bytes)?;
-    Ok(Entry {
+    Ok(UpstreamEntry {
         service: written.service,
         address: written.addr,
         hall: written.zone,
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{Error, Result};
 use crate::gateway::decisions::site::Site;
-use crate::gateway::decisions::upstream::Entry;
+use crate::gateway::decisions::upstream::UpstreamEntry;
 use crate::platform::document;
 use crate::platform::entry;
 
@@ -117,7 +117,7 @@
 ///
 /// # Errors
 /// Fails with what cannot be read and where.
-pub fn read_upstream(id: &str, bytes: &[u8]) -> Result<Entry> {
+pub fn read_upstream(id: &str, bytes: &[u8]) -> Result<UpstreamEntry> {
     entry::entry(bytes).map_err(|fault| unreadable(&format!("{UPSTREAM_PREFIX}{id}"), &fault))
 }
 
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -12,7 +12,7 @@
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
-use coursestile::gateway::decisions::upstream::Entry;
+use coursestile::gateway::decisions::upstream::UpstreamEntry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 
 const HALLS: [&str; 2] = ["north", "south"];
@@ -55,7 +55,7 @@
 fn engines() -> Upstreams {
     let mut upstreams = Upstreams::default();
     for (hall, port) in HALLS.into_iter().zip(100..) {
-        let entry = Entry {
+        let entry = UpstreamEntry {
             service: "llm".to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             hall: hall.to_owned(),
@@ -64,7 +64,7 @@
             models: vec![("m".to_owned(), 1)],
             started_at_ms: None,
         };
-        upstreams.put(0, &format!("engine-{hall}"), entry);
+        upstreams.upsert(0, &format!("engine-{hall}"), entry);
     }
     upstreams
 }
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -13,7 +13,7 @@
 use coursestile::gateway::decisions::site::EngineSpec;
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, whole_ms};
-use coursestile::gateway::decisions::upstream::{Entry, Load};
+use coursestile::gateway::decisions::upstream::{Load, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use rstest::rstest;
 
@@ -36,7 +36,7 @@
 fn view() -> Upstreams {
     let mut upstreams = Upstreams::default();
     for (engine, port) in (0..ENGINES).zip(1..) {
-        let entry = Entry {
+        let entry = UpstreamEntry {
             service: "llm".to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             hall: "north".to_owned(),
@@ -45,7 +45,7 @@
             models: vec![(MODEL.to_owned(), 1)],
             started_at_ms: None,
         };
-        upstreams.put(0, &engine_id(engine), entry);
+        upstreams.upsert(0, &engine_id(engine), entry);
     }
     upstreams
 }
@@ -104,7 +104,7 @@
 
     fn change(&mut self, at_ms: u64, from: usize, engine: usize, change: Change) {
         let own = self.views[from].get_mut(&engine_id(engine)).unwrap();
-        apply(&mut own.own, change);
+        apply(&mut own.own_load, change);
         self.news.push_back(News { at_ms: at_ms + self.delay_ms, from, engine, change });
     }
 
@@ -117,7 +117,10 @@
         while self.news.front().is_some_and(|news| news.at_ms <= now_ms) {
             let Some(News { from, engine, change, .. }) = self.news.pop_front() else { break };
             for other in (0..BOXES).filter(|other| *other != from) {
-                apply(&mut self.views[other].get_mut(&engine_id(engine)).unwrap().others, change);
+                apply(
+                    &mut self.views[other].get_mut(&engine_id(engine)).unwrap().peer_load,
+                    change,
+                );
             }
         }
     }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -15,7 +15,7 @@
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
-use coursestile::gateway::decisions::upstream::Entry;
+use coursestile::gateway::decisions::upstream::UpstreamEntry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile::gateway::decisions::weights::NamedVersions;
 use coursestile::gateway::heads::ForwardHead;
@@ -23,8 +23,8 @@
 use hyper::{HeaderMap, Method, Uri};
 use proptest::prelude::*;
 
-fn entry(hall: &str, port: u16, version: u64) -> Entry {
-    Entry {
+fn entry(hall: &str, port: u16, version: u64) -> UpstreamEntry {
+    UpstreamEntry {
         service: "llm".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         hall: hall.to_owned(),
@@ -91,8 +91,8 @@
 #[test]
 fn kept_context_draws() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
-    upstreams.put(0, "b", entry("south", 2, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "b", entry("south", 2, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
     let far = upstreams.get_mut("b").unwrap();
@@ -106,7 +106,7 @@
 #[test]
 fn context_stays_in_scope() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let engine = upstreams.get_mut("a").unwrap();
     engine.holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
@@ -115,7 +115,7 @@
     asked.isolated_account = Some("petra");
     let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
     assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("1.m.petra", 5200));
-    upstreams.get_mut("a").unwrap().saw_version("m", 2);
+    upstreams.get_mut("a").unwrap().record_weight_version("m", 2);
     let asked = demand(Some(&prompt), &[]);
     let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
     assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("2.m", 5200));
@@ -125,8 +125,8 @@
 #[test]
 fn silent_avoided() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
-    upstreams.put(0, "b", entry("south", 2, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "b", entry("south", 2, 1));
     upstreams.get_mut("a").unwrap().record_sent(0, 0, 0);
     let stores = Stores::default();
     let at =
@@ -139,7 +139,7 @@
 /// Headers of context that an engine gets which takes sources in this way.
 fn context_headers(per_part_sources: bool) -> [Option<String>; 2] {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
     let held = |part: &str, tokens| CacheChange {
         part: CachedPart { scope: "1.m".to_owned(), part_id: part.to_owned() },
         tokens,
@@ -205,7 +205,7 @@
 #[test]
 fn fetched_while_in_time() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "700,10", "aa:500,bb:200").unwrap();
     let mut stores = Stores::default();
     stores.configure(&[store("large", 2, 28_000.0)]);
@@ -226,7 +226,7 @@
 #[test]
 fn busy_is_not_silent() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
     let engine = upstreams.get_mut("a").unwrap();
     engine.record_sent(0, 0, 0);
     assert!(engine.is_silent(801), "nobody hears it");
@@ -244,7 +244,7 @@
 fn hall_unreachable() {
     let mut upstreams = Upstreams::default();
     for (id, hall) in [("a", "north"), ("b", "south"), ("c", "south"), ("d", "south")] {
-        upstreams.put(0, id, entry(hall, 1, 1));
+        upstreams.upsert(0, id, entry(hall, 1, 1));
     }
     upstreams.record_connect_timeout(1000, &run("b"), "north");
     assert!(!upstreams.get("d").unwrap().is_unreachable());
@@ -258,8 +258,8 @@
 #[test]
 fn overdue_weights_avoided() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
-    upstreams.put(0, "b", entry("south", 2, 2));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "b", entry("south", 2, 2));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     upstreams.get_mut("a").unwrap().holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
     upstreams.get_mut("b").unwrap().record_sent(0, 40_000, 0);
@@ -284,7 +284,7 @@
 #[test]
 fn busy_engine_speaks_not() {
     let mut upstreams = Upstreams::default();
-    upstreams.put(0, "a", entry("north", 1, 1));
+    upstreams.upsert(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
     let asked = demand(Some(&prompt), &[]);
@@ -299,7 +299,7 @@
 fn alike_are_spread() {
     let mut upstreams = Upstreams::default();
     for number in 0..8 {
-        upstreams.put(0, &format!("u-{number}"), entry("north", number, 1));
+        upstreams.upsert(0, &format!("u-{number}"), entry("north", number, 1));
     }
     let stores = Stores::default();
     let chosen = |box_number| {
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -9,7 +9,7 @@
 use common::wait_ready;
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::incarnation::Incarnation;
-use coursestile::gateway::decisions::upstream::{Entry, Told};
+use coursestile::gateway::decisions::upstream::{ReportedRun, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::engine::{Engine, MODEL};
@@ -198,8 +198,8 @@
 }
 
 /// An entry of an engine that has older weights.
-fn told(started_at_ms: Option<u64>) -> Entry {
-    Entry {
+fn told(started_at_ms: Option<u64>) -> UpstreamEntry {
+    UpstreamEntry {
         service: "llm".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
         hall: "north".to_owned(),
@@ -215,9 +215,9 @@
 #[test]
 fn entry_begins_to_tell() {
     let (mut upstreams, _) = with_past(None);
-    assert_eq!(upstreams.put(30, "e", told(Some(5))), Told::Restarted);
+    assert_eq!(upstreams.upsert(30, "e", told(Some(5))), ReportedRun::Restarted);
     let engine = upstreams.get("e").unwrap();
-    assert_eq!(engine.version("m"), 1, "it lost its weights");
+    assert_eq!(engine.weight_version("m"), 1, "it lost its weights");
     assert_eq!(engine.holder.total_tokens(), 0);
     assert!(!engine.is_superseded());
 }
@@ -225,12 +225,12 @@
 /// Upstreams with one of which much is known.
 fn with_past(started_at_ms: Option<u64>) -> (Upstreams, Incarnation) {
     let mut upstreams = Upstreams::default();
-    assert_eq!(upstreams.put(10, "e", told(started_at_ms)), Told::Known);
+    assert_eq!(upstreams.upsert(10, "e", told(started_at_ms)), ReportedRun::Current);
     let engine = upstreams.get_mut("e").unwrap();
     engine.record_sent(20, 500, 900);
-    engine.saw_version("m", 3);
+    engine.record_weight_version("m", 3);
     engine.holder.set_tokens(PartKey::new("3.m", "aa"), 100);
-    engine.supersede();
+    engine.mark_superseded();
     let run = engine.incarnation();
     (upstreams, run)
 }
@@ -239,8 +239,8 @@
 fn is_new(upstreams: &mut Upstreams, before: &Incarnation) -> bool {
     assert!(upstreams.get_run(before).is_none());
     let engine = upstreams.get("e").unwrap();
-    engine.load().requests == 0
-        && engine.version("m") == 1
+    engine.total_load().requests == 0
+        && engine.weight_version("m") == 1
         && !engine.is_superseded()
         && engine.holder.total_tokens() == 0
         && engine.number != before.number()
@@ -249,27 +249,43 @@
 #[test]
 fn entry_tells() {
     let (mut upstreams, before) = with_past(Some(5));
-    assert_eq!(upstreams.put(30, "e", told(Some(4))), Told::Restarted, "clocks may be off");
+    assert_eq!(
+        upstreams.upsert(30, "e", told(Some(4))),
+        ReportedRun::Restarted,
+        "clocks may be off"
+    );
     assert!(is_new(&mut upstreams, &before));
 }
 
 #[test]
 fn answer_tells() {
     let (mut upstreams, before) = with_past(Some(5));
-    assert_eq!(upstreams.answered_by(40, "e", Some(6), 30), Told::Restarted);
+    assert_eq!(upstreams.record_answering_run(40, "e", Some(6), 30), ReportedRun::Restarted);
     assert!(is_new(&mut upstreams, &before));
-    assert_eq!(upstreams.put(50, "e", told(Some(5))), Told::Outdated, "its entry comes late");
-    assert_eq!(upstreams.answered_by(60, "e", Some(5), 35), Told::Outdated, "so does an answer");
-    assert_eq!(upstreams.put(70, "e", told(Some(6))), Told::Known);
-    assert_eq!(upstreams.put(80, "e", told(Some(7))), Told::Restarted);
+    assert_eq!(
+        upstreams.upsert(50, "e", told(Some(5))),
+        ReportedRun::Outdated,
+        "its entry comes late"
+    );
+    assert_eq!(
+        upstreams.record_answering_run(60, "e", Some(5), 35),
+        ReportedRun::Outdated,
+        "so does an answer"
+    );
+    assert_eq!(upstreams.upsert(70, "e", told(Some(6))), ReportedRun::Current);
+    assert_eq!(upstreams.upsert(80, "e", told(Some(7))), ReportedRun::Restarted);
 }
 
 #[test]
 fn start_unknown() {
     let (mut upstreams, before) = with_past(None);
-    assert_eq!(upstreams.put(30, "e", told(None)), Told::Known, "as without it");
-    assert_eq!(upstreams.answered_by(40, "e", None, 30), Told::Known);
-    assert_eq!(upstreams.answered_by(40, "e", Some(5), 30), Told::Known, "told late");
-    assert_eq!(upstreams.get_run(&before).unwrap().load().requests, 1);
-    assert_eq!(upstreams.put(50, "e", told(Some(6))), Told::Restarted);
+    assert_eq!(upstreams.upsert(30, "e", told(None)), ReportedRun::Current, "as without it");
+    assert_eq!(upstreams.record_answering_run(40, "e", None, 30), ReportedRun::Current);
+    assert_eq!(
+        upstreams.record_answering_run(40, "e", Some(5), 30),
+        ReportedRun::Current,
+        "told late"
+    );
+    assert_eq!(upstreams.get_run(&before).unwrap().total_load().requests, 1);
+    assert_eq!(upstreams.upsert(50, "e", told(Some(6))), ReportedRun::Restarted);
 }
--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -5,7 +5,7 @@
 use coursestile::gateway::decisions::rollout::{
     RolloutCandidate, max_concurrent_loads, next_engines,
 };
-use coursestile::gateway::decisions::upstream::Entry;
+use coursestile::gateway::decisions::upstream::UpstreamEntry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
 
 #[test]
@@ -91,7 +91,7 @@
 fn way_is_cut() {
     let mut upstreams = Upstreams::default();
     for number in 0..4 {
-        let entry = Entry {
+        let entry = UpstreamEntry {
             service: "llm".to_owned(),
             address: SocketAddr::from(([127, 0, 0, 1], 8000 + number)),
             hall: "north".to_owned(),
@@ -100,19 +100,19 @@
             models: vec![("m".to_owned(), 1)],
             started_at_ms: None,
         };
-        upstreams.put(0, &format!("e-{number}"), entry);
+        upstreams.upsert(0, &format!("e-{number}"), entry);
     }
     for one in upstreams.iter_mut() {
         one.record_peer_receive(9000);
     }
-    assert!(!upstreams.is_way_cut(9500, "m"));
+    assert!(!upstreams.is_partitioned(9500, "m"));
     for id in ["e-0", "e-1"] {
         upstreams.get_mut(id).unwrap().record_connect_timeout(9400);
     }
-    assert!(!upstreams.is_way_cut(9500, "m"), "half of them may be dark");
+    assert!(!upstreams.is_partitioned(9500, "m"), "half of them may be dark");
     upstreams.get_mut("e-2").unwrap().record_connect_timeout(9400);
-    assert!(upstreams.is_way_cut(9500, "m"));
-    assert!(!upstreams.is_way_cut(12_000, "m"), "nobody hears them: it is they");
+    assert!(upstreams.is_partitioned(9500, "m"));
+    assert!(!upstreams.is_partitioned(12_000, "m"), "nobody hears them: it is they");
 }
 
 /// An engine whose order failed once went after all that never failed. While versions were
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -41,7 +41,7 @@
     Restarts,
     Lost,
     Listed,
-    Told,
+    ReportedRun,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -50,7 +50,7 @@
         1 => Just(Step::Restarts),
         1 => Just(Step::Lost),
         1 => Just(Step::Listed),
-        3 => Just(Step::Told),
+        3 => Just(Step::ReportedRun),
     ];
     prop::collection::vec(step, 1..80)
 }
@@ -87,7 +87,7 @@
                 Step::Restarts => boot += 1,
                 Step::Lost => publisher.mark_unknown(),
                 Step::Listed => publisher.apply_listing(&listing(boot)),
-                Step::Told => subscriber.hear(&publisher),
+                Step::ReportedRun => subscriber.hear(&publisher),
             }
         }
         subscriber.hear(&publisher);
