--- a/src/gateway/outdated_weights.rs
+++ b/src/gateway/outdated_weights.rs
@@ -1,5 +1,6 @@
-//! Requests and weights that should have been replaced. None is sent to them; one that waits at
-//! an engine, whose weights have become too old meanwhile, is withdrawn before it begins.
+//! Keeps requests away from engines whose weights should have been replaced by now. No request is
+//! sent to them, and a request that still waits at an engine when its weights become too old is
+//! withdrawn before it begins to run.
 
 use std::time::Duration;
 
@@ -10,24 +11,25 @@
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::kernel::{Gateway, State};
 
-/// Time after which a box that the metadata store answers is bound by what it should know: the
-/// bound on contact is 3 s, and a request may begin 1.5 s after it was sent.
+/// A box is held to the deadline once the metadata store has answered it for this long. The rule
+/// allows 3 s from regained contact, and a request may begin up to 1.5 s after it was sent.
 const CONTACT_MS: u64 = 1500;
-/// Time by which a request is withdrawn early: some round trips, also on a busy box.
+/// How long before the deadline a request is withdrawn: a few round trips, even on a busy box.
 const WITHDRAW_MARGIN_MS: u64 = 150;
-/// Longest time between two looks: a version may be named meanwhile.
+/// Longest time between checks, since a new target version may be set meanwhile.
 const RECHECK_MS: u64 = 1000;
 
-/// Whether requests are kept from overdue weights at any price. Without the metadata store
-/// nobody can have them replaced, and a box that has just started may not have heard since
-/// when they are: to refuse all work would help nobody.
+/// Whether the deadline for outdated weights is enforced, even if no other engine is left. It is
+/// not while the metadata store is unavailable, since nobody can have the weights replaced then,
+/// nor on a box that has just started and may not know since when they are outdated: refusing all
+/// work would help nobody.
 #[must_use]
 pub fn enforces_weight_deadline(state: &State, now_ms: u64) -> bool {
     !state.follows_metadata || state.view.store_available_for(now_ms, CONTACT_MS)
 }
 
-/// Waits until a request that an engine has not begun with must not begin there any more. At
-/// an engine short of memory one began 3.3 s after it was sent.
+/// Waits until a request that the engine has not begun must not begin there any more. At an engine
+/// short of memory a request began 3.3 s after it was sent.
 pub async fn wait_for_withdrawal(gateway: &Gateway, request: &AdmittedRequest, choice: &Choice) {
     loop {
         let wait_ms = remaining_begin_ms(gateway, request, choice);
@@ -41,7 +43,7 @@
     }
 }
 
-/// Time left in which the request may begin; `None` while there is no end to it.
+/// Time left in which the request may begin; `None` while there is no limit.
 fn remaining_begin_ms(
     gateway: &Gateway,
     request: &AdmittedRequest,
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -1,10 +1,9 @@
-//! Leaving an upstream that owes answers and says nothing.
+//! Abandons upstreams that owe responses and have fallen silent.
 //!
-//! Silence does not tell a dead upstream from a busy one: an engine that has more to do
-//! than it can is silent for seconds, and then answers. So silence ends an attempt only
-//! when another upstream, an attempt and the budget for it are there; else the answer is
-//! waited for. A dead upstream shows itself by its connection, on which probes are not
-//! acknowledged.
+//! Silence does not tell a dead upstream from a busy one: an overloaded engine is silent for
+//! seconds and then responds. So silence ends an attempt only if there is another upstream, an
+//! attempt left and retry budget for it; otherwise the response is awaited. A dead upstream is
+//! detected by its connection, on which TCP probes are not acknowledged.
 
 use std::future::pending;
 use std::sync::Arc;
@@ -20,16 +19,18 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::serve::{choose_upstream, is_retry_allowed, spend_retry_budget};
 
-/// Time between two looks whether an upstream is silent: short beside the silence.
+/// How often it is checked whether an upstream is silent; short compared to the silence that
+/// counts.
 const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Whether an upstream owes answers and has said nothing for long. One whose entry has
-/// gone is not: it may serve on for seconds, and what it runs is not cut. Beside a silent
-/// one, idle connections are suspects: the next attempt would meet one.
+/// Whether an upstream owes responses and has sent nothing for too long. An upstream without an
+/// entry in the metadata store never counts as silent: it may go on serving for seconds, and its
+/// requests are not cut. If the upstream is silent, all idle connections are closed, since the
+/// next attempt might use another silent one.
 #[must_use]
 pub fn is_silent(gateway: &Gateway, upstream: &Incarnation) -> bool {
     let state = gateway.state();
-    let since_ms = state.upstreams.get_run(upstream).and_then(|one| one.silent_since_ms(now_ms()));
+    let since_ms = state.upstreams.get_run(upstream).and_then(|run| run.silent_since_ms(now_ms()));
     drop(state);
     if let Some(since_ms) = since_ms {
         gateway.connections.close_all_idle(since_ms);
@@ -37,8 +38,8 @@
     since_ms.is_some()
 }
 
-/// Waits until the upstream of a request is silent and another can take the request;
-/// takes the budget. Never ends for a request that runs at most once.
+/// Waits until the upstream of a request is silent and another one can take the request; takes a
+/// retry from the budget. Never completes for a request that may run only once.
 pub async fn alternative_when_silent(
     gateway: &Arc<Gateway>,
     request: &AdmittedRequest,
@@ -58,8 +59,8 @@
     }
 }
 
-/// Another upstream, neither failing nor silent nor full, for a request that runs at one
-/// already; takes the budget.
+/// Another upstream, neither failing nor silent nor full, for a request that already runs at
+/// `current`; takes a retry from the budget.
 pub fn find_alternative(
     gateway: &Gateway,
     request: &AdmittedRequest,
@@ -75,8 +76,10 @@
     }
     let mut state = gateway.state();
     let choice = choose_upstream(&mut state, gateway, &request)?;
-    let doubtful =
-        state.upstreams.get_run(&choice.upstream).is_none_or(|one| one.is_unhealthy(now_ms));
+    let doubtful = state
+        .upstreams
+        .get_run(&choice.upstream)
+        .is_none_or(|upstream| upstream.is_unhealthy(now_ms));
     drop(state);
     let full = choice.occupancy == Occupancy::Full;
     (!doubtful && !full && spend_retry_budget(gateway, &request, now_ms)).then_some(choice)
