--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -1,4 +1,5 @@
-//! Refusals of our own: what each says of the request, and when its client may come back.
+//! The gateway's own refusals: what each says about whether the request ran, and when the client
+//! may retry.
 
 use hyper::StatusCode;
 
@@ -10,27 +11,27 @@
 use crate::gateway::response::{self, ClientResponse, Reason};
 use crate::names::number;
 
-/// When a refused client may come back, if nothing more is known.
+/// Default retry delay for refused clients.
 pub const RETRY_AFTER_MS: u64 = 400;
 
-/// The answer to a request for which no upstream was found in time.
+/// The response if no upstream was found in time.
 pub fn no_upstream_found(gateway: &Gateway, request: &AdmittedRequest) -> ClientResponse {
     let state = gateway.state();
     let rest_until_ms =
         state.upstreams.all_resting_until_ms(now_ms(), &request.service, &request.tried);
-    let is_known = state.upstreams.of_service(&request.service).next().is_some();
+    let has_upstreams = state.upstreams.of_service(&request.service).next().is_some();
     drop(state);
     match rest_until_ms {
         Some(until_ms) => {
             let spread_ms = u64::from(number(&request.outgoing.request_id)) % RETRY_AFTER_MS;
             refuse_until(request, Reason::UpstreamsFull, until_ms + spread_ms)
         }
-        None if is_known => give_up(request, Reason::UpstreamsFull),
+        None if has_upstreams => give_up(request, Reason::UpstreamsFull),
         None => give_up(request, Reason::NoUpstream),
     }
 }
 
-/// The answer to a request that no upstream may get until a deadline.
+/// The response if no upstream may get the request before `until_ms`.
 pub fn refuse_until(request: &AdmittedRequest, reason: Reason, until_ms: u64) -> ClientResponse {
     if request.may_have_run {
         return give_up(request, Reason::UpstreamFailed);
@@ -40,19 +41,19 @@
     response::refusal(reason, Some(request_id), Some(until_ms.saturating_sub(now_ms())))
 }
 
-/// The answer to a request that no engine can begin with in time.
+/// The response if no engine can begin the request in time.
 pub fn refuse_immediately(request: &AdmittedRequest) -> ClientResponse {
     let reason = Reason::UpstreamsFull;
     let request_id = &request.outgoing.request_id;
-    let left_ms = request.outgoing.deadline_ms.saturating_sub(now_ms());
-    let after_ms = admission::retry_after_ms(number(request_id).into(), left_ms);
+    let remaining_ms = request.outgoing.deadline_ms.saturating_sub(now_ms());
+    let after_ms = admission::retry_after_ms(number(request_id).into(), remaining_ms);
     log_refusal(request, reason);
     response::refusal(reason, Some(request_id), Some(after_ms))
 }
 
-/// The final answer to a request that was not served.
+/// The final response to a request that was not served.
 pub fn give_up(request: &AdmittedRequest, reason: Reason) -> ClientResponse {
-    // "Not run" is said only when no attempt may have run.
+    // 503 promises that the request has not run, so it is not used if an attempt may have run.
     let reason = match (request.may_have_run, reason.status()) {
         (true, StatusCode::SERVICE_UNAVAILABLE) => Reason::UpstreamFailed,
         _ => reason,
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -1,4 +1,4 @@
-//! Log lines and metrics of requests: where each went and how it ended.
+//! Log lines and metrics of requests: where each was sent and how it ended.
 
 use std::time::Duration;
 
@@ -13,25 +13,25 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::response::Reason;
 
-/// Longest time that is shown: a day.
+/// Longest time shown as `behind_ms`: a day.
 const MAX_BEHIND_MS: u64 = 86_400_000;
 
-/// Logs a request that is refused before all of it is known.
+/// Logs a request that is refused during validation.
 pub fn log_early_refusal(
     request_id: Option<&str>,
     reason: Reason,
-    configuration: u64,
+    config_version: u64,
     arrived_at_ms: u64,
 ) {
     let held_ms = now_ms() - arrived_at_ms;
-    log_refused(request_id, None, reason, configuration, held_ms);
+    write_refusal(request_id, None, reason, config_version, held_ms);
 }
 
 /// Logs a request that is refused or given up.
 pub fn log_refusal(request: &AdmittedRequest, reason: Reason) {
     let request_id = Some(request.outgoing.request_id.as_str());
     let held_ms = now_ms() - request.arrived_at_ms;
-    log_refused(
+    write_refusal(
         request_id,
         Some(request.outgoing.fingerprint),
         reason,
@@ -40,23 +40,23 @@
     );
 }
 
-fn log_refused(
+fn write_refusal(
     request_id: Option<&str>,
     fingerprint: Option<Fingerprint>,
     reason: Reason,
-    configuration: u64,
+    config_version: u64,
     held_ms: u64,
 ) {
     metrics::counter!("coursestile_requests_total", "end" => reason.to_string()).increment(1);
     info!(target: "serve",
         "event=refused request={} fingerprint={} reason=\"{reason}\" status={} \
-         configuration={configuration} held_ms={held_ms}",
+         configuration={config_version} held_ms={held_ms}",
         request_id.unwrap_or("-"),
-        fingerprint.map_or_else(|| "-".to_owned(), |one| one.to_string()),
+        fingerprint.map_or_else(|| "-".to_owned(), |fingerprint| fingerprint.to_string()),
         reason.status().as_u16());
 }
 
-/// Logs an attempt that begins.
+/// Logs the start of an attempt.
 pub fn log_attempt_start(gateway: &Gateway, request: &AdmittedRequest, choice: &Choice) {
     let (limit, behind_ms) = {
         let state = gateway.state();
@@ -79,35 +79,35 @@
         context.map_or(0, |plan| plan.recomputed_tokens),
         choice.expected_ms,
         context.map_or_else(|| "-".to_owned(), ContextPlan::summary),
-        request.prompt.as_ref().and_then(|one| one.shared_parts().last()).map_or("-", |one| &one.id),
+        request.prompt.as_ref().and_then(|prompt| prompt.shared_parts().last()).map_or("-", |part| &part.id),
         choice.load.requests,
         choice.load.pending_prefill_tokens,
         choice.load.memory_tokens);
 }
 
-/// For how long a newer version than the chosen engine has was named, as far as this box
-/// knows; 0 when none was.
+/// How long ago the first version newer than the chosen engine's became the target, as far as this
+/// box knows; 0 if there is none.
 fn behind_ms(state: &State, request: &AdmittedRequest, choice: &Choice) -> u64 {
     let named = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let version = choice.context.as_ref().map_or(0, |plan| plan.version);
     let since_ms = named.and_then(|named| named.behind_since_ms(version));
-    // A time that is not known would show as that since 1970.
+    // An unknown time is 0 and would show as the time since 1970.
     since_ms.map_or(0, |since_ms| now_ms().saturating_sub(since_ms).min(MAX_BEHIND_MS))
 }
 
-/// Logs an attempt that ended without an answer.
+/// Logs an attempt that ended without a response.
 pub fn log_attempt_end(request: &AdmittedRequest, choice: &Choice, end: &str, cause: &str) {
     info!(target: "serve", "event=attempt_ended request={} upstream={} end={end} cause=\"{cause}\"",
         request.outgoing.request_id, choice.upstream.id);
 }
 
-/// Time since a moment, in seconds, as metrics have it.
+/// Seconds since `at_ms`, as metrics record them.
 #[must_use]
 pub fn seconds_since(at_ms: u64) -> f64 {
     Duration::from_millis(now_ms().saturating_sub(at_ms)).as_secs_f64()
 }
 
-/// Logs the end of a request that was served.
+/// Logs a request that was served.
 pub fn log_answered(request: &AdmittedRequest, choice: &Choice, status: StatusCode, bytes: usize) {
     metrics::counter!("coursestile_requests_total", "end" => "answered").increment(1);
     metrics::histogram!("coursestile_request_seconds").record(seconds_since(request.arrived_at_ms));
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -73,8 +73,8 @@
         Ok(request) => request,
         Err(reason) => {
             let retry_after_ms = (reason == Reason::NotReady).then_some(RETRY_AFTER_MS);
-            let configuration = gateway.state().site.as_ref().map_or(0, |site| site.version);
-            log_early_refusal(request_id.as_deref(), reason, configuration, arrived_at_ms);
+            let config_version = gateway.state().site.as_ref().map_or(0, |site| site.version);
+            log_early_refusal(request_id.as_deref(), reason, config_version, arrived_at_ms);
             return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
     };
