--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -1,7 +1,7 @@
-//! Finds out whether an upstream on which requests broke off has crashed.
+//! Finds out whether an upstream that aborted requests has crashed.
 //!
-//! A connection that ends early says little: the upstream may have dropped that request
-//! alone. One that has crashed refuses new connections until it is started again.
+//! A connection that ends early proves little, since the upstream may have dropped that request
+//! alone. A crashed upstream refuses new connections until it is restarted.
 
 use std::sync::Arc;
 
@@ -16,11 +16,11 @@
 use crate::quarantine::News;
 use crate::sync::locked;
 
-/// Notes that an upstream broke a request off before the end of its answer. A crash ends all
-/// that ran there, and is looked for once.
+/// Records that an upstream aborted a request before its response was complete. A crash aborts all
+/// requests there, so they are collected and checked together.
 pub fn record_abort(gateway: &Arc<Gateway>, upstream: &Incarnation, request: Fingerprint) {
-    let mut broken_off = locked(&gateway.unexplained_aborts);
-    let requests = broken_off.entry(upstream.id.clone()).or_default();
+    let mut aborts = locked(&gateway.unexplained_aborts);
+    let requests = aborts.entry(upstream.id.clone()).or_default();
     requests.push(request);
     if requests.len() == 1 {
         tokio::spawn(check_for_crash(gateway.clone(), upstream.clone()));
@@ -58,7 +58,7 @@
     }
 }
 
-/// Notes that an upstream has answered a request to its end.
+/// Records that an upstream has answered a request completely.
 pub fn record_answered(gateway: &Gateway, request: Fingerprint) {
     if gateway.state().quarantine.answered(request, now_ms()) {
         info!(target: "crashes", "event=suspect_answered fingerprint={request}");
@@ -66,13 +66,13 @@
     }
 }
 
-/// Whether nobody listens at the upstream's address any more.
+/// Whether nothing listens at the upstream's address any more.
 async fn has_crashed(gateway: &Gateway, upstream: &Incarnation) -> bool {
     let Some(address) = gateway.state().upstreams.address(&upstream.id) else { return false };
     is_closed(address).await
 }
 
 fn join_fingerprints(requests: &[Fingerprint]) -> String {
-    let shown: Vec<String> = requests.iter().map(Fingerprint::to_string).collect();
-    shown.join(",")
+    let fingerprints: Vec<String> = requests.iter().map(Fingerprint::to_string).collect();
+    fingerprints.join(",")
 }
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -1,7 +1,7 @@
-//! Keeps requests away from upstreams that would crash under them.
+//! Withholds requests that crash upstreams.
 //!
-//! The leader keeps the quarantined requests in the metadata store, so that boxes that start
-//! know them though no other box is left to tell.
+//! The leader stores the quarantined requests in the metadata store, so that a box that starts
+//! knows them even if no other box is left to tell it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,10 +20,10 @@
 use crate::platform::keys;
 use crate::quarantine::News;
 
-/// How often the leader compares the list with what it knows, if nothing wakes it before.
+/// How often the leader compares the stored quarantine with its own, unless it is woken earlier.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
-/// The requests that are quarantined, with the numbers of upstreams that crashed.
+/// Quarantined requests as stored, with the numbers of the upstreams that crashed under each.
 pub type StoredQuarantine = BTreeMap<Fingerprint, Vec<u32>>;
 
 /// Until when a request is quarantined; `None` if it is not.
@@ -43,27 +43,27 @@
     }
 }
 
-/// Takes what a peer told of crashes.
+/// Merges what a peer reports of crashes and complete answers.
 pub fn merge_peer_reports(gateway: &Gateway, state: &mut State, now_ms: u64, gossip: &Gossip) {
     if state.quarantine.hear(now_ms, &gossip.crashes, &gossip.answers) != News::Urgent {
         return;
     }
-    for told in &gossip.crashes {
-        log_quarantined(state, now_ms, told.request);
+    for crash in &gossip.crashes {
+        log_quarantined(state, now_ms, crash.request);
     }
-    // In a large fleet other boxes hear it from this one.
+    // In a large fleet, other boxes hear it only from this box.
     gateway.gossip_now.notify_one();
     gateway.quarantine_changed.notify_waiters();
 }
 
-/// Logs a crash that was not known, if its request is quarantined for it.
+/// Logs that a request is quarantined, if the crash that was just reported has led to that.
 pub fn log_quarantined(state: &State, now_ms: u64, request: Fingerprint) {
     if state.quarantine.until_ms(now_ms, request).is_some() {
         info!(target: "quarantine", "event=request_quarantined fingerprint={request}");
     }
 }
 
-/// Keeps the list, while this box is the leader.
+/// Keeps the stored quarantine up to date while this box leads.
 pub async fn maintain_stored(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
         tokio::select! {
@@ -79,33 +79,34 @@
 async fn write_if_changed(gateway: &Gateway) -> Result<()> {
     let key = keys::quarantine();
     let now_ms = now_ms();
-    let (revision, listed, next) = {
+    let (revision, stored, current) = {
         let state = gateway.state();
         if state.leadership.is_none_or(|held| now_ms >= held.until_ms) {
             return Ok(());
         }
         let written = state.view.get(&key);
-        // One that cannot be read, as `take` has logged, is written anew.
-        let listed = written.and_then(|written| read(&written.value).ok());
-        let next: StoredQuarantine = state.quarantine.quarantined(now_ms).collect();
-        (written.map_or(0, |written| written.revision), listed, next)
+        // A value that cannot be read, which `restore` has logged, is overwritten.
+        let stored = written.and_then(|written| read(&written.value).ok());
+        let current: StoredQuarantine = state.quarantine.quarantined(now_ms).collect();
+        (written.map_or(0, |written| written.revision), stored, current)
     };
-    let is_written = if revision == 0 { next.is_empty() } else { listed.as_ref() == Some(&next) };
+    let is_written =
+        if revision == 0 { current.is_empty() } else { stored.as_ref() == Some(&current) };
     if is_written {
         return Ok(());
     }
-    let value = postcard::to_stdvec(&next).map_err(|error| unreadable(&error))?;
+    let value = postcard::to_stdvec(&current).map_err(|error| codec_error(&error))?;
     let outcome = gateway.metadata.write(&key, revision, &value, None).await?;
-    info!(target: "quarantine", "event=quarantine_written count={} done={}", next.len(),
+    info!(target: "quarantine", "event=quarantine_written count={} done={}", current.len(),
         matches!(outcome, WriteOutcome::Done { .. }));
     Ok(())
 }
 
-/// Takes the list as the store has it.
+/// Merges the quarantine as stored in the metadata store.
 pub fn restore(gateway: &Gateway, state: &mut State, now_ms: u64, value: &[u8]) {
     match read(value) {
-        Ok(listed) => {
-            for (request, upstreams) in &listed {
+        Ok(stored) => {
+            for (request, upstreams) in &stored {
                 state.quarantine.hear_listed(now_ms, *request, upstreams);
             }
             gateway.quarantine_changed.notify_waiters();
@@ -117,9 +118,9 @@
 }
 
 fn read(value: &[u8]) -> Result<StoredQuarantine> {
-    postcard::from_bytes(value).map_err(|error| unreadable(&error))
+    postcard::from_bytes(value).map_err(|error| codec_error(&error))
 }
 
-fn unreadable(error: &postcard::Error) -> Error {
+fn codec_error(error: &postcard::Error) -> Error {
     Error::Message(error.to_string())
 }
