--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -1,9 +1,9 @@
-//! Events of a stream: where they end, and their ids.
+//! Boundaries and ids of server-sent events.
 
-/// What ends an event.
+/// The blank line that ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// End of the last whole event.
+/// End of the last complete event in `bytes`.
 #[must_use]
 pub fn last_event_end(bytes: &[u8]) -> Option<usize> {
     let start = bytes.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
--- a/src/gateway/heads.rs
+++ b/src/gateway/heads.rs
@@ -1,58 +1,54 @@
-//! What the heads of requests and answers say.
+//! Decoded heads of requests and responses.
 
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::notice::Notice;
 use crate::gateway::decisions::prompt::Prompt;
 
-/// What a client's request says of itself.
+/// What the head of a client's request says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// Id of the request.
     pub request_id: Option<String>,
-    /// Host, in lower case and without a port.
+    /// Host in lower case, without a port.
     pub host: Option<String>,
-    /// Key of the client.
     pub api_key: Option<String>,
-    /// Time that the client will wait.
+    /// How long the client will wait.
     pub timeout_ms: Option<u64>,
-    /// Prompt, when it describes one.
+    /// The prompt, if the headers describe one.
     pub prompt: Option<Prompt>,
 }
 
-/// What an upstream's answer says of itself.
+/// What the head of an upstream's response says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// Request that it answers.
+    /// The request that it responds to.
     pub request_id: Option<String>,
-    /// Whether the upstream vouches for it.
+    /// Whether the upstream vouches for the body.
     pub sealed: bool,
     /// Whether the request was not run and never will be.
     pub not_run: bool,
-    /// Incarnation that answers, when it is not the one that was meant.
+    /// The incarnation that responds, if it is not the intended one.
     pub upstream_id: Option<String>,
-    /// Weight version that ran.
+    /// Weight version that ran the request.
     pub ran_version: Option<u64>,
-    /// Whether the body is encoded, and so not the upstream's own.
+    /// Whether the body is encoded, which means that it is not the upstream's own.
     pub encoded: bool,
-    /// What the upstream asks of this box from now on.
+    /// What the upstream asks of this box for later requests.
     pub notice: Notice,
 }
 
-/// What is set towards an upstream beside the client's own headers.
+/// What the gateway adds to the client's headers when it forwards a request.
 pub struct ForwardHead<'a> {
-    /// Incarnation that may run the request.
+    /// The incarnation that may run the request.
     pub upstream_id: &'a str,
-    /// Time that is left.
+    /// Time left until the deadline.
     pub remaining_ms: u64,
-    /// Client account.
     pub account: Option<&'a str>,
-    /// Order of work.
+    /// Scheduling priority at the engine; lower values run first.
     pub priority: u8,
-    /// Kept context.
+    /// Where the engine gets kept context from, and saves it to.
     pub context: Option<&'a ContextPlan>,
-    /// Moment on the upstreams' clock at which transfers are given up; without
-    /// one nothing is fetched.
+    /// When transfers are given up, on the upstreams' clock. Without it nothing is fetched.
     pub transfers_until_ms: Option<u64>,
-    /// Last event that the client has, when a stream is taken up again.
+    /// The last event that the client has got, if a stream is resumed.
     pub last_event_id: Option<&'a str>,
 }
--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -1,8 +1,7 @@
-//! Looks whether upstreams that could not be reached are there again.
+//! Probes upstreams that could not be reached.
 //!
-//! A connection costs no request: what may run only once is not risked on an
-//! upstream that is dark. Nor is it risked on idle connections beside one that is
-//! silent.
+//! A probe opens a connection without sending a request: requests that may run only once are
+//! risked neither on an unreachable upstream, nor on idle connections while an upstream is silent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,10 +14,10 @@
 use crate::gateway::kernel::Gateway;
 use crate::phase::Phase;
 
-/// Time between two looks.
+/// Time between probes of an upstream.
 const PROBE_PERIOD: Duration = Duration::from_millis(400);
 
-/// Looks until the box stops.
+/// Probes until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
         sleep(PROBE_PERIOD).await;
@@ -33,8 +32,8 @@
     if let Some(silent_since_ms) = state.upstreams.mark_silent_unreachable(now_ms()) {
         gateway.connections.close_all_idle(silent_since_ms);
     }
-    let unreachable = state.upstreams.current().filter(|one| one.is_unreachable());
-    unreachable.map(|one| (one.id.clone(), one.entry.address)).collect()
+    let unreachable = state.upstreams.current().filter(|upstream| upstream.is_unreachable());
+    unreachable.map(|upstream| (upstream.id.clone(), upstream.entry.address)).collect()
 }
 
 async fn probe(gateway: Arc<Gateway>, id: String, address: SocketAddr) {
