--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -33,17 +33,17 @@
 /// Pause after each, so that several changes are fetched at once.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
 /// Longest question of a peer that is behind.
-const MAX_QUESTION_BYTES: u64 = 64;
+const MAX_QUERY_BYTES: u64 = 64;
 /// Pause after a socket that failed, so that a lasting fault does not spin.
 const FAILED_PAUSE: Duration = Duration::from_millis(10);
 
 /// What a box asks another by TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Question {
+pub enum PeerQuery {
     /// What it lacks of the metadata store's items.
     CatchUp(ViewDigest),
     /// What stores of context keep, from now on.
-    Stores,
+    ContextStores,
 }
 
 /// Asks a peer that knows more for what this box lacks.
@@ -77,11 +77,11 @@
 }
 
 async fn fetch(peer: SocketAddr, own: ViewDigest, longest: Duration) -> Result<CatchUp> {
-    let question = postcard::to_stdvec(&Question::CatchUp(own))
+    let query = postcard::to_stdvec(&PeerQuery::CatchUp(own))
         .map_err(|error| Error::Message(error.to_string()))?;
     let read = async {
         let mut stream = TcpStream::connect(peer).await?;
-        stream.write_all(&question).await?;
+        stream.write_all(&query).await?;
         stream.shutdown().await?;
         let mut bytes = Vec::new();
         stream.take(MAX_SNAPSHOT_BYTES).read_to_end(&mut bytes).await?;
@@ -95,7 +95,7 @@
 }
 
 /// Tells peers that ask what they lack.
-pub async fn give(gateway: Arc<Gateway>, listener: TcpListener) {
+pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
     while gateway.phase() != Phase::Stopped {
         let (mut stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
@@ -118,11 +118,11 @@
     let unreadable = |error: postcard::Error| Error::Message(error.to_string());
     // Else bytes for a subscriber that fell silent would wait for a quarter of an hour.
     set_socket_options(stream).map_err(|error| Error::Message(error.to_string()))?;
-    let mut question = Vec::new();
-    let mut limited = (&mut *stream).take(MAX_QUESTION_BYTES);
-    in_time(timeout(SNAPSHOT_TIMEOUT, limited.read_to_end(&mut question)).await)?;
-    match postcard::from_bytes(&question).map_err(unreadable)? {
-        Question::CatchUp(digest) => {
+    let mut query = Vec::new();
+    let mut limited = (&mut *stream).take(MAX_QUERY_BYTES);
+    in_time(timeout(SNAPSHOT_TIMEOUT, limited.read_to_end(&mut query)).await)?;
+    match postcard::from_bytes(&query).map_err(unreadable)? {
+        PeerQuery::CatchUp(digest) => {
             let told = gateway.state().view.catch_up(digest);
             let bytes = postcard::to_stdvec(&told).map_err(unreadable)?;
             let written = timeout(SNAPSHOT_TIMEOUT, async {
@@ -131,7 +131,7 @@
             });
             in_time(written.await)
         }
-        Question::Stores => publish(gateway, stream).await,
+        PeerQuery::ContextStores => publish(gateway, stream).await,
     }
 }
 
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -54,7 +54,7 @@
     tokio::spawn(gossip::receive(gateway.clone(), socket.clone()));
     tokio::spawn(gossip::send(gateway.clone(), socket.clone(), now_ms()));
     tokio::spawn(catch_up::run(gateway.clone()));
-    tokio::spawn(catch_up::give(gateway.clone(), peers));
+    tokio::spawn(catch_up::serve(gateway.clone(), peers));
     tokio::spawn(store_updates::subscribe(gateway.clone()));
     tokio::spawn(reachability::run(gateway.clone()));
     tokio::spawn(leadership::run(gateway.clone(), socket.clone()));
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -20,7 +20,7 @@
 
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::catch_up::Question;
+use crate::gateway::catch_up::PeerQuery;
 use crate::gateway::decisions::cache_contents::CacheUpdate;
 use crate::gateway::kernel::{Gateway, State};
 use crate::names::number;
@@ -73,10 +73,10 @@
 }
 
 async fn subscribe_to(gateway: &Gateway, peer: SocketAddr) -> Result<()> {
-    let question = to_bytes(&Question::Stores)?;
+    let query = to_bytes(&PeerQuery::ContextStores)?;
     let connected = timeout(CALL_TIMEOUT, async {
         let mut stream = TcpStream::connect(peer).await?;
-        stream.write_all(&question).await?;
+        stream.write_all(&query).await?;
         stream.shutdown().await?;
         Ok(stream)
     });
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use common::wait_ready;
-use coursestile::gateway::catch_up::{self, Question};
+use coursestile::gateway::catch_up::{self, PeerQuery};
 use coursestile::gateway::kernel::Gateway as Kernel;
 use coursestile::gateway::settings::Settings;
 use coursestile_standins::site::client::once;
@@ -209,10 +209,10 @@
     let kernel = Kernel::new(Settings::parse("a.ini", text).expect("settings")).expect("gateway");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
-    let giving = tokio::spawn(catch_up::give(kernel.clone(), listener));
+    let giving = tokio::spawn(catch_up::serve(kernel.clone(), listener));
     let path = Silencer::start(&address).await;
     let mut subscriber = TcpStream::connect(&path.address).await.expect("connection");
-    let question = postcard::to_stdvec(&Question::Stores).expect("question");
+    let question = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
     subscriber.write_all(&question).await.expect("write");
     subscriber.shutdown().await.expect("end of the question");
     // It is told something twice a second.
