--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -9,14 +9,14 @@
 use crate::platform::keys;
 
 /// Takes an upstream's entry; whether who can be asked has changed.
-pub fn put(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str, value: &[u8]) -> bool {
+pub fn apply(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str, value: &[u8]) -> bool {
     let entry = match keys::read_upstream(id, value) {
         Ok(entry) => entry,
         Err(error) => {
             // Whoever wrote this, what the key named before is not there any more.
             warn!(target: "entries", "event=upstream_unreadable upstream={id} cause=\"{error}\"");
             metrics::counter!("coursestile_entries_unreadable_total").increment(1);
-            take_out(gateway, state, now_ms, id);
+            remove(gateway, state, now_ms, id);
             return true;
         }
     };
@@ -43,14 +43,14 @@
 }
 
 /// Takes an upstream out; what runs there goes on.
-pub fn take_out(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str) {
+pub fn remove(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str) {
     state.upstreams.remove(now_ms, id);
     gateway.connections.close_idle_to(id);
 }
 
 /// Takes the start of the run that answered a call made at `asked_at_ms`, by which it may
 /// be known sooner than by its entry that an upstream has started again.
-pub fn answered_by(
+pub fn note_answering_run(
     gateway: &Gateway,
     id: &str,
     started_at_ms: Option<u64>,
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -349,11 +349,11 @@
                 put_weights(state, now_ms, named, model, value);
             }
             (Kind::Upstream { id }, Some(value)) => {
-                upstreams_changed |= entries::put(gateway, state, now_ms, id, value);
+                upstreams_changed |= entries::apply(gateway, state, now_ms, id, value);
             }
             (Kind::Upstream { id }, None) => {
                 info!(target: "follow", "event=upstream_gone upstream={id}");
-                entries::take_out(gateway, state, now_ms, id);
+                entries::remove(gateway, state, now_ms, id);
                 upstreams_changed = true;
             }
             (Kind::Configuration | Kind::Weights { .. }, None) => {
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -142,7 +142,7 @@
     let asked_at_ms = now_ms();
     let changes = gateway.caches.changes(address, since).await?;
     if let HolderId::Engine(id) = holder_id
-        && entries::answered_by(gateway, id, changes.started_at_ms, asked_at_ms)
+        && entries::note_answering_run(gateway, id, changes.started_at_ms, asked_at_ms)
             != ReportedRun::Current
     {
         // A new run has told only what came after a place in the events of the old one.
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -262,7 +262,10 @@
             observed_versions: Vec::new(),
         };
         Ok(Arc::new(Self {
-            metadata: MetadataClient::new(HttpClient::for_metadata_store()?, &settings.metadata),
+            metadata: MetadataClient::new(
+                HttpClient::for_metadata_store()?,
+                &settings.metadata_address,
+            ),
             caches: CacheClient::new(http.clone()),
             engines: EngineClient::new(http),
             connections: Connections::default(),
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -50,7 +50,7 @@
     /// Processor share of the box, in cores.
     pub cores: f64,
     /// Where the platform's metadata store listens.
-    pub metadata: String,
+    pub metadata_address: String,
     /// Bounds that the deployment asks for.
     pub bounds: Bounds,
 }
@@ -97,7 +97,7 @@
             metrics: (metrics.port() != 0).then_some(metrics),
             seeds: seeds(&mut reader),
             cores: reader.optional("box", "cores", 1.0),
-            metadata: reader.required("platform", "address"),
+            metadata_address: reader.required("platform", "address"),
             bounds: bounds(&mut reader),
         };
         reader.finish(settings)
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -276,7 +276,7 @@
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
     let id = &load.engine.id;
-    if entries::answered_by(gateway, id, report.started_at_ms, asked_at_ms)
+    if entries::note_answering_run(gateway, id, report.started_at_ms, asked_at_ms)
         == ReportedRun::Restarted
     {
         load.engine.started_at_ms = report.started_at_ms;
