--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -173,7 +173,7 @@
     };
     record_saves(gateway, choice);
     let now_ms = now_ms();
-    let request = exchange::forward(
+    let request = exchange::upstream_request(
         &outgoing.method,
         &outgoing.target,
         &outgoing.headers,
--- a/src/gateway/response.rs
+++ b/src/gateway/response.rs
@@ -107,7 +107,7 @@
 ) -> ClientResponse {
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    for (name, value) in exchange::passed_on(upstream_headers) {
+    for (name, value) in exchange::end_to_end_headers(upstream_headers) {
         response.headers_mut().append(name, value.clone());
     }
     response
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -41,7 +41,7 @@
     RequestHead {
         request_id: text(head, &headers::REQUEST_ID).map(str::to_owned),
         host: host.map(|host| host.split(':').next().unwrap_or(host).to_ascii_lowercase()),
-        api_key: text(head, &headers::CLIENT_KEY).map(str::to_owned),
+        api_key: text(head, &headers::API_KEY).map(str::to_owned),
         timeout_ms: text(head, &headers::TIME_LEFT_MS).and_then(whole_ms),
         prompt,
     }
@@ -49,7 +49,7 @@
 
 /// The request as an upstream gets it.
 #[must_use]
-pub fn forward(
+pub fn upstream_request(
     method: &Method,
     target: &Uri,
     client_head: &HeaderMap,
@@ -60,9 +60,9 @@
     *request.method_mut() = method.clone();
     *request.uri_mut() = target.clone();
     let head = request.headers_mut();
-    for (name, value) in passed_on(client_head) {
-        let ours = headers::OURS.contains(name) || *name == header::CONTENT_LENGTH;
-        if !ours && *name != header::EXPECT {
+    for (name, value) in end_to_end_headers(client_head) {
+        let is_set_here = headers::GATEWAY_ONLY.contains(name) || *name == header::CONTENT_LENGTH;
+        if !is_set_here && *name != header::EXPECT {
             head.append(name, value.clone());
         }
     }
@@ -96,12 +96,12 @@
             }
             PartSource::Remote { address, .. } => Some(address.as_str()),
         });
-        set(head, headers::CONTEXT_FROM, &addresses(context, sources));
+        set(head, headers::CONTEXT_SOURCES, &addresses(context, sources));
         head.insert(headers::CONTEXT_UNTIL_MS, HeaderValue::from(until_ms));
     }
     if context.saves.iter().any(Option::is_some) {
         let saves = context.saves.iter().map(|save| save.as_ref().map(|one| one.address.as_str()));
-        set(head, headers::CONTEXT_TO, &addresses(context, saves));
+        set(head, headers::CONTEXT_DESTINATIONS, &addresses(context, saves));
     }
 }
 
@@ -147,7 +147,7 @@
 }
 
 /// The headers that are passed on from one side to the other.
-pub fn passed_on(head: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &HeaderValue)> {
+pub fn end_to_end_headers(head: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &HeaderValue)> {
     let named: Vec<String> = head
         .get_all(header::CONNECTION)
         .iter()
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -8,7 +8,7 @@
 /// deadline.
 pub const TIME_LEFT_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// A client's key.
-pub const CLIENT_KEY: HeaderName = HeaderName::from_static("x-api-key");
+pub const API_KEY: HeaderName = HeaderName::from_static("x-api-key");
 /// Client account, as told to upstreams.
 pub const ACCOUNT: HeaderName = HeaderName::from_static("x-tenant");
 /// The one upstream that may run the request.
@@ -36,23 +36,23 @@
 /// Name under which kept context is found.
 pub const CONTEXT_SCOPE: HeaderName = HeaderName::from_static("cache-salt");
 /// Sources of kept context, one for each part.
-pub const CONTEXT_FROM: HeaderName = HeaderName::from_static("kv-fetch");
+pub const CONTEXT_SOURCES: HeaderName = HeaderName::from_static("kv-fetch");
 /// Stores that take context, one for each part.
-pub const CONTEXT_TO: HeaderName = HeaderName::from_static("kv-save");
+pub const CONTEXT_DESTINATIONS: HeaderName = HeaderName::from_static("kv-save");
 /// Moment on the upstreams' clock at which a transfer is given up.
 pub const CONTEXT_UNTIL_MS: HeaderName = HeaderName::from_static("kv-until");
 
 /// Headers that only we may set towards an upstream; a client's are dropped.
-pub const OURS: [HeaderName; 15] = [
-    CLIENT_KEY,
+pub const GATEWAY_ONLY: [HeaderName; 15] = [
+    API_KEY,
     ACCOUNT,
     UPSTREAM_ID,
     TIME_LEFT_MS,
     PRIORITY,
     WEIGHT_VERSION,
     CONTEXT_SCOPE,
-    CONTEXT_FROM,
-    CONTEXT_TO,
+    CONTEXT_SOURCES,
+    CONTEXT_DESTINATIONS,
     CONTEXT_UNTIL_MS,
     NOT_RUN,
     HeaderName::from_static("hold"),
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -158,7 +158,7 @@
     let prompt = Prompt::parse("m", "5300,10", "aa:1000,bb:4000,cc:100,dd:200").unwrap();
     let spec = EngineSpec { per_part_sources, ..spec() };
     let choice = choose(0, &upstreams, &stores, Some(&spec), &demand(Some(&prompt), &[])).unwrap();
-    let request = exchange::forward(
+    let request = exchange::upstream_request(
         &Method::POST,
         &Uri::from_static("/a/"),
         &HeaderMap::new(),
