--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -59,7 +59,7 @@
         let Some(peer) = peer else { continue };
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
             Ok(told) => {
-                follow::take_from_peer(&gateway, told);
+                follow::apply_catch_up(&gateway, told);
                 gateway.refresh_metadata.notify_one();
             }
             Err(error) => {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -1,12 +1,13 @@
-//! Follows the metadata store, and peers when the store is out of reach.
+//! Keeps this box's view of the metadata store up to date, from the store's watches or, when
+//! the store is out of reach, from peers.
 //!
-//! One watch covers all keys, so that knowing a change means knowing all that
-//! came before it. After any fault the watch goes on from the same revision;
-//! when the store has forgotten it, everything is listed again.
+//! One watch covers all keys, so a box that knows a change also knows every earlier one.
+//! After a failure the watch resumes at the same revision; if the store no longer has the
+//! history from there, all keys are listed again.
 //!
-//! A watch that nobody will answer looks like a store without news, and a change ends
-//! the watches of all boxes at once, so that all of them may be lost together. The
-//! store has to say something well within the time in which a change must be in force.
+//! A watch whose answer is lost looks like a store without changes. Each change ends the
+//! watches of all boxes at once, so all of their answers can be lost together. Watches are
+//! therefore short enough that a lost one is noticed well before a change must be in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,35 +27,38 @@
 use crate::phase::Phase;
 use crate::platform::keys::{self, Kind};
 
-/// Part of the time in which a change must be in force for which a watch may wait.
-const WAIT_PART: u64 = 2;
-/// Part of it by which a watch's answer may be late; the rest is for another watch.
-const LATE_PART: u64 = 4;
-/// Least wait of a watch, whatever the bounds say: ten calls a second.
-const LEAST_WAIT_MS: u64 = 100;
-/// Watch after a failed call: soon over, so that the store's return is seen, and with
-/// patience for a store that is only slow.
-const AFTER_FAILURE: WatchWait = WatchWait { wait_ms: 200, grace_ms: 1000 };
-/// Pause after changes, in a large fleet, where each wakes the followers of all
-/// halls: several are told by one answer. A small part of the two seconds in which
-/// a change must be in force.
-const CHANGES_PAUSE: Duration = Duration::from_millis(400);
-/// Least pause after a failed call.
-const LEAST_PAUSE_MS: u64 = 100;
-/// Longest pause after failed calls: upstreams that left while the store was
-/// away must be known soon after its return.
-const MOST_PAUSE_MS: u64 = 400;
-/// Longest time for which a box that has just started waits to hear of its peers before it
-/// follows the store: in a large fleet a few boxes do so for all.
-const SETTLE_MS: u64 = 500;
-/// How often due removals are carried out and peers are compared.
+/// A watch waits for at most this fraction (1/n) of the time in which a change must be in
+/// force.
+const WAIT_DIVISOR: u64 = 2;
+/// The answer to a watch may be late by this fraction (1/n) of that time; the remainder is
+/// left for another watch.
+const GRACE_DIVISOR: u64 = 4;
+/// Minimum wait of a watch whatever the configured bounds are, which limits a box to ten
+/// calls per second.
+const MIN_WAIT_MS: u64 = 100;
+/// Wait of a watch after a failed call: short, so that the recovery of the store is noticed
+/// soon, with a long grace period in case the store is only slow.
+const WAIT_AFTER_FAILURE: WatchWait = WatchWait { wait_ms: 200, grace_ms: 1000 };
+/// Pause between two watches in a large fleet, so that one answer covers several changes:
+/// each change ends the watches of the followers in all halls. A small part of the two
+/// seconds in which a change must be in force.
+const BATCH_PAUSE: Duration = Duration::from_millis(400);
+/// Pause after the first failed call; it doubles with each further failure.
+const MIN_RETRY_PAUSE_MS: u64 = 100;
+/// Maximum pause after failed calls: upstreams that left during an outage of the store must
+/// be known soon after it.
+const MAX_RETRY_PAUSE_MS: u64 = 400;
+/// Maximum time for which a newly started box waits for gossip from its peers before it
+/// decides whether to follow the store: in a large fleet only a few boxes do.
+const PEER_DISCOVERY_MS: u64 = 500;
+/// Interval of the periodic work in [`tick`], and of checks while waiting.
 const TICK: Duration = Duration::from_millis(100);
 
 /// Follows the metadata store until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut pause_ms = LEAST_PAUSE_MS;
+    let mut pause_ms = MIN_RETRY_PAUSE_MS;
     let mut listed = false;
-    // All boxes of a fleet may start at once.
+    // A stale listing costs the store little; all boxes of a fleet may start at once.
     let mut freshness = Freshness::Stale;
     while gateway.phase() != Phase::Stopped {
         if listed && !gateway.state().follows_metadata {
@@ -64,42 +68,42 @@
         let asked_at_ms = now_ms();
         let result = if listed { watch(&gateway).await } else { list(&gateway, freshness).await };
         match result {
-            Ok(Followed::Woken) => {}
-            Ok(ended) => {
-                listed = ended == Followed::Answered;
+            Ok(CallEnd::Interrupted) => {}
+            Ok(end) => {
+                listed = end == CallEnd::Answered;
                 freshness = Freshness::Latest;
-                settle(&gateway).await;
-                pause_ms = LEAST_PAUSE_MS;
+                wait_for_peers(&gateway).await;
+                pause_ms = MIN_RETRY_PAUSE_MS;
                 if !gateway.state().small_fleet {
-                    sleep(CHANGES_PAUSE).await;
+                    sleep(BATCH_PAUSE).await;
                 }
             }
             Err(error) => {
-                failed(&gateway, asked_at_ms, &error);
+                note_store_failed(&gateway, asked_at_ms, &error);
                 sleep(Duration::from_millis(pause_ms + fastrand::u64(0..pause_ms))).await;
-                pause_ms = (pause_ms * 2).min(MOST_PAUSE_MS);
+                pause_ms = (pause_ms * 2).min(MAX_RETRY_PAUSE_MS);
             }
         }
     }
 }
 
-/// Waits until the box knows whether its fleet is a large one, once after its start.
-async fn settle(gateway: &Gateway) {
+/// Waits, once after the start, until the box knows its peers and thus the size of its fleet.
+async fn wait_for_peers(gateway: &Gateway) {
     if gateway.state().warmed_up_at_ms.is_some() {
         return;
     }
-    let until_ms = now_ms() + SETTLE_MS;
+    let until_ms = now_ms() + PEER_DISCOVERY_MS;
     while now_ms() < until_ms && !gateway.state().peers.is_fleet_known(now_ms()) {
         sleep(TICK).await;
     }
     let mut state = gateway.state();
     let now_ms = now_ms();
-    choose_role(gateway, &mut state, now_ms);
+    update_role(gateway, &mut state, now_ms);
     state.warmed_up_at_ms = Some(now_ms);
 }
 
-/// Decides again what this box is to follow itself.
-fn choose_role(gateway: &Gateway, state: &mut State, now_ms: u64) {
+/// Re-evaluates whether this box follows the metadata store and the caches itself.
+fn update_role(gateway: &Gateway, state: &mut State, now_ms: u64) {
     let follows = state.peers.is_follower(now_ms);
     let caches = state.peers.is_cache_follower(now_ms);
     let small_fleet = state.peers.is_small_fleet();
@@ -114,22 +118,23 @@
     state.follows_caches = caches;
     state.small_fleet = small_fleet;
     gateway.upstreams_changed.send_modify(|count| *count += 1);
-    // A watch would go on for seconds.
+    // Interrupts the current watch, which could otherwise last for seconds.
     gateway.refresh_metadata.notify_one();
 }
 
-/// Carries out due removals, and chooses who follows.
+/// Periodically updates the role of this box, applies removals that are due and expires
+/// outdated state.
 pub async fn tick(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
         sleep(TICK).await;
         let mut state = gateway.state();
         let now_ms = now_ms();
-        choose_role(&gateway, &mut state, now_ms);
+        update_role(&gateway, &mut state, now_ms);
         state.apply_peer_reports(now_ms);
         state.limits.recover(TICK.as_secs_f64());
         let changes = state.view.apply_due_removals(now_ms);
-        apply(&gateway, &mut state, now_ms, Named::Now, changes);
-        metrics::gauge!("coursestile_weights_behind_seconds").set(behind_s(&state, now_ms));
+        apply(&gateway, &mut state, now_ms, NamedAt::Now, changes);
+        metrics::gauge!("coursestile_weights_behind_seconds").set(longest_lag_s(&state, now_ms));
         for (store, count) in state.stores.settle_saves(now_ms) {
             info!(target: "stores", "event=saves_lost store={store} count={count}");
         }
@@ -138,8 +143,9 @@
     }
 }
 
-/// For how long the engine that is behind longest has been, as far as this box knows.
-fn behind_s(state: &State, now_ms: u64) -> f64 {
+/// Longest time, in seconds, for which any engine has lacked a newer weights version, as far
+/// as this box knows.
+fn longest_lag_s(state: &State, now_ms: u64) -> f64 {
     let since_ms = state.weights.iter().flat_map(|(model, named)| {
         let engines = state.upstreams.current().map(|engine| engine.weight_version(model));
         let since_ms = engines.filter_map(|version| named.behind_since_ms(version));
@@ -149,10 +155,10 @@
     Duration::from_millis(now_ms.saturating_sub(first_ms)).as_secs_f64()
 }
 
-/// Takes in what a peer knows.
-pub fn take_from_peer(gateway: &Gateway, told: CatchUp) {
+/// Applies a peer's answer to a catch-up query, unless this box already knows more.
+pub fn apply_catch_up(gateway: &Gateway, catch_up: CatchUp) {
     let mut state = gateway.state();
-    let (at_revision, whole) = match &told {
+    let (at_revision, whole) = match &catch_up {
         CatchUp::Full(snapshot) => (snapshot.at_revision, true),
         CatchUp::Delta { changed: written, .. } => (written.at_revision, false),
     };
@@ -160,38 +166,39 @@
         return;
     }
     let now_ms = now_ms();
-    let named = named_since(gateway, &state, now_ms);
-    let changes = state.view.apply_catch_up(now_ms, told, is_covered);
+    let named = named_at(gateway, &state, now_ms);
+    let changes = state.view.apply_catch_up(now_ms, catch_up, is_covered);
     info!(target: "follow",
         "event=caught_up at_revision={at_revision} whole={whole} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
 }
 
-/// How a call to the store has ended.
+/// How a listing or a watch end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Followed {
-    /// The store has answered; the next watch goes on from there.
+enum CallEnd {
+    /// The store answered; the next watch resumes at the revision of the answer.
     Answered,
-    /// The store has forgotten what came after the revision that is known.
+    /// The store no longer has the history since the known revision.
     HistoryLost,
-    /// This box has ended the wait itself, which says nothing of the store.
-    Woken,
+    /// This box end the wait itself, which says nothing about the store.
+    Interrupted,
 }
 
-async fn list(gateway: &Gateway, freshness: Freshness) -> Result<Followed> {
+/// Lists all items and replaces the view by them.
+async fn list(gateway: &Gateway, freshness: Freshness) -> Result<CallEnd> {
     let mut snapshot = Snapshot { at_revision: u64::MAX, ..Snapshot::default() };
     for prefix in [keys::OPERATOR_PREFIX, keys::UPSTREAM_PREFIX, keys::OWN_PREFIX] {
         let listing = gateway.metadata.list(prefix, freshness).await?;
-        // The watch goes on from the oldest listing, so nothing is missed.
+        // The watch resumes at the oldest of the listings, so no change is missed.
         snapshot.at_revision = snapshot.at_revision.min(listing.at_revision);
         for Item { key, value, revision } in listing.items {
             snapshot.items.insert(key, VersionedValue { revision, value });
         }
     }
-    answered(gateway);
+    note_store_answered(gateway);
     let mut state = gateway.state();
     let now_ms = now_ms();
-    let named = Named::After(state.view.synced_at_ms().unwrap_or(UNKNOWN_TIME_MS));
+    let named = NamedAt::After(state.view.synced_at_ms().unwrap_or(UNKNOWN_TIME_MS));
     if freshness == Freshness::Latest {
         state.view.mark_synced(now_ms);
     }
@@ -200,29 +207,29 @@
     info!(target: "follow",
         "event=listed at_revision={at_revision} items={items} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
-    Ok(Followed::Answered)
+    Ok(CallEnd::Answered)
 }
 
-/// Waits for changes.
-async fn watch(gateway: &Gateway) -> Result<Followed> {
+/// Waits for changes and applies them.
+async fn watch(gateway: &Gateway) -> Result<CallEnd> {
     let (after, answers) = {
         let state = gateway.state();
         (state.view.at_revision(), state.view.is_store_available())
     };
-    let wait = if answers { usual_wait(&gateway.settings.bounds) } else { AFTER_FAILURE };
+    let wait = if answers { regular_wait(&gateway.settings.bounds) } else { WAIT_AFTER_FAILURE };
     let watched = tokio::select! {
-        watched = gateway.metadata.watch("", after, spread(wait)) => watched?,
-        () = gateway.refresh_metadata.notified() => return Ok(Followed::Woken),
+        watched = gateway.metadata.watch("", after, with_jitter(wait)) => watched?,
+        () = gateway.refresh_metadata.notified() => return Ok(CallEnd::Interrupted),
     };
     let (changes, at_revision) = match watched {
         WatchResult::Changes { changes, at_revision } => (changes, at_revision),
         WatchResult::HistoryLost => {
             info!(target: "follow", "event=history_lost after_revision={after}");
-            answered(gateway);
-            return Ok(Followed::HistoryLost);
+            note_store_answered(gateway);
+            return Ok(CallEnd::HistoryLost);
         }
     };
-    answered(gateway);
+    note_store_answered(gateway);
     let mut state = gateway.state();
     let now_ms = now_ms();
     let mut applied = Vec::new();
@@ -239,48 +246,49 @@
         }
     }
     state.view.advance_to(at_revision);
-    let named = named_since(gateway, &state, now_ms);
+    let named = named_at(gateway, &state, now_ms);
     state.view.mark_synced(now_ms);
     apply(gateway, &mut state, now_ms, named, applied);
-    Ok(Followed::Answered)
+    Ok(CallEnd::Answered)
 }
 
-/// How long a watch is waited for while the store answers.
-fn usual_wait(bounds: &Bounds) -> WatchWait {
+/// Wait of a watch while the store answers.
+fn regular_wait(bounds: &Bounds) -> WatchWait {
     let change_ms = bounds.change_apply_ms.min(bounds.departure_apply_ms);
-    let wait_ms = (change_ms / WAIT_PART).max(LEAST_WAIT_MS);
-    WatchWait { wait_ms, grace_ms: (change_ms / LATE_PART).max(LEAST_WAIT_MS) }
+    let wait_ms = (change_ms / WAIT_DIVISOR).max(MIN_WAIT_MS);
+    WatchWait { wait_ms, grace_ms: (change_ms / GRACE_DIVISOR).max(MIN_WAIT_MS) }
 }
 
-/// Time without an answer that one lost watch explains.
+/// Maximum time without an answer that a single lost watch can account for.
 #[must_use]
 pub fn lost_watch_ms(bounds: &Bounds) -> u64 {
-    let WatchWait { wait_ms, grace_ms } = usual_wait(bounds);
-    let pauses_ms = 2 * LEAST_PAUSE_MS + whole_ms(CHANGES_PAUSE.as_secs_f64() * 1000.0);
+    let WatchWait { wait_ms, grace_ms } = regular_wait(bounds);
+    let pauses_ms = 2 * MIN_RETRY_PAUSE_MS + whole_ms(BATCH_PAUSE.as_secs_f64() * 1000.0);
     wait_ms + grace_ms + pauses_ms
 }
 
-/// A wait of another length at each box, so that not all watches end together.
-fn spread(wait: WatchWait) -> WatchWait {
+/// Shortens a wait at random, so that the watches of all boxes do not end together.
+fn with_jitter(wait: WatchWait) -> WatchWait {
     WatchWait { wait_ms: wait.wait_ms - fastrand::u64(0..=wait.wait_ms / 4), ..wait }
 }
 
+/// Whether the gateway uses the item with this key.
 fn is_covered(key: &str) -> bool {
     keys::kind(key) != Kind::Other
 }
 
-/// Whether an item goes by itself when its writer is silent.
+/// Whether the item disappears by itself when its writer stops renewing it.
 fn lapses(key: &str) -> bool {
     matches!(keys::kind(key), Kind::Upstream { .. })
 }
 
-fn answered(gateway: &Gateway) {
+fn note_store_answered(gateway: &Gateway) {
     if gateway.state().view.note_store_answer(now_ms()) {
         info!(target: "follow", "event=dependency_regained dependency=metadata_store");
     }
 }
 
-fn failed(gateway: &Gateway, asked_at_ms: u64, error: &Error) {
+fn note_store_failed(gateway: &Gateway, asked_at_ms: u64, error: &Error) {
     metrics::counter!("coursestile_metadata_failures_total").increment(1);
     let mut state = gateway.state();
     let after_revision = state.view.at_revision();
@@ -299,40 +307,40 @@
     }
 }
 
-/// When versions of weights were named that are among changes.
+/// When the operators named the weights versions among some changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Named {
-    /// Just now, as far as a box can know.
+enum NamedAt {
+    /// Just now, as far as this box can know.
     Now,
-    /// After a time; boxes that were there tell when.
+    /// At some time after this one; boxes that were running then report when.
     After(u64),
 }
 
-/// When what is told now was named: after the store told all before, if that is longer ago
-/// than a watch explains.
-fn named_since(gateway: &Gateway, state: &State, now_ms: u64) -> Named {
+/// When weights versions that this box learns of now were named. If its view was last complete
+/// longer ago than a lost watch accounts for, they were named at some time since then.
+fn named_at(gateway: &Gateway, state: &State, now_ms: u64) -> NamedAt {
     let complete_at_ms = state.view.synced_at_ms();
-    let grace_ms = lost_watch_ms(&gateway.settings.bounds);
+    let lost_watch_ms = lost_watch_ms(&gateway.settings.bounds);
     match complete_at_ms {
-        Some(at_ms) if now_ms > at_ms + grace_ms => Named::After(at_ms),
-        Some(_) => Named::Now,
-        // It learns from peers only, or has just started.
-        None if state.view.is_loaded() => Named::Now,
-        None => Named::After(UNKNOWN_TIME_MS),
+        Some(at_ms) if now_ms > at_ms + lost_watch_ms => NamedAt::After(at_ms),
+        Some(_) => NamedAt::Now,
+        // This box learns from peers only, or has just started.
+        None if state.view.is_loaded() => NamedAt::Now,
+        None => NamedAt::After(UNKNOWN_TIME_MS),
     }
 }
 
-/// Puts changes of the view in force.
+/// Applies changes of the view to the rest of the state.
 fn apply(
     gateway: &Gateway,
     state: &mut State,
     now_ms: u64,
-    named: Named,
+    named: NamedAt,
     changes: Vec<ViewChange>,
 ) {
     claims::note_leader(state, now_ms);
     if !changes.is_empty() && state.follows_metadata {
-        // Others learn from this box.
+        // Other boxes learn of the changes from this one.
         gateway.gossip_now.notify_one();
     }
     let mut upstreams_changed = false;
@@ -343,10 +351,10 @@
         };
         match (keys::kind(key), value) {
             (Kind::Configuration, Some(value)) => {
-                upstreams_changed |= put_site(state, value);
+                upstreams_changed |= apply_configuration(state, value);
             }
             (Kind::Weights { model }, Some(value)) => {
-                put_weights(state, now_ms, named, model, value);
+                apply_weights_version(state, now_ms, named, model, value);
             }
             (Kind::Upstream { id }, Some(value)) => {
                 upstreams_changed |= entries::apply(gateway, state, now_ms, id, value);
@@ -370,7 +378,8 @@
     }
 }
 
-fn put_site(state: &mut State, value: &[u8]) -> bool {
+/// Applies a configuration if it is newer than the one in force; returns whether it was.
+fn apply_configuration(state: &mut State, value: &[u8]) -> bool {
     let site = match keys::read_site(value) {
         Ok(site) => site,
         Err(error) => {
@@ -393,13 +402,20 @@
     true
 }
 
-fn put_weights(state: &mut State, now_ms: u64, named: Named, model: &str, value: &[u8]) {
+/// Notes a weights version that operators have named for a model.
+fn apply_weights_version(
+    state: &mut State,
+    now_ms: u64,
+    named: NamedAt,
+    model: &str,
+    value: &[u8],
+) {
     match keys::read_weights(model, value) {
         Ok(version) => {
             let known = state.weights.entry(model.to_owned()).or_default();
             let is_new = match named {
-                Named::Now => known.add_named_at(now_ms, version),
-                Named::After(after_ms) => known.add_named_after(after_ms, version),
+                NamedAt::Now => known.add_named_at(now_ms, version),
+                NamedAt::After(after_ms) => known.add_named_after(after_ms, version),
             };
             if is_new {
                 info!(target: "follow", "event=weights_named model={model} version={version} named={named:?}");
