--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -1,4 +1,5 @@
-//! Follows what engines and stores keep, by their own events.
+//! Keeps track of which context the engines and context stores hold, from the change events
+//! that each of these holders publishes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,21 +19,22 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::phase::Phase;
 
-/// Longest time for which a box that starts waits to hear of its peers; the first
-/// boxes of a fleet that lost power may be seconds behind others.
-const ALONE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often it looks whether it has.
-const FLEET_POLL: Duration = Duration::from_millis(20);
-/// Pause after a holder that could not be reached: short, since nothing is fetched
-/// from a store that is not known.
-const UNREACHED_PAUSE: Duration = Duration::from_millis(300);
-/// First pause after a holder that takes no more followers.
+/// Maximum time for which a newly started box waits for gossip from its peers; after a power
+/// failure, boxes of a fleet may start seconds apart.
+const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Interval of the checks while it waits.
+const DISCOVERY_POLL: Duration = Duration::from_millis(20);
+/// Pause after a call to a holder has failed: short, since no context is fetched from a store
+/// whose contents are unknown.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Pause after a holder has refused this box as a follower for the first time; it doubles with
+/// each refusal.
 const BUSY_PAUSE: Duration = Duration::from_millis(700);
-/// Longest pause: a holder with as many followers as it takes refuses all
-/// others, and each refusal costs it a call.
-const MOST_PAUSE: Duration = Duration::from_secs(6);
+/// Maximum pause after refusals: a holder at its limit of followers refuses all others, and
+/// each refusal costs it a call.
+const MAX_BUSY_PAUSE: Duration = Duration::from_secs(6);
 
-/// Who keeps context.
+/// Identifies a holder of context.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum HolderId {
     /// An engine, by its id.
@@ -41,16 +43,16 @@
     Store(String),
 }
 
-/// Follows every holder of context until the box stops.
+/// Follows every context holder that this box should follow, until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
     let mut followed: HashMap<(HolderId, SocketAddr), JoinHandle<()>> = HashMap::new();
     let mut changed = gateway.upstreams_changed.subscribe();
-    // Else all boxes of a large fleet that start at once would have every store
-    // listed and every engine's history sent: 12 MB over a link of 10 Mbit/s.
-    // Without an answer in time, the box is alone.
-    let _ = timeout(ALONE_TIMEOUT, fleet_known(&gateway)).await;
+    // Otherwise all boxes of a large fleet that start together would list every store and
+    // fetch every engine's history: 12 MB over a 10 Mbit/s link. A box that hears of no peer
+    // in time assumes that it is the only one.
+    let _ = timeout(DISCOVERY_TIMEOUT, wait_for_peers(&gateway)).await;
     while gateway.phase() != Phase::Stopped {
-        let wanted = holders(&gateway);
+        let wanted = holders_to_follow(&gateway);
         followed.retain(|holder_id, task| {
             let keep = wanted.contains(holder_id);
             if !keep {
@@ -64,19 +66,20 @@
                 tokio::spawn(follow(gateway.clone(), holder_id.clone(), *address))
             });
         }
-        // The sender lives as long as the gateway.
+        // Cannot fail: the gateway owns the sender.
         let _ = changed.changed().await;
     }
 }
 
 /// Waits until the box has learned of its peers.
-async fn fleet_known(gateway: &Gateway) {
+async fn wait_for_peers(gateway: &Gateway) {
     while !gateway.state().peers.is_fleet_known(now_ms()) {
-        sleep(FLEET_POLL).await;
+        sleep(DISCOVERY_POLL).await;
     }
 }
 
-fn holders(gateway: &Gateway) -> Vec<(HolderId, SocketAddr)> {
+/// The holders that this box should follow, with their addresses.
+fn holders_to_follow(gateway: &Gateway) -> Vec<(HolderId, SocketAddr)> {
     let state = gateway.state();
     let Some(site) = &state.site else {
         return Vec::new();
@@ -84,11 +87,14 @@
     if !state.follows_caches {
         return Vec::new();
     }
-    // In a large fleet, what engines keep is gone before all boxes could know.
+    // In a large fleet, engines evict context before all boxes could learn of it.
     let follows_engines = state.small_fleet;
     let engines = state.upstreams.current().filter(|upstream| {
         follows_engines
-            && site.services.get(&upstream.entry.service).is_some_and(|one| one.engine.is_some())
+            && site
+                .services
+                .get(&upstream.entry.service)
+                .is_some_and(|service| service.engine.is_some())
     });
     let engines = engines.map(|engine| (HolderId::Engine(engine.id.clone()), engine.entry.address));
     let stores =
@@ -96,6 +102,7 @@
     engines.chain(stores).collect()
 }
 
+/// Follows one holder until the task is aborted.
 async fn follow(gateway: Arc<Gateway>, holder_id: HolderId, address: SocketAddr) {
     let mut known = false;
     let mut pause = BUSY_PAUSE;
@@ -105,31 +112,33 @@
             Err(error) => {
                 debug!(target: "caches", "event=holder_silent holder={holder_id:?} cause=\"{error}\"");
                 if let HolderId::Store(name) = &holder_id
-                    && let Some((_, state)) = gateway.state().stores.get_mut(name)
+                    && let Some((_, store)) = gateway.state().stores.get_mut(name)
                 {
-                    state.record_failure(now_ms());
-                    // It may have lost all, and have a part written again.
-                    state.holder.mark_unknown();
+                    store.record_failure(now_ms());
+                    // The store may have lost its contents, and parts may be rewritten.
+                    store.holder.mark_unknown();
                     known = false;
                 }
                 if matches!(error, Error::Busy(_)) {
                     sleep(pause).await;
-                    pause = (pause * 2).min(MOST_PAUSE);
+                    pause = (pause * 2).min(MAX_BUSY_PAUSE);
                 } else {
-                    sleep(UNREACHED_PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                 }
             }
         }
     }
 }
 
+/// Waits for the next changes of a holder and applies them; lists its contents first if they
+/// are unknown.
 async fn step(
     gateway: &Gateway,
     holder_id: &HolderId,
     address: SocketAddr,
     known: &mut bool,
 ) -> Result<()> {
-    // A process that has just started must learn what a store kept before.
+    // The events of a store do not cover what it held before this box followed it.
     if !*known && matches!(holder_id, HolderId::Store(_)) {
         list(gateway, holder_id, address).await?;
         *known = true;
@@ -145,17 +154,18 @@
         && entries::note_answering_run(gateway, id, changes.started_at_ms, asked_at_ms)
             != ReportedRun::Current
     {
-        // A new run has told only what came after a place in the events of the old one.
+        // The engine has restarted: `since` was a position in the events of the previous run.
         return Ok(());
     }
     *known = true;
-    let gap = take(gateway, holder_id, &changes);
+    let gap = apply_changes(gateway, holder_id, &changes);
     if gap && matches!(holder_id, HolderId::Store(_)) {
         list(gateway, holder_id, address).await?;
     }
     Ok(())
 }
 
+/// Replaces what is known of a holder by a full listing.
 async fn list(gateway: &Gateway, holder_id: &HolderId, address: SocketAddr) -> Result<()> {
     let listing: CacheListing = gateway.caches.list(address).await?;
     info!(target: "caches", "event=holder_listed holder={holder_id:?} boot={} parts={} partial={}",
@@ -164,7 +174,8 @@
     Ok(())
 }
 
-fn take(gateway: &Gateway, holder_id: &HolderId, changes: &CacheChanges) -> bool {
+/// Applies changes of a holder; returns whether some are missing in between.
+fn apply_changes(gateway: &Gateway, holder_id: &HolderId, changes: &CacheChanges) -> bool {
     let mut state = gateway.state();
     if let Some(clock_ms) = changes.clock_ms {
         state.update_upstream_clock_offset(now_ms(), clock_ms);
@@ -172,15 +183,18 @@
     with_holder(&mut state, holder_id, |holder| holder.apply_changes(changes)).unwrap_or_default()
 }
 
+/// Runs `action` on a holder, if it still exists.
 fn with_holder<T>(
     state: &mut State,
     holder_id: &HolderId,
-    act: impl FnOnce(&mut CacheContents) -> T,
+    action: impl FnOnce(&mut CacheContents) -> T,
 ) -> Option<T> {
     match holder_id {
-        HolderId::Engine(id) => state.upstreams.get_mut(id).map(|engine| act(&mut engine.holder)),
+        HolderId::Engine(id) => {
+            state.upstreams.get_mut(id).map(|engine| action(&mut engine.holder))
+        }
         HolderId::Store(name) => {
-            state.stores.get_mut(name).map(|(_, store)| act(&mut store.holder))
+            state.stores.get_mut(name).map(|(_, store)| action(&mut store.holder))
         }
     }
 }
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -173,6 +173,6 @@
 /// Sleeps until the next renewal is due; false when this box is to lead no more.
 async fn pauses_leading(gateway: &Gateway, period: Duration) -> bool {
     let mut resigned = gateway.resigned.subscribe();
-    // The sender lives as long as the gateway.
+    // Cannot fail: the gateway owns the sender.
     timeout(period, resigned.wait_for(|resigned| *resigned)).await.is_err()
 }
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -1,11 +1,11 @@
-//! What stores of context keep, told from boxes that follow them to the others
-//! of their hall.
+//! Publishes the contents of the context stores from the boxes that follow them to the other
+//! boxes of their hall.
 //!
-//! In a large fleet just a few boxes follow the stores, since a store serves a
-//! few followers only. Each of the others holds a connection to one of them, on
-//! which it first gets all and then every change. When the connection breaks, the
-//! box knows nothing of the stores until it has another: a part that is being
-//! written again must not be read.
+//! A context store serves only a few followers, so in a large fleet only a few boxes follow
+//! the stores. Every other box subscribes to one of these by TCP; it first receives the full
+//! contents and then each change. When the connection breaks, the box discards what it knows
+//! of the stores until it has a new subscription: a part that is being rewritten must not be
+//! read.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,43 +26,42 @@
 use crate::names::number;
 use crate::phase::Phase;
 
-/// Time between two messages when there is something to tell: short beside the
-/// seconds after which a part is asked for again.
-const TELL_PERIOD: Duration = Duration::from_millis(100);
-/// Messages without content that are left out between two that show that the
-/// connection lives.
-const QUIET_TURNS: u32 = 4;
-/// Silence after which a connection is given up: twice the time between messages.
+/// Interval between two messages while there are changes: short compared with the seconds
+/// after which a part is requested again.
+const PUBLISH_PERIOD: Duration = Duration::from_millis(100);
+/// Number of periods without changes that pass before an empty message is sent as keep-alive.
+const SKIPPED_EMPTY_MESSAGES: u32 = 4;
+/// Silence after which a subscription is given up: twice the interval between keep-alives.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time in which a connection must come up, or take a message.
-const CALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause before another connection is tried.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Longest message: some hundred thousand parts.
+/// Maximum time to establish a connection, or to send a message.
+const SEND_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause before a box subscribes, also after a failed attempt.
+const SUBSCRIBE_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum length of a message: room for some hundred thousand parts.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
-/// What is told of one store.
+/// An update of what is known of one context store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdate {
-    /// Number of its name.
+    /// Number that stands for the name of the store.
     pub store: u32,
-    /// What has changed.
+    /// Change of its contents.
     pub update: CacheUpdate,
 }
 
-/// Learns from a box that follows the stores, while this one does not.
+/// Subscribes to a box that follows the context stores, while this box does not.
 pub async fn subscribe(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
-        sleep(PAUSE).await;
+        sleep(SUBSCRIBE_PAUSE).await;
         let peer = {
             let state = gateway.state();
             state.peers.cache_publisher(now_ms()).filter(|_| !state.follows_caches)
         };
         let Some(peer) = peer else { continue };
-        let ended = subscribe_to(&gateway, peer).await;
+        let result = subscribe_to(&gateway, peer).await;
         let mut state = gateway.state();
         state.forget_store_contents();
-        match ended {
+        match result {
             Ok(()) => info!(target: "stores", "event=publisher_left peer={peer}"),
             Err(error) => {
                 state.peers.note_unanswered(now_ms(), peer.ip());
@@ -74,7 +73,7 @@
 
 async fn subscribe_to(gateway: &Gateway, peer: SocketAddr) -> Result<()> {
     let query = to_bytes(&PeerQuery::ContextStores)?;
-    let connected = timeout(CALL_TIMEOUT, async {
+    let connected = timeout(SEND_TIMEOUT, async {
         let mut stream = TcpStream::connect(peer).await?;
         stream.write_all(&query).await?;
         stream.shutdown().await?;
@@ -83,8 +82,8 @@
     let mut stream = in_time(connected.await, peer)?;
     info!(target: "stores", "event=subscribed peer={peer}");
     while !gateway.state().follows_caches {
-        let update = in_time(timeout(SILENCE_TIMEOUT, read_message(&mut stream)).await, peer)?;
-        take(&mut gateway.state(), update);
+        let updates = in_time(timeout(SILENCE_TIMEOUT, read_message(&mut stream)).await, peer)?;
+        apply_updates(&mut gateway.state(), updates);
     }
     Ok(())
 }
@@ -93,64 +92,68 @@
     let length = stream.read_u32().await?;
     let invalid = |text| std::io::Error::new(std::io::ErrorKind::InvalidData, text);
     if length > MAX_MESSAGE_BYTES {
-        return Err(invalid("a message is too long".to_owned()));
+        return Err(invalid(format!(
+            "store update of {length} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
+        )));
     }
     let mut bytes = vec![0; usize::try_from(length).unwrap_or_default()];
     stream.read_exact(&mut bytes).await?;
     postcard::from_bytes(&bytes).map_err(|error| invalid(error.to_string()))
 }
 
-fn take(state: &mut State, all: Vec<StoreUpdate>) {
-    for StoreUpdate { store: told, update } in all {
-        let found = state.stores.iter_mut().find(|(store, _)| number(&store.name) == told);
-        if let Some((_, one)) = found {
-            one.holder.apply_update(update);
+fn apply_updates(state: &mut State, updates: Vec<StoreUpdate>) {
+    for StoreUpdate { store: store_number, update } in updates {
+        let found = state.stores.iter_mut().find(|(store, _)| number(&store.name) == store_number);
+        if let Some((_, store_state)) = found {
+            store_state.holder.apply_update(update);
         }
     }
 }
 
-/// Tells a box of the stores until it goes or this box follows them no more.
+/// Sends updates to a subscriber until the connection breaks or this box no longer follows
+/// the context stores.
 ///
 /// # Errors
-/// Fails when the other box takes no message in time.
+/// Fails when the subscriber does not accept a message in time.
 pub async fn publish(gateway: &Gateway, stream: &mut TcpStream) -> Result<()> {
-    let mut told: HashMap<u32, u64> = HashMap::new();
-    let mut quiet = 0;
+    let mut sent_up_to: HashMap<u32, u64> = HashMap::new();
+    let mut skipped = 0;
     while gateway.phase() != Phase::Stopped && gateway.state().follows_caches {
-        let update = compose(&gateway.state(), &mut told);
-        if update.is_empty() && quiet < QUIET_TURNS {
-            quiet += 1;
+        let updates = compose(&gateway.state(), &mut sent_up_to);
+        if updates.is_empty() && skipped < SKIPPED_EMPTY_MESSAGES {
+            skipped += 1;
         } else {
-            quiet = 0;
-            send(stream, &update).await?;
+            skipped = 0;
+            send(stream, &updates).await?;
         }
-        sleep(TELL_PERIOD).await;
+        sleep(PUBLISH_PERIOD).await;
     }
     Ok(())
 }
 
-/// What has changed since it was told last.
-fn compose(state: &State, told: &mut HashMap<u32, u64>) -> Vec<StoreUpdate> {
-    let mut all = Vec::new();
-    for (store, one) in state.stores.iter() {
+/// The changes since the last message. `sent_up_to` holds the position in each store's
+/// changes up to which the subscriber has them.
+fn compose(state: &State, sent_up_to: &mut HashMap<u32, u64>) -> Vec<StoreUpdate> {
+    let mut updates = Vec::new();
+    for (store, store_state) in state.stores.iter() {
         let store = number(&store.name);
-        let (update, next) = one.holder.update_since(told.get(&store).copied());
-        told.insert(store, next);
-        all.extend(update.map(|update| StoreUpdate { store, update }));
+        let (update, next) = store_state.holder.update_since(sent_up_to.get(&store).copied());
+        sent_up_to.insert(store, next);
+        updates.extend(update.map(|update| StoreUpdate { store, update }));
     }
-    all
+    updates
 }
 
-async fn send(stream: &mut TcpStream, update: &[StoreUpdate]) -> Result<()> {
-    let bytes = to_bytes(&update)?;
+async fn send(stream: &mut TcpStream, updates: &[StoreUpdate]) -> Result<()> {
+    let bytes = to_bytes(&updates)?;
     let length = u32::try_from(bytes.len()).map_err(|error| Error::Message(error.to_string()))?;
-    let written = timeout(CALL_TIMEOUT, async {
+    let written = timeout(SEND_TIMEOUT, async {
         stream.write_u32(length).await?;
         stream.write_all(&bytes).await
     });
     written
         .await
-        .map_err(|_| Error::Message(format!("{length} bytes were not taken in time")))?
+        .map_err(|_| Error::Message(format!("subscriber did not accept {length} bytes in time")))?
         .map_err(|error| Error::Message(error.to_string()))
 }
 
@@ -158,11 +161,12 @@
     postcard::to_stdvec(value).map_err(|error| Error::Message(error.to_string()))
 }
 
+/// The result of an exchange with `peer` that was limited by a time-out.
 fn in_time<T>(
-    ended: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
+    result: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
     peer: SocketAddr,
 ) -> Result<T> {
-    ended
-        .map_err(|_| Error::Message(format!("{peer} is silent")))?
+    result
+        .map_err(|_| Error::Message(format!("{peer}: no answer or message in time")))?
         .map_err(|error| Error::Message(format!("{peer}: {error}")))
 }
