--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -1,5 +1,5 @@
-//! What boxes ask each other by TCP: what they lack of the metadata store's items, and what
-//! stores of context keep.
+//! Queries between boxes by TCP: for missing items of the metadata store, and for the contents
+//! of the context stores.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,35 +21,36 @@
 use crate::gateway::store_updates::publish;
 use crate::phase::Phase;
 
-/// Longest snapshot that is read: the store's largest value and its upstreams.
+/// Maximum length of a snapshot that is read: room for the metadata store's largest value and
+/// all upstreams.
 const MAX_SNAPSHOT_BYTES: u64 = 8 << 20;
-/// Longest time in which a peer must send a snapshot.
+/// Maximum time in which a peer must send a snapshot.
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Part, in percent, of the time in which a change must be in force that one peer may
-/// take: if it is silent, there must be time for another.
-const SNAPSHOT_PERCENT: u64 = 40;
-/// Longest time between two looks for a peer that knows more.
+/// Percentage of the time in which a change must be in force that one peer may take to
+/// answer: if it does not, there must be time to ask another.
+const SNAPSHOT_TIMEOUT_PERCENT: u64 = 40;
+/// Maximum interval between two checks whether a peer knows more.
 const COMPARE_PERIOD: Duration = Duration::from_millis(200);
-/// Pause after each, so that several changes are fetched at once.
+/// Pause after each catch-up, so that several changes are fetched together.
 const CATCH_UP_PAUSE: Duration = Duration::from_millis(100);
-/// Longest question of a peer that is behind.
+/// Maximum length of a query.
 const MAX_QUERY_BYTES: u64 = 64;
-/// Pause after a socket that failed, so that a lasting fault does not spin.
-const FAILED_PAUSE: Duration = Duration::from_millis(10);
+/// Pause after a socket error, so that a persistent error does not cause a busy loop.
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// What a box asks another by TCP.
+/// A query of one box to another by TCP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerQuery {
-    /// What it lacks of the metadata store's items.
+    /// Asks for the items of the metadata store that differ from those of the sender.
     CatchUp(ViewDigest),
-    /// What stores of context keep, from now on.
+    /// Subscribes to the contents of the context stores.
     ContextStores,
 }
 
-/// Asks a peer that knows more for what this box lacks.
+/// Fetches missing items from a peer whenever one knows more of the metadata store.
 pub async fn run(gateway: Arc<Gateway>) {
     while gateway.phase() != Phase::Stopped {
-        // Either is fine: a peer is ahead, or it is time to compare.
+        // Ends early when gossip shows that a peer is ahead.
         let _ = timeout(COMPARE_PERIOD, gateway.catch_up_now.notified()).await;
         let (peer, own) = {
             let state = gateway.state();
@@ -58,8 +59,8 @@
         };
         let Some(peer) = peer else { continue };
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
-            Ok(told) => {
-                follow::apply_catch_up(&gateway, told);
+            Ok(catch_up) => {
+                follow::apply_catch_up(&gateway, catch_up);
                 gateway.refresh_metadata.notify_one();
             }
             Err(error) => {
@@ -73,10 +74,11 @@
 
 fn snapshot_timeout(bounds: &Bounds) -> Duration {
     let change_ms = bounds.change_apply_ms.min(bounds.departure_apply_ms);
-    SNAPSHOT_TIMEOUT.min(Duration::from_millis(change_ms * SNAPSHOT_PERCENT / 100))
+    SNAPSHOT_TIMEOUT.min(Duration::from_millis(change_ms * SNAPSHOT_TIMEOUT_PERCENT / 100))
 }
 
-async fn fetch(peer: SocketAddr, own: ViewDigest, longest: Duration) -> Result<CatchUp> {
+/// Asks a peer for the items that this box lacks.
+async fn fetch(peer: SocketAddr, own: ViewDigest, limit: Duration) -> Result<CatchUp> {
     let query = postcard::to_stdvec(&PeerQuery::CatchUp(own))
         .map_err(|error| Error::Message(error.to_string()))?;
     let read = async {
@@ -87,21 +89,21 @@
         stream.take(MAX_SNAPSHOT_BYTES).read_to_end(&mut bytes).await?;
         std::io::Result::Ok(bytes)
     };
-    let bytes = timeout(longest, read)
+    let bytes = timeout(limit, read)
         .await
-        .map_err(|_| Error::Message(format!("{peer}: no snapshot in time")))?
+        .map_err(|_| Error::Message(format!("{peer}: no snapshot within {limit:?}")))?
         .map_err(|error| Error::Message(format!("{peer}: {error}")))?;
     postcard::from_bytes(&bytes).map_err(|error| Error::Message(format!("{peer}: {error}")))
 }
 
-/// Tells peers that ask what they lack.
+/// Answers the queries of peers until the box stops.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
     while gateway.phase() != Phase::Stopped {
         let (mut stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
                 debug!(target: "gossip", "event=accept_failed cause=\"{error}\"");
-                sleep(FAILED_PAUSE).await;
+                sleep(SOCKET_ERROR_PAUSE).await;
                 continue;
             }
         };
@@ -115,16 +117,17 @@
 }
 
 async fn answer(gateway: &Gateway, stream: &mut TcpStream) -> Result<()> {
-    let unreadable = |error: postcard::Error| Error::Message(error.to_string());
-    // Else bytes for a subscriber that fell silent would wait for a quarter of an hour.
+    let codec_error = |error: postcard::Error| Error::Message(error.to_string());
+    // Without this, data for a subscriber that stopped responding would stay unacknowledged for
+    // a quarter of an hour before the connection ends.
     set_socket_options(stream).map_err(|error| Error::Message(error.to_string()))?;
     let mut query = Vec::new();
     let mut limited = (&mut *stream).take(MAX_QUERY_BYTES);
     in_time(timeout(SNAPSHOT_TIMEOUT, limited.read_to_end(&mut query)).await)?;
-    match postcard::from_bytes(&query).map_err(unreadable)? {
+    match postcard::from_bytes(&query).map_err(codec_error)? {
         PeerQuery::CatchUp(digest) => {
-            let told = gateway.state().view.catch_up(digest);
-            let bytes = postcard::to_stdvec(&told).map_err(unreadable)?;
+            let catch_up = gateway.state().view.catch_up(digest);
+            let bytes = postcard::to_stdvec(&catch_up).map_err(codec_error)?;
             let written = timeout(SNAPSHOT_TIMEOUT, async {
                 stream.write_all(&bytes).await?;
                 stream.shutdown().await
@@ -135,10 +138,11 @@
     }
 }
 
+/// The result of an exchange that was limited by a time-out.
 fn in_time<T>(
-    ended: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
+    result: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
 ) -> Result<T> {
-    ended
-        .map_err(|_| Error::Message("not in time".to_owned()))?
+    result
+        .map_err(|_| Error::Message("the peer did not send or accept data in time".to_owned()))?
         .map_err(|error| Error::Message(error.to_string()))
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -1,5 +1,5 @@
-//! Carries gossip between boxes: datagrams out and in. What needs more room is asked for by
-//! TCP (`catch_up`).
+//! Sends and receives the UDP datagrams that boxes exchange. What does not fit into a datagram
+//! is fetched by TCP (`catch_up`).
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -26,39 +26,41 @@
 use crate::names::number;
 use crate::phase::Phase;
 
-/// Longest datagram that is read.
+/// Maximum length of a datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 8192;
-/// Least time between two messages: changes meanwhile are told together.
-const LEAST_PERIOD: Duration = Duration::from_millis(20);
-/// Time over which boxes spread that go back to an upstream that rested: the first is turned
-/// away and tells the others, if it rests on.
-const REST_SPREAD_MS: u64 = 500;
-/// Pause after a socket that failed, so that a lasting fault does not spin.
-const FAILED_PAUSE: Duration = Duration::from_millis(10);
+/// Minimum interval between two rounds of gossip; changes in between are sent together.
+const MIN_PERIOD: Duration = Duration::from_millis(20);
+/// Boxes return to an upstream that asked for a pause at random times within this window: if
+/// it still refuses requests, the first box to return finds out and informs the others.
+const RETURN_JITTER_MS: u64 = 500;
+/// Pause after a socket error, so that a persistent error does not cause a busy loop.
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
-/// What boxes send each other by datagram.
+/// A message that boxes exchange by UDP.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// What the sender knows and does.
+    /// State and load of the sender.
     Gossip(Box<Gossip>),
-    /// What has changed since the sender's gossip; for the own hall, many times a second.
+    /// Loads that have changed since the sender's last gossip; sent many times a second within
+    /// the hall.
     LoadChanges(LoadChanges),
-    /// What the sender's hall does and knows.
+    /// Summary of the sender's hall, sent to other halls.
     HallSummary(HallSummary),
-    /// What all halls but the sender's do.
+    /// Summaries of all other halls, sent within the sender's hall.
     OtherHallsSummary(OtherHallsSummary),
-    /// The sender leads, and the metadata store does not answer it.
+    /// A call to the metadata store that the leader asks this box to execute, since the store
+    /// does not answer the leader.
     DelegatedCall(DelegatedCall),
-    /// The answer to that.
+    /// Result of such a call.
     DelegatedReply(DelegatedReply),
 }
 
-/// Tells peers, a few times a second.
+/// Sends gossip to peers, a few times a second and whenever something urgent changes.
 pub async fn send(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, incarnation: u64) {
     let mut audience = Audience::All;
-    let mut told = Vec::new();
+    let mut sent_loads = Vec::new();
     while gateway.phase() != Phase::Stopped {
-        for (datagram, targets) in compose(&gateway, incarnation, audience, &mut told) {
+        for (datagram, targets) in compose(&gateway, incarnation, audience, &mut sent_loads) {
             send_to(&socket, &datagram, &targets).await;
         }
         audience = next_audience(&gateway).await;
@@ -83,12 +85,12 @@
     }
 }
 
-/// What is told next, and to whom. `told` is what was told of loads last.
+/// The next datagrams, each with its targets. `sent_loads` holds the loads as last sent.
 fn compose(
     gateway: &Gateway,
     incarnation: u64,
     audience: Audience,
-    told: &mut Vec<LoadReport>,
+    sent_loads: &mut Vec<LoadReport>,
 ) -> Vec<(Datagram, Vec<SocketAddr>)> {
     let mut state = gateway.state();
     let now_ms = now_ms();
@@ -96,7 +98,7 @@
     let reach = reach(&state);
     let targets = state.peers.next_targets(now_ms, audience, reach);
     if audience == Audience::OwnHall {
-        let changes = compose_changes(&state, now_ms, incarnation, told);
+        let changes = compose_changes(&state, now_ms, incarnation, sent_loads);
         return vec![(Datagram::LoadChanges(changes), targets.full)];
     }
     let mut composed = Vec::new();
@@ -108,45 +110,45 @@
         composed.push((Datagram::OtherHallsSummary(others), targets.own_hall));
     }
     let gossip = compose_gossip(gateway, &mut state, now_ms, incarnation);
-    told.clone_from(&gossip.loads);
+    sent_loads.clone_from(&gossip.loads);
     let brief = Datagram::Gossip(Box::new(gossip.abridged()));
     composed.push((Datagram::Gossip(Box::new(gossip)), targets.full));
     composed.push((brief, targets.abridged));
     composed
 }
 
-/// How far the word of this box reaches.
+/// Whether the gossip of this box goes to the bridges of other halls, too.
 fn reach(state: &State) -> GossipScope {
-    let reaches_halls = state.is_bridge() || state.leadership.is_some();
-    if reaches_halls { GossipScope::AllBridges } else { GossipScope::OwnHall }
+    let reaches_other_halls = state.is_bridge() || state.leadership.is_some();
+    if reaches_other_halls { GossipScope::AllBridges } else { GossipScope::OwnHall }
 }
 
-/// The loads that have changed since they were told.
+/// The loads that have changed since they were last sent.
 fn compose_changes(
     state: &State,
     now_ms: u64,
     incarnation: u64,
-    told: &mut Vec<LoadReport>,
+    sent_loads: &mut Vec<LoadReport>,
 ) -> LoadChanges {
-    let loads = changed_loads(told, own_loads(state, now_ms));
-    told.retain(|known| loads.iter().all(|one| one.upstream != known.upstream));
-    told.extend(&loads);
+    let loads = changed_loads(sent_loads, own_loads(state, now_ms));
+    sent_loads.retain(|sent| loads.iter().all(|load| load.upstream != sent.upstream));
+    sent_loads.extend(&loads);
     let resting = resting(state, now_ms);
     LoadChanges { incarnation, loads, superseded: superseded(state), resting }
 }
 
-/// What this box has to do with each upstream.
+/// The load that this box puts on each upstream.
 fn own_loads(state: &State, now_ms: u64) -> impl Iterator<Item = LoadReport> {
-    state.upstreams.iter().map(move |one| LoadReport {
-        upstream: one.number,
-        load: one.own_load,
-        heard_age_ms: one.receive_age_ms(now_ms),
+    state.upstreams.iter().map(move |upstream| LoadReport {
+        upstream: upstream.number,
+        load: upstream.own_load,
+        heard_age_ms: upstream.receive_age_ms(now_ms),
     })
 }
 
-/// Waits until there is something to tell; who is to hear it.
+/// Waits until the next gossip is due; returns to whom it goes.
 async fn next_audience(gateway: &Gateway) -> Audience {
-    sleep(LEAST_PERIOD).await;
+    sleep(MIN_PERIOD).await;
     let period = Duration::from_millis(GOSSIP_PERIOD_MS);
     tokio::select! {
         () = sleep(period) => Audience::All,
@@ -183,52 +185,59 @@
     }
 }
 
-/// Tokens that this box fetches from stores, by their numbers.
+/// Number of tokens that this box is fetching from each context store.
 fn fetches(state: &State) -> Vec<(u32, u32)> {
-    let stores = state.stores.iter().filter(|(_, one)| one.own_fetch_tokens() > 0);
-    let told = stores
-        .map(|(_, one)| (one.number(), u32::try_from(one.own_fetch_tokens()).unwrap_or(u32::MAX)));
-    told.collect()
+    let stores = state.stores.iter().filter(|(_, store)| store.own_fetch_tokens() > 0);
+    let fetches = stores.map(|(_, store)| {
+        (store.number(), u32::try_from(store.own_fetch_tokens()).unwrap_or(u32::MAX))
+    });
+    fetches.collect()
 }
 
+/// Upstreams that have been superseded.
 fn superseded(state: &State) -> Vec<u32> {
-    let superseded = state.upstreams.iter().filter(|one| one.is_superseded());
-    superseded.map(|one| one.number).collect()
+    let superseded = state.upstreams.iter().filter(|upstream| upstream.is_superseded());
+    superseded.map(|upstream| upstream.number).collect()
 }
 
+/// Upstreams that have announced that they leave.
 fn leaving(state: &State) -> Vec<u32> {
-    let leaving = state.upstreams.iter().filter(|one| one.notices().leaving);
-    leaving.map(|one| one.number).collect()
+    let leaving = state.upstreams.iter().filter(|upstream| upstream.notices().leaving);
+    leaving.map(|upstream| upstream.number).collect()
 }
 
+/// Upstreams to which nothing is sent for now, and for how long still.
 fn resting(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
-    let resting = state.upstreams.iter().filter_map(|one| {
-        let left_ms = one.backoff_until_ms(now_ms)? - now_ms;
-        Some((one.number, u16::try_from(left_ms).unwrap_or(u16::MAX)))
+    let resting = state.upstreams.iter().filter_map(|upstream| {
+        let left_ms = upstream.backoff_until_ms(now_ms)? - now_ms;
+        Some((upstream.number, u16::try_from(left_ms).unwrap_or(u16::MAX)))
     });
     resting.collect()
 }
 
-/// Engines that load weights: those that this box orders, and at a bridge those that it has
-/// heard of, for as long as they load still.
+/// Engines that load weights, with the remaining time: those that this box has ordered to, and
+/// on a bridge also those that it has learned of by gossip.
 fn loading(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
-    let in_message = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
+    let encoded = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
     let ordered = state.loading_engines.iter().filter_map(|id| state.upstreams.get(id));
-    let ordered = ordered.map(|engine| (engine.number, in_message(LOADING_GOSSIP_MS)));
-    let heard = state.upstreams.iter().filter(|one| {
-        state.is_bridge() && one.is_loading(now_ms) && !state.loading_engines.contains(&one.id)
+    let ordered = ordered.map(|engine| (engine.number, encoded(LOADING_GOSSIP_MS)));
+    let relayed = state.upstreams.iter().filter(|engine| {
+        state.is_bridge()
+            && engine.is_loading(now_ms)
+            && !state.loading_engines.contains(&engine.id)
     });
-    let heard = heard.map(|one| (one.number, in_message(one.loading_left_ms(now_ms))));
-    ordered.chain(heard).collect()
+    let relayed = relayed.map(|engine| (engine.number, encoded(engine.loading_left_ms(now_ms))));
+    ordered.chain(relayed).collect()
 }
 
+/// Weights versions that engines were recently seen to reach.
 fn versions(state: &mut State, now_ms: u64) -> Vec<(u32, u32, u64)> {
     state.observed_versions.retain(|told| told.until_ms > now_ms);
     state.observed_versions.iter().map(|told| (told.engine, told.model, told.version)).collect()
 }
 
-/// The versions of weights that were named while an engine with older ones may still be in
-/// time, and as long again: all others are long overdue.
+/// The weights versions that operators named within twice the time in which engines must apply
+/// them: an engine that lacks an older one is long overdue, whenever that was named.
 fn named(state: &State, now_ms: u64, apply_ms: u64) -> Vec<NamedVersionReport> {
     let since_ms = now_ms.saturating_sub(2 * apply_ms);
     let models = state.weights.iter().flat_map(|(model, named)| {
@@ -243,16 +252,17 @@
     models.collect()
 }
 
+/// Recent changes of leader, each as a revision of the metadata store and its age.
 fn terms(state: &State, now_ms: u64, pause_ms: u64) -> Vec<(u64, u32)> {
-    let told = state.terms.recent(now_ms, pause_ms);
-    told.map(|(revision, at_ms)| (revision, age_ms(now_ms, at_ms))).collect()
+    let terms = state.terms.recent(now_ms, pause_ms);
+    terms.map(|(revision, at_ms)| (revision, age_ms(now_ms, at_ms))).collect()
 }
 
 fn age_ms(now_ms: u64, at_ms: u64) -> u32 {
     u32::try_from(now_ms.saturating_sub(at_ms)).unwrap_or(u32::MAX)
 }
 
-/// Hears peers.
+/// Receives datagrams from peers until the box stops.
 pub async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while gateway.phase() != Phase::Stopped {
@@ -260,13 +270,13 @@
             Ok(received) => received,
             Err(error) => {
                 debug!(target: "gossip", "event=receive_failed cause=\"{error}\"");
-                sleep(FAILED_PAUSE).await;
+                sleep(SOCKET_ERROR_PAUSE).await;
                 continue;
             }
         };
         match postcard::from_bytes(&buffer[..length]) {
-            Ok(Datagram::Gossip(gossip)) => hear(&gateway, from.ip(), *gossip),
-            Ok(Datagram::LoadChanges(changes)) => hear_loads(&gateway, from.ip(), &changes),
+            Ok(Datagram::Gossip(gossip)) => apply_gossip(&gateway, from.ip(), *gossip),
+            Ok(Datagram::LoadChanges(changes)) => apply_load_changes(&gateway, from.ip(), &changes),
             Ok(Datagram::HallSummary(news)) => {
                 gateway.state().peers.receive_hall_summary(now_ms(), news);
             }
@@ -286,34 +296,35 @@
     }
 }
 
-/// Takes what a peer knows and does.
-fn hear(gateway: &Gateway, from: IpAddr, gossip: Gossip) {
+/// Applies the gossip of a peer.
+fn apply_gossip(gateway: &Gateway, from: IpAddr, gossip: Gossip) {
     let mut state = gateway.state();
     let now_ms = now_ms();
     let own = state.view.digest();
-    if take_weights(&mut state, now_ms, &gossip) && state.is_bridge() {
-        // The own hall hears it from this bridge.
+    if apply_weights(&mut state, now_ms, &gossip) && state.is_bridge() {
+        // The hall of this bridge learns of it from the bridge only.
         gateway.gossip_now.notify_one();
     }
-    take_namings(&mut state, now_ms, &gossip);
+    apply_namings(&mut state, now_ms, &gossip);
     for (revision, age_ms) in &gossip.leader_terms {
         state.terms.merge(*revision, now_ms.saturating_sub(u64::from(*age_ms)));
     }
     supersede(&mut state, &gossip.superseded);
-    take_leaving(&mut state, &gossip.leaving);
-    take_resting(&mut state, now_ms, &gossip.resting);
+    apply_leaving(&mut state, &gossip.leaving);
+    apply_resting(&mut state, now_ms, &gossip.resting);
     quarantine::merge_peer_reports(gateway, &mut state, now_ms, &gossip);
     if let Some(clock_ms) = gossip.upstream_clock_ms {
         state.update_upstream_clock_offset(now_ms, clock_ms);
     }
     if !gossip.engine_versions.is_empty() {
-        // Requests may wait for an engine that has its new weights now.
+        // Requests may be waiting for an engine that has new weights now.
         gateway.capacity_changed.notify_waiters();
     }
     let mut upstreams = state.peers.upstreams_reported_by(from);
-    upstreams.extend(gossip.loads.iter().map(|told| told.upstream));
+    upstreams.extend(gossip.loads.iter().map(|load| load.upstream));
     if state.peers.receive_gossip(now_ms, from, gossip, own) {
-        // Boxes that start together know each other within some round trips.
+        // Replies at once, so that boxes that start together discover each other within a few
+        // round trips.
         gateway.gossip_now.notify_one();
     }
     if state.peers.has_different_view(from, own) {
@@ -328,20 +339,20 @@
     }
 }
 
-/// Takes the loads that a peer has changed.
-fn hear_loads(gateway: &Gateway, from: IpAddr, changes: &LoadChanges) {
+/// Applies a peer's changed loads.
+fn apply_load_changes(gateway: &Gateway, from: IpAddr, changes: &LoadChanges) {
     let mut state = gateway.state();
     let now_ms = now_ms();
     supersede(&mut state, &changes.superseded);
-    take_resting(&mut state, now_ms, &changes.resting);
+    apply_resting(&mut state, now_ms, &changes.resting);
     state.peers.receive_load_changes(now_ms, from, changes);
-    for told in &changes.loads {
-        state.apply_peer_load(told.upstream);
+    for load in &changes.loads {
+        state.apply_peer_load(load.upstream);
     }
 }
 
-/// Takes which upstreams said to a peer that they leave.
-fn take_leaving(state: &mut State, leaving: &[u32]) {
+/// Marks upstreams as leaving that have announced it to a peer.
+fn apply_leaving(state: &mut State, leaving: &[u32]) {
     for number in leaving {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
             upstream.apply_notices(NoticeState { leaving: true, ..NoticeState::default() });
@@ -349,16 +360,17 @@
     }
 }
 
-/// Takes which upstreams a peer leaves alone, and for how long.
-fn take_resting(state: &mut State, now_ms: u64, resting: &[(u32, u16)]) {
-    let spread_ms = u64::from(state.peers.local().number) % REST_SPREAD_MS;
+/// Notes the upstreams to which a peer sends nothing for now, and for how long.
+fn apply_resting(state: &mut State, now_ms: u64, resting: &[(u32, u16)]) {
+    let jitter_ms = u64::from(state.peers.local().number) % RETURN_JITTER_MS;
     for (number, left_ms) in resting {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
-            upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + spread_ms);
+            upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + jitter_ms);
         }
     }
 }
 
+/// Marks upstreams as superseded by a later incarnation.
 fn supersede(state: &mut State, upstreams: &[u32]) {
     for upstream in upstreams {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*upstream) {
@@ -367,8 +379,9 @@
     }
 }
 
-/// Takes what the leader tells of engines' weights; whether some of it is new.
-fn take_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
+/// Applies the leader's news of which engines load weights and which versions they have;
+/// returns whether any of it is new.
+fn apply_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
     let mut is_new = false;
     for (engine, left_ms) in &gossip.loading_engines {
         let Some(engine) = state.upstreams.get_by_number_mut(*engine) else { continue };
@@ -396,8 +409,8 @@
     is_new
 }
 
-/// Takes since when versions of weights are named.
-fn take_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
+/// Applies when operators named weights versions.
+fn apply_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
     for told in &gossip.named_versions {
         let mut known = state.weights.iter_mut();
         if let Some((_, named)) = known.find(|(model, _)| number(model) == told.model) {
