--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::clock::now_ms;
-use crate::gateway::claims::pause_ms;
+use crate::gateway::claims::handover_pause_ms;
 use crate::gateway::decisions::gossip_message::{
     Gossip, LoadChanges, LoadReport, NamedVersionReport, changed_loads, reported_loads,
 };
@@ -179,7 +179,7 @@
             .and_then(|ahead_ms| now_ms.checked_add_signed(ahead_ms)),
         engine_versions: versions(state, now_ms),
         named_versions: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
-        leader_terms: terms(state, now_ms, pause_ms(&gateway.settings.bounds)),
+        leader_terms: terms(state, now_ms, handover_pause_ms(&gateway.settings.bounds)),
         crashes: state.quarantine.told_crashes(now_ms),
         answers: state.quarantine.told_answers(now_ms),
     }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -1,5 +1,5 @@
-//! What the leader does: has engines load the named weights, and frees what stores keep for
-//! nobody.
+//! Tasks of the leader: it has engines load the weights versions that operators have named,
+//! frees unused context in the context stores, and prunes claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,66 +18,66 @@
 use crate::names::number;
 use crate::phase::Phase;
 
-/// How often the holder looks what is to be done.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// How often it is looked whether claims can be struck out, so that a box that leads next
-/// finds few: a third of the pause that it would make for them.
-const TIDY_PERIOD: Duration = Duration::from_secs(1);
-/// Time kept for the last engines, whose requests begin late.
-const FINISH_MS: u64 = 1200;
+/// Interval at which the leader checks whether there is anything to do.
+const POLL_PERIOD: Duration = Duration::from_millis(100);
+/// Interval at which outdated claims are removed, so that the next leader finds few: a third of
+/// the pause that the next leader must observe because of them.
+const PRUNE_PERIOD: Duration = Duration::from_secs(1);
+/// Reserve for the last engines of a roll-out, whose requests begin late.
+const RESERVE_MS: u64 = 1200;
 
-/// Has engines load, while this box is the leader.
+/// Starts loads of weights while this box is the leader.
 pub async fn run(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     while gateway.phase() != Phase::Stopped {
-        sleep(LOOK_PERIOD).await;
-        let Some(fence) = leading(&gateway) else { continue };
+        sleep(POLL_PERIOD).await;
+        let Some(fence) = current_fence(&gateway) else { continue };
         for load in loads_to_start(&gateway, fence) {
             tokio::spawn(replace_weights(gateway.clone(), socket.clone(), load));
         }
     }
 }
 
-/// Frees what stores keep for nobody, while this box is the leader. On its own, since a store
-/// that does not answer must not hold up loads.
+/// Frees unused context in the stores while this box is the leader. This is a task of its own
+/// because a store that does not answer must not delay loads.
 pub async fn free_store_space(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut cleanup = StoreCleanup::default();
     while gateway.phase() != Phase::Stopped {
-        sleep(LOOK_PERIOD).await;
-        match leading(&gateway) {
+        sleep(POLL_PERIOD).await;
+        match current_fence(&gateway) {
             Some(fence) => cleanup.step(&gateway, &socket, fence).await,
             None => cleanup = StoreCleanup::default(),
         }
     }
 }
 
-/// Strikes claims out, while this box is the leader.
+/// Removes outdated claims while this box is the leader.
 pub async fn prune_claims(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     while gateway.phase() != Phase::Stopped {
-        sleep(TIDY_PERIOD).await;
-        let Some(fence) = leading(&gateway) else { continue };
+        sleep(PRUNE_PERIOD).await;
+        let Some(fence) = current_fence(&gateway) else { continue };
         if let Err(error) = claims::prune(&gateway, &socket, fence).await {
             info!(target: "leader", "event=claims_not_tidied cause=\"{error}\"");
         }
     }
 }
 
-/// The fencing token under which this box may order now, once it knows what leaders before
-/// have claimed.
-fn leading(gateway: &Gateway) -> Option<u64> {
+/// The fencing token under which this box may send orders now: it must lead and know the
+/// claims of earlier leaders.
+fn current_fence(gateway: &Gateway) -> Option<u64> {
     let mut state = gateway.state();
-    let held = state.leadership.filter(|held| now_ms() < held.until_ms)?;
-    claims::open(&mut state, &held).then_some(held.fence)
+    let leadership = state.leadership.filter(|leadership| now_ms() < leadership.until_ms)?;
+    claims::load(&mut state, &leadership).then_some(leadership.fence)
 }
 
-/// What is left of the time in which an engine with `version` must have newer
-/// weights.
+/// Remaining time in which an engine that has `version` must get newer weights.
 fn left_ms(gateway: &Gateway, named: Option<&NamedVersions>, now_ms: u64, version: u64) -> u64 {
     let bound_ms = gateway.settings.bounds.weights_apply_ms;
     let behind_since_ms = named.and_then(|named| named.behind_since_ms(version));
     let Some(behind_since_ms) = behind_since_ms else { return bound_ms };
-    (behind_since_ms + bound_ms).saturating_sub(now_ms + FINISH_MS)
+    (behind_since_ms + bound_ms).saturating_sub(now_ms + RESERVE_MS)
 }
 
+/// Selects the engines that are to load now, and marks them as loading.
 fn loads_to_start(gateway: &Gateway, fence: u64) -> Vec<WeightLoad> {
     let mut state = gateway.state();
     let now_ms = now_ms();
@@ -112,10 +112,11 @@
     loads
 }
 
+/// The engines of a model that could load its newest weights.
 fn candidates(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> Vec<RolloutCandidate> {
     let named = state.weights.get(model);
     let bounds = &gateway.settings.bounds;
-    let engines = state.upstreams.current().filter(|one| one.weight_version(model) > 0);
+    let engines = state.upstreams.current().filter(|engine| engine.weight_version(model) > 0);
     engines
         .filter(|engine| !engine.is_leaving())
         .map(|engine| {
@@ -135,7 +136,8 @@
         .collect()
 }
 
-/// Engines that load at once, so that all have the version in time.
+/// Maximum number of engines that load at the same time: as many as needed for all to have the
+/// version in time.
 #[must_use]
 pub fn max_concurrent_loads(gateway: &Gateway, state: &State, now_ms: u64, model: &str) -> usize {
     let version = state.weights.get(model).map_or(0, NamedVersions::newest);
--- a/src/gateway/leader_calls.rs
+++ b/src/gateway/leader_calls.rs
@@ -1,6 +1,6 @@
-//! Calls of the leader to the metadata store, which peers make for it when the store answers
-//! them and not the leader. Else a leader that is cut off from the store only would be
-//! replaced, and could not write down whom it orders.
+//! Calls of the leader to the metadata store. When the store does not answer the leader, peers
+//! to which it does answer execute them on its behalf. Without this, a leader that is cut off
+//! from the store only would be replaced, and could not claim the engines that it orders.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,67 +21,67 @@
 use crate::gateway::metadata::{Lease, WriteOutcome};
 use crate::platform::keys;
 
-/// Time after which peers are asked too: many times the usual 4 ms.
+/// Time after which the call is delegated to peers as well: many times the usual 4 ms.
 const DELEGATE_AFTER: Duration = Duration::from_millis(150);
-/// Time in which a peer must answer; there must be time for another.
+/// Time in which a peer must answer; it leaves time to ask another.
 const PEER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What the leader wants of the metadata store.
+/// A call of the leader to the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LeaderCall {
-    /// Its lease is to be renewed.
+    /// Renews the leader's lease.
     Renew {
         /// Id of the lease.
         lease_id: u64,
-        /// Time for which each renewal holds.
+        /// Duration of the lease from each renewal.
         ttl_ms: u64,
     },
-    /// What it is to order is to be written down, while it leads.
+    /// Writes the leader's claims, on condition that it still leads.
     Claim {
-        /// Its fencing token.
+        /// Fencing token of the leader.
         fence: u64,
-        /// Revision of what is written so far.
+        /// Revision that the stored claims must have.
         expected_revision: u64,
-        /// What is to be written.
+        /// Claims to be written.
         claims: Claims,
     },
 }
 
-/// What became of a call.
+/// Result of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
     /// The lease was renewed.
     Renewed,
-    /// The lease is over.
+    /// The lease has ended.
     LeaseOver,
-    /// The claims are written, as this revision.
+    /// The claims were written with this revision.
     Written(u64),
-    /// Something else is written there, or the leader is another.
+    /// The stored claims have another revision, or another box leads.
     Conflict,
 }
 
-/// Asks a peer to make a call.
+/// A call that a peer is asked to execute.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelegatedCall {
-    /// Tells the leader's calls apart.
+    /// Identifies the call among those of the leader.
     pub call_id: u64,
     /// The call.
     pub call: LeaderCall,
 }
 
-/// A peer's answer.
+/// A peer's answer to a [`DelegatedCall`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DelegatedReply {
-    /// Which call was made.
+    /// Identifier of the call.
     pub call_id: u64,
-    /// What became of it.
+    /// Its result.
     pub outcome: CallOutcome,
 }
 
-/// Makes a call, through peers if need be.
+/// Executes a call, through peers if the store does not answer this box soon.
 ///
 /// # Errors
-/// Fails when neither the store nor a peer answers in time; the call may be done all the same.
+/// Fails when neither the store nor a peer answers in time; the call may still take effect.
 pub async fn execute(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -102,6 +102,7 @@
     }
 }
 
+/// Sends a call to the metadata store.
 async fn call_store(gateway: &Gateway, call: &LeaderCall) -> Result<CallOutcome> {
     match call {
         LeaderCall::Renew { lease_id, ttl_ms } => {
@@ -112,7 +113,7 @@
         LeaderCall::Claim { fence, expected_revision, claims } => {
             let value =
                 postcard::to_stdvec(claims).map_err(|error| Error::Message(error.to_string()))?;
-            let lease = keys::lease(leadership::NAME);
+            let lease = keys::lease(leadership::LEASE_NAME);
             let store = &gateway.metadata;
             let written = store
                 .write_guarded(&keys::claims(), *expected_revision, &value, (&lease, *fence))
@@ -125,6 +126,7 @@
     }
 }
 
+/// Asks peers to execute a call; the first answer counts.
 async fn execute_through_peers(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -142,7 +144,7 @@
     match timeout(PEER_TIMEOUT, answered).await {
         Ok(Ok(reply)) => {
             let outcome = reply.map(|reply| reply.outcome);
-            let outcome = outcome.ok_or_else(|| Error::Message("no answer".to_owned()))?;
+            let outcome = outcome.ok_or_else(|| Error::Message("no peer answered".to_owned()))?;
             match outcome {
                 CallOutcome::Renewed | CallOutcome::LeaseOver => info!(target: "leadership",
                     "event=renewed_through_peer renewed={}", outcome == CallOutcome::Renewed),
@@ -152,13 +154,13 @@
             Ok(outcome)
         }
         Ok(Err(_)) | Err(_) => {
-            Err(Error::Message(format!("none of {} peers made the call", delegates.len())))
+            Err(Error::Message(format!("none of {} peers executed the call", delegates.len())))
         }
     }
 }
 
-/// Makes a call for a peer and tells it. A failure is not told: the peer asks
-/// another.
+/// Executes a call for the leader and sends it the result. A failure is not reported: the
+/// leader asks another peer when it gets no answer.
 pub async fn execute_for_peer(
     gateway: Arc<Gateway>,
     socket: Arc<UdpSocket>,
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -52,7 +52,7 @@
     let key = keys::members();
     let (revision, next) = {
         let state = gateway.state();
-        if state.leadership.is_none_or(|held| now_ms() >= held.until_ms) {
+        if state.leadership.is_none_or(|leadership| now_ms() >= leadership.until_ms) {
             return Ok(());
         }
         let written = state.view.get(&key);
