--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -1,5 +1,5 @@
-//! Takes what upstreams tell of themselves, in the metadata store or in an answer, and acts
-//! on what it means: one that has gone or started again has no connection that is of use.
+//! Applies what upstreams report about themselves in their entries in the metadata store and in
+//! their answers. Connections to an upstream that has gone or restarted are discarded.
 
 use log::{info, warn};
 
@@ -8,12 +8,12 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::platform::keys;
 
-/// Takes an upstream's entry; whether who can be asked has changed.
+/// Applies an upstream's entry; returns whether the set of usable upstreams has changed.
 pub fn apply(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str, value: &[u8]) -> bool {
     let entry = match keys::read_upstream(id, value) {
         Ok(entry) => entry,
         Err(error) => {
-            // Whoever wrote this, what the key named before is not there any more.
+            // Whoever wrote this value, the upstream of the previous entry is gone.
             warn!(target: "entries", "event=upstream_unreadable upstream={id} cause=\"{error}\"");
             metrics::counter!("coursestile_entries_unreadable_total").increment(1);
             remove(gateway, state, now_ms, id);
@@ -22,19 +22,21 @@
     };
     let known = state.upstreams.get(id);
     let mut changed = known.is_none_or(|known| known.entry.leaving != entry.leaving);
-    let seen = format!(
+    let details = format!(
         "upstream={id} service={} hall={} leaving={} started_at_ms={}",
         entry.service,
         entry.hall,
         entry.leaving,
-        shown(entry.started_at_ms)
+        format_start(entry.started_at_ms)
     );
     match state.upstreams.upsert(now_ms, id, entry) {
-        ReportedRun::Current if changed => info!(target: "entries", "event=upstream_seen {seen}"),
+        ReportedRun::Current if changed => {
+            info!(target: "entries", "event=upstream_seen {details}")
+        }
         ReportedRun::Current => {}
-        ReportedRun::Outdated => info!(target: "entries", "event=upstream_outdated {seen}"),
+        ReportedRun::Outdated => info!(target: "entries", "event=upstream_outdated {details}"),
         ReportedRun::Restarted => {
-            info!(target: "entries", "event=upstream_restarted {seen}");
+            info!(target: "entries", "event=upstream_restarted {details}");
             gateway.connections.close_idle_to(id);
             changed = true;
         }
@@ -42,32 +44,32 @@
     changed
 }
 
-/// Takes an upstream out; what runs there goes on.
+/// Removes an upstream; requests that run there continue.
 pub fn remove(gateway: &Gateway, state: &mut State, now_ms: u64, id: &str) {
     state.upstreams.remove(now_ms, id);
     gateway.connections.close_idle_to(id);
 }
 
-/// Takes the start of the run that answered a call made at `asked_at_ms`, by which it may
-/// be known sooner than by its entry that an upstream has started again.
+/// Compares the start time reported with the answer to a call made at `asked_at_ms` with the
+/// known one. This may show a restart of the upstream before its entry does.
 pub fn note_answering_run(
     gateway: &Gateway,
     id: &str,
     started_at_ms: Option<u64>,
     asked_at_ms: u64,
 ) -> ReportedRun {
-    let told =
+    let report =
         gateway.state().upstreams.record_answering_run(now_ms(), id, started_at_ms, asked_at_ms);
-    if told == ReportedRun::Restarted {
+    if report == ReportedRun::Restarted {
         info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
-            shown(started_at_ms));
+            format_start(started_at_ms));
         gateway.connections.close_idle_to(id);
         gateway.capacity_changed.notify_waiters();
     }
-    told
+    report
 }
 
-/// A start, for a log line.
-fn shown(started_at_ms: Option<u64>) -> String {
+/// Formats a start time for a log line.
+fn format_start(started_at_ms: Option<u64>) -> String {
     started_at_ms.map_or_else(|| "-".to_owned(), |started_at_ms| started_at_ms.to_string())
 }
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -367,7 +367,7 @@
             (Kind::Configuration | Kind::Weights { .. }, None) => {
                 warn!(target: "follow", "event=removal_ignored key={key} reason=never_reverts");
             }
-            (Kind::Members, Some(value)) => members::take(gateway, &mut state.peers, value),
+            (Kind::Members, Some(value)) => members::apply(gateway, &mut state.peers, value),
             (Kind::Quarantine, Some(value)) => quarantine::restore(gateway, state, now_ms, value),
             (Kind::Members | Kind::Quarantine, None) | (Kind::Own | Kind::Other, _) => {}
         }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,8 +1,8 @@
-//! The list of boxes, kept in the metadata store by the leader, so that boxes
-//! that start find each other at once: the seeds of their settings may be down
-//! or late, and after a loss of power every box starts without any peer.
+//! The list of box addresses, which the leader maintains in the metadata store so that boxes
+//! find each other as soon as they start: the seeds in their settings may be down or start
+//! later, and after a power failure every box starts without peers.
 //!
-//! The list only says where a box may be. Whether one is there shows by gossip.
+//! The list only holds addresses at which a box may run; gossip shows whether one does.
 
 use std::collections::BTreeSet;
 use std::net::IpAddr;
@@ -20,15 +20,15 @@
 use crate::phase::Phase;
 use crate::platform::keys;
 
-/// How often the leader compares the list with the boxes that it hears. A call is
-/// made only when they differ, which is a few hundred times a day.
+/// Interval at which the leader compares the list with the boxes from which it receives gossip.
+/// It writes only if they differ, which is a few hundred times a day.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Addresses of boxes.
+/// Addresses of the boxes of a fleet.
 pub type Members = BTreeSet<IpAddr>;
 
-/// The list that takes the place of `listed`, if one should: with every box that
-/// was heard, and without those that were not, once all had time to be heard.
+/// The list that should replace `listed`, if it has to change. Boxes that were heard from are
+/// added; those that were not are removed only once `all_had_time` to be heard.
 #[must_use]
 pub fn next_list(listed: &Members, heard: &Members, all_had_time: bool) -> Option<Members> {
     let next: Members =
@@ -36,19 +36,20 @@
     (next != *listed).then_some(next)
 }
 
-/// Keeps the list, while this box is the leader.
+/// Maintains the list while this box is the leader.
 pub async fn run(gateway: Arc<Gateway>) {
     let started_at_ms = now_ms();
     while gateway.phase() != Phase::Stopped {
         sleep(COMPARE_PERIOD).await;
         let all_had_time = now_ms() >= started_at_ms + PEER_RETENTION_MS;
-        if let Err(error) = keep(&gateway, all_had_time).await {
+        if let Err(error) = update_list(&gateway, all_had_time).await {
             info!(target: "members", "event=members_not_written cause=\"{error}\"");
         }
     }
 }
 
-async fn keep(gateway: &Gateway, all_had_time: bool) -> Result<()> {
+/// Writes the list if it has to change.
+async fn update_list(gateway: &Gateway, all_had_time: bool) -> Result<()> {
     let key = keys::members();
     let (revision, next) = {
         let state = gateway.state();
@@ -56,21 +57,21 @@
             return Ok(());
         }
         let written = state.view.get(&key);
-        // One that cannot be read, as `take` has logged, is written anew.
+        // A list that cannot be decoded, which `apply` has logged, is replaced.
         let listed = written.and_then(|written| read(&written.value).ok()).unwrap_or_default();
         let next = next_list(&listed, &state.peers.heard_boxes(), all_had_time);
         (written.map_or(0, |written| written.revision), next)
     };
     let Some(next) = next else { return Ok(()) };
-    let value = postcard::to_stdvec(&next).map_err(|error| unreadable(&error))?;
+    let value = postcard::to_stdvec(&next).map_err(|error| codec_error(&error))?;
     let outcome = gateway.metadata.write(&key, revision, &value, None).await?;
     info!(target: "members", "event=members_written count={} done={}", next.len(),
         matches!(outcome, WriteOutcome::Done { .. }));
     Ok(())
 }
 
-/// Takes the list as the store has it.
-pub fn take(gateway: &Gateway, peers: &mut Peers, value: &[u8]) {
+/// Learns peers from the list in the metadata store.
+pub fn apply(gateway: &Gateway, peers: &mut Peers, value: &[u8]) {
     match read(value) {
         Ok(members) => {
             for address in members {
@@ -83,9 +84,9 @@
 }
 
 fn read(value: &[u8]) -> Result<Members> {
-    postcard::from_bytes(value).map_err(|error| unreadable(&error))
+    postcard::from_bytes(value).map_err(|error| codec_error(&error))
 }
 
-fn unreadable(error: &postcard::Error) -> Error {
+fn codec_error(error: &postcard::Error) -> Error {
     Error::Message(error.to_string())
 }
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -1,90 +1,90 @@
-//! What the metadata store holds and answers.
+//! Types of the metadata store's contents and answers.
 
-/// An item of the store.
+/// An item of the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Key.
+    /// Key of the item.
     pub key: String,
-    /// Content.
+    /// Value as raw bytes.
     pub value: Vec<u8>,
     /// Revision of its last change.
     pub revision: u64,
 }
 
-/// A change that a watch tells.
+/// A change reported by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// An item was written.
     Put(Item),
-    /// An item is gone.
+    /// An item was removed.
     Removed {
-        /// Its key.
+        /// Key of the item.
         key: String,
         /// Revision of the removal.
         revision: u64,
     },
 }
 
-/// How long a watch is waited for.
+/// How long to wait for the answer to a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchWait {
-    /// Time after which the store answers that nothing has changed.
+    /// Time after which the store answers even if nothing has changed.
     pub wait_ms: u64,
-    /// Time by which that answer may be late before the store counts as silent.
+    /// Additional time after which the call fails because the store did not answer.
     pub grace_ms: u64,
 }
 
-/// What a watch answers.
+/// Answer to a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResult {
-    /// Changes up to a revision; none when the wait is over.
+    /// Changes up to a revision; none if the wait ended without any.
     Changes {
-        /// The changes, in order.
+        /// Changes in the order of their revisions.
         changes: Vec<Change>,
-        /// Revision to go on from.
+        /// Revision at which the next watch resumes.
         at_revision: u64,
     },
-    /// The store has forgotten the changes in between.
+    /// The store no longer has all changes since the requested revision.
     HistoryLost,
 }
 
-/// How new a listing has to be.
+/// How recent a listing has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// All that the store has acknowledged is in it.
+    /// It includes every write that the store has acknowledged.
     Latest,
-    /// It may be seconds old, and costs the store little: a watch tells the rest.
+    /// It may be seconds old and costs the store little; a watch reports later changes.
     Stale,
 }
 
-/// The items of a prefix.
+/// The items under a key prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Items.
+    /// Items under the prefix.
     pub items: Vec<Item>,
-    /// Revision from which to watch: of the oldest page.
+    /// Revision from which to watch: that of the oldest page.
     pub at_revision: u64,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is done, as this revision.
+    /// The transaction was committed.
     Done {
-        /// Revision of the change.
+        /// Revision that it created.
         revision: u64,
     },
     /// Its condition does not hold.
     Conflict,
-    /// Its lease is over.
+    /// Its lease has ended.
     LeaseOver,
 }
 
-/// A lease.
+/// A lease of the metadata store; items written under it are removed when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Id.
+    /// Id that the store has given it.
     pub id: u64,
-    /// Time for which each renewal holds.
+    /// Duration of the lease from each renewal.
     pub ttl_ms: u64,
 }
