--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! The gateway's life: start, serve, stop as planned.
+//! Life cycle of the gateway process: start, serve, graceful stop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,15 +17,15 @@
 };
 use crate::phase::Phase;
 
-/// Time for which a stopping box still takes requests: the balancer asks each
-/// second and sends nobody after two refusals; clients learn by each answer.
+/// Time for which a stopping box still accepts requests: the load balancer checks it every
+/// second and stops sending after two refusals; clients are told by each answer.
 const LEAVE_MS: u64 = 2500;
-/// Part of the time to stop that is left unused.
+/// Part of the time to stop that is kept as a reserve.
 const STOP_MARGIN_MS: u64 = 400;
-/// How often a stopping box looks whether it is done.
+/// Interval at which a stopping box checks whether its requests have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Serves until [`stop`] has ended.
+/// Runs all tasks of the gateway until [`stop`] has ended.
 ///
 /// # Errors
 /// Fails when an address cannot be bound.
@@ -35,7 +35,7 @@
     let ready = listen(settings.ready).await?;
     let peers = listen(settings.peers).await?;
     let socket = UdpSocket::bind(settings.peers).await;
-    let socket = socket.map_err(|error| unbound(settings.peers, &error))?;
+    let socket = socket.map_err(|error| bind_error(settings.peers, &error))?;
     let socket = Arc::new(socket);
     info!(target: "daemon", "event=started box={} hall={} version={}",
         settings.name, settings.hall, env!("CARGO_PKG_VERSION"));
@@ -69,14 +69,14 @@
     Ok(())
 }
 
-/// Stops as planned: no request is cut.
+/// Stops gracefully: running requests are completed as far as the time to stop allows.
 pub async fn stop(gateway: Arc<Gateway>) {
     let stop_at_ms = now_ms() + gateway.settings.bounds.stop_ms - STOP_MARGIN_MS;
     info!(target: "daemon", "event=stopping box={}", gateway.settings.name);
     gateway.enter(Phase::Leaving);
     sleep(Duration::from_millis(LEAVE_MS)).await;
     gateway.enter(Phase::Draining);
-    // Connections that were idle close first.
+    // Lets idle connections close first.
     sleep(STOP_POLL).await;
     while gateway.state().requests_in_flight > 0 && now_ms() < stop_at_ms {
         sleep(STOP_POLL).await;
@@ -85,13 +85,13 @@
     if serving > 0 {
         warn!(target: "daemon", "event=requests_cut count={serving} reason=time_to_stop_is_over");
     }
-    // The last answers are on their way to the clients.
+    // Lets the last answers reach the clients.
     sleep(STOP_POLL).await;
     leadership::resign(&gateway).await;
     gateway.enter(Phase::Stopped);
 }
 
-/// Reads the settings again; what cannot change while it runs is logged.
+/// Logs whether the settings have changed. Changes apply only at the next start.
 pub fn reload(gateway: &Gateway, settings: &Settings) {
     if *settings == gateway.settings {
         info!(target: "daemon", "event=reloaded changed=false");
@@ -101,9 +101,9 @@
 }
 
 async fn listen(address: std::net::SocketAddr) -> Result<TcpListener> {
-    TcpListener::bind(address).await.map_err(|error| unbound(address, &error))
+    TcpListener::bind(address).await.map_err(|error| bind_error(address, &error))
 }
 
-fn unbound(address: std::net::SocketAddr, error: &std::io::Error) -> Error {
+fn bind_error(address: std::net::SocketAddr, error: &std::io::Error) -> Error {
     Error::Listen(address.to_string(), error.to_string())
 }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -1,33 +1,33 @@
-//! Settings of a gateway: an INI file, checked whole.
+//! Settings of a gateway: an INI file, all of whose errors are reported together.
 //!
-//! Bounds hold durations, since a deadline begins with the event that it
-//! belongs to. Each default is the figure of the smallest known deployment.
+//! The bounds are durations, since each deadline counts from its own event. Their defaults are
+//! the figures of the smallest known deployment.
 
 use std::net::{IpAddr, SocketAddr};
 
 use crate::error::Result;
 use crate::ini_file::IniFile;
 
-/// Time between SIGTERM and SIGKILL, by default.
+/// Default time between SIGTERM and SIGKILL.
 const DEFAULT_STOP_MS: u64 = 8000;
-/// Repeats allowed for each request, by default.
+/// Default number of retries allowed per request.
 const DEFAULT_RETRY_RATIO: f64 = 0.1;
-/// Window of the retry budget, by default.
+/// Default window of the retry budget.
 const DEFAULT_RETRY_WINDOW_MS: u64 = 10_000;
-/// Repeats allowed in a window beside the ratio, by default.
+/// Default number of retries allowed per window in addition to the ratio.
 const DEFAULT_RETRY_EXTRA: f64 = 10.0;
-/// Time for which orders of two holders must not follow each other, by default.
+/// Default minimum time between orders of two leaders to the same target.
 const DEFAULT_LEASE_MS: u64 = 3000;
-/// Time in which a change of the configuration must be in force, by default.
+/// Default time in which a change of the configuration must be in force.
 const DEFAULT_CHANGE_APPLY_MS: u64 = 2000;
-/// Time after which an upstream that leaves must get nothing more, by default.
+/// Default time after which a leaving upstream must get no more requests.
 const DEFAULT_DEPARTURE_APPLY_MS: u64 = 2000;
-/// Period of upstreams' signs of life, by default.
+/// Default interval of the upstreams' heartbeats.
 const DEFAULT_HEARTBEAT_MS: u64 = 1200;
-/// Time in which a new weight version must be everywhere, by default.
+/// Default time in which all engines must have a new weights version.
 const DEFAULT_WEIGHTS_APPLY_MS: u64 = 10_000;
 
-/// Longest duration that is taken for one: a day.
+/// Upper limit for durations: a day.
 const MAX_DURATION_MS: f64 = 86_400_000.0;
 
 /// Settings of a gateway.
@@ -35,59 +35,59 @@
 pub struct Settings {
     /// Name of the box.
     pub name: String,
-    /// Data hall.
+    /// Data hall of the box.
     pub hall: String,
-    /// Where clients reach it.
+    /// Address at which it accepts client requests.
     pub clients: SocketAddr,
-    /// Where the balancer asks whether it takes new connections.
+    /// Address at which the load balancer checks whether it accepts new connections.
     pub ready: SocketAddr,
-    /// Where peers reach it, by datagram and by TCP.
+    /// Address at which it accepts messages of peers, by UDP and TCP.
     pub peers: SocketAddr,
-    /// Where metrics are read, when they are.
+    /// Address at which metrics are served, if they are.
     pub metrics: Option<SocketAddr>,
-    /// Addresses of boxes from which to learn the others.
+    /// Addresses of boxes from which it learns of the other ones.
     pub seeds: Vec<IpAddr>,
-    /// Processor share of the box, in cores.
+    /// CPU share of the box, in cores.
     pub cores: f64,
-    /// Where the platform's metadata store listens.
+    /// Address of the platform's metadata store.
     pub metadata_address: String,
-    /// Bounds that the deployment asks for.
+    /// Service bounds that the deployment requires.
     pub bounds: Bounds,
 }
 
-/// Bounds that the deployment asks for.
+/// Service bounds that the deployment requires.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Time between SIGTERM and SIGKILL.
     pub stop_ms: u64,
-    /// Repeats allowed for each request to a service, over the whole fleet.
+    /// Number of retries allowed per request to a service, over the whole fleet.
     pub retry_ratio: f64,
     /// Window of the retry budget.
     pub retry_window_ms: u64,
-    /// Repeats allowed in a window beside the ratio, over the whole fleet.
+    /// Number of retries allowed per window in addition to the ratio, over the whole fleet.
     pub retry_extra: f64,
-    /// Time for which orders of two holders must not follow each other.
+    /// Minimum time between orders of two leaders to the same target.
     pub lease_ms: u64,
     /// Time in which a change of the configuration must be in force.
     pub change_apply_ms: u64,
-    /// Time after which an upstream that leaves must get nothing more.
+    /// Time after which a leaving upstream must get no more requests.
     pub departure_apply_ms: u64,
-    /// Period of upstreams' signs of life at the metadata store.
+    /// Interval at which upstreams renew their entries in the metadata store.
     pub heartbeat_ms: u64,
-    /// Time in which a new weight version must be everywhere.
+    /// Time in which all engines must have a new weights version.
     pub weights_apply_ms: u64,
 }
 
 impl Settings {
-    /// Reads settings from the text of `file`.
+    /// Parses settings from the text of `file`.
     ///
     /// # Errors
-    /// Fails with every finding.
+    /// Fails with a list of all errors found.
     pub fn parse(file: &str, text: &str) -> Result<Self> {
         let mut reader = IniFile::read(file, text);
         reader.check_names(known_keys);
-        let unset: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let metrics: SocketAddr = reader.optional("box", "metrics", unset);
+        let unspecified: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let metrics: SocketAddr = reader.optional("box", "metrics", unspecified);
         let settings = Self {
             name: reader.required("box", "name"),
             hall: reader.required("box", "hall"),
@@ -123,14 +123,15 @@
     }
 }
 
-/// A duration in milliseconds, given in units of `unit_ms`; fractions count.
+/// Reads a duration that is given in units of `unit_ms` and may have a fraction; returns
+/// milliseconds.
 fn duration_ms(reader: &mut IniFile<'_>, key: &str, unit_ms: f64, default_ms: u64) -> u64 {
     if reader.text("bounds", key).is_none() {
         return default_ms;
     }
     let duration_ms = reader.optional("bounds", key, 0.0) * unit_ms;
     if !(0.0..MAX_DURATION_MS).contains(&duration_ms) {
-        reader.find_at("bounds", key, format!("{key}: it is no duration"));
+        reader.find_at("bounds", key, format!("{key}: not a valid duration"));
         return default_ms;
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked above")]
@@ -139,27 +140,28 @@
 }
 
 fn required_address(reader: &mut IniFile<'_>, key: &str) -> SocketAddr {
-    let unset: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let unspecified: SocketAddr = ([127, 0, 0, 1], 0).into();
     if reader.text("box", key).is_none() {
         reader.find_at("box", "", format!("[box] has no {key}"));
-        return unset;
+        return unspecified;
     }
-    reader.optional("box", key, unset)
+    reader.optional("box", key, unspecified)
 }
 
-/// The seeds' addresses; a port beside one is of no use and is dropped.
+/// Reads the addresses of the seeds; ports are accepted and ignored.
 fn seeds(reader: &mut IniFile<'_>) -> Vec<IpAddr> {
     let mut seeds = Vec::new();
     for seed in reader.list("box", "seeds") {
         let host = seed.rsplit_once(':').map_or(seed.as_str(), |(host, _)| host);
         match host.parse() {
             Ok(address) => seeds.push(address),
-            Err(_) => reader.find_at("box", "seeds", format!("seeds: '{seed}' is no address")),
+            Err(_) => reader.find_at("box", "seeds", format!("seeds: invalid address '{seed}'")),
         }
     }
     seeds
 }
 
+/// The keys that a section may have.
 fn known_keys(section: &str) -> &'static [&'static str] {
     match section {
         "box" => &["name", "hall", "clients", "ready", "peers", "metrics", "seeds", "cores"],
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -1,9 +1,10 @@
-//! Space in the stores of context: frees parts of weights that no engine has
-//! any more, and parts whose writing broke off.
+//! Frees space in the context stores: parts computed with weights that no engine has any more,
+//! and parts that were only written in part.
 //!
-//! A part is freed only when no transfer that may name it can still run: when no box reads
-//! it any more (`release`), or when every engine has had the newer weights for longer than
-//! any transfer takes. The latter comes too, for what old engines have saved meanwhile.
+//! A part is freed only when no transfer that may involve it can still be running: when no box
+//! reads it any more (`decisions::release`), or when every engine has had newer weights for
+//! longer than any transfer takes. The second condition is needed as well, for parts that
+//! engines with the old weights have saved after the first one held.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -22,43 +23,46 @@
 use crate::names::number;
 use crate::platform::keys;
 
-/// How often stores are looked through for parts whose writing broke off.
+/// Interval at which stores are checked for parts whose writing was aborted.
 const PARTIAL_PERIOD_MS: u64 = 6000;
-/// Time after which a part that did not grow is taken as broken off.
-const BROKEN_OFF_MS: u64 = 5000;
-/// Parts that are freed with one call.
+/// Time without growth after which the writing of a part is considered aborted.
+const ABORTED_AFTER_MS: u64 = 5000;
+/// Maximum number of parts freed by one call.
 const FREE_BATCH: usize = 256;
-/// Named versions that are remembered: more than follow each other in a roll-out.
+/// Number of named weights versions that are remembered: more than can follow each other within
+/// one roll-out.
 const REMEMBERED_NAMINGS: usize = 16;
-/// Time in which an order to free must arrive.
-const FREE_MS: u64 = 800;
+/// Time within which an order to free parts must arrive.
+const FREE_ORDER_TIMEOUT_MS: u64 = 800;
 
-/// What the holder remembers of the stores.
+/// What the leader remembers between two clean-ups.
 #[derive(Default)]
 pub struct StoreCleanup {
     boxes: KnownBoxes,
     namings: Vec<ContextRelease>,
-    settled_at_ms: HashMap<String, u64>,
-    /// Oldest version that may still be read, by model.
-    oldest_read: HashMap<String, u64>,
-    partial_looked_at_ms: u64,
+    /// When all engines of a model were first seen with its newest weights, by model.
+    all_newest_since_ms: HashMap<String, u64>,
+    /// Oldest weights version whose context may still be read, by model.
+    oldest_readable: HashMap<String, u64>,
+    partial_checked_at_ms: u64,
+    /// Incomplete parts, by store, each with its length and since when it has this length.
     partial: HashMap<(String, PartKey), (u32, u64)>,
 }
 
 impl StoreCleanup {
-    /// Frees what is due.
+    /// Frees the parts that are due.
     pub async fn step(&mut self, gateway: &Arc<Gateway>, socket: &UdpSocket, fence: u64) {
         let now_ms = now_ms();
         if !may_order_stores(gateway, now_ms) {
             return;
         }
-        let more_is_old = self.note_old(gateway, now_ms);
-        let look_for_partial = now_ms >= self.partial_looked_at_ms + PARTIAL_PERIOD_MS;
-        if !more_is_old && !look_for_partial {
+        let has_more_outdated = self.update_oldest_readable(gateway, now_ms);
+        let check_partial = now_ms >= self.partial_checked_at_ms + PARTIAL_PERIOD_MS;
+        if !has_more_outdated && !check_partial {
             return;
         }
-        if look_for_partial {
-            self.partial_looked_at_ms = now_ms;
+        if check_partial {
+            self.partial_checked_at_ms = now_ms;
         }
         for (name, address) in managed_stores(gateway) {
             match gateway.caches.list(address).await {
@@ -74,27 +78,28 @@
         }
     }
 
-    /// Notes whose old context can be freed; whether that is more than before.
-    fn note_old(&mut self, gateway: &Gateway, now_ms: u64) -> bool {
-        let mut more = false;
+    /// Updates the oldest readable version of each model; returns whether any has risen.
+    fn update_oldest_readable(&mut self, gateway: &Gateway, now_ms: u64) -> bool {
+        let mut has_risen = false;
         let state = gateway.state();
         self.note_namings(&state, now_ms);
-        let mut old = self.unread(now_ms);
-        old.extend(self.settled(&state, now_ms));
-        for (model, version) in old {
-            let oldest = self.oldest_read.entry(model).or_default();
-            more |= version > *oldest;
+        let mut oldest_readable = self.released(now_ms);
+        oldest_readable.extend(self.loaded_by_all(&state, now_ms));
+        for (model, version) in oldest_readable {
+            let oldest = self.oldest_readable.entry(model).or_default();
+            has_risen |= version > *oldest;
             *oldest = version.max(*oldest);
         }
-        more
+        has_risen
     }
 
-    /// Takes named versions, and notes which boxes have learned of them.
+    /// Remembers newly named weights versions, and notes which boxes have learned of them.
     fn note_namings(&mut self, state: &State, now_ms: u64) {
         self.boxes.note(now_ms, state.peers.addresses());
         for (model, named) in &state.weights {
             let version = named.newest();
-            let is_known = |one: &ContextRelease| one.model == *model && one.version >= version;
+            let is_known =
+                |naming: &ContextRelease| naming.model == *model && naming.version >= version;
             let written = state.view.get(&keys::weights(model));
             if let Some(written) = written
                 && !self.namings.iter().any(is_known)
@@ -117,72 +122,75 @@
         }
     }
 
-    /// Models with the oldest version that boxes may read from stores.
-    fn unread(&self, now_ms: u64) -> Vec<(String, u64)> {
-        let over = self.namings.iter().filter(|naming| naming.is_safe(now_ms));
-        over.map(|naming| (naming.model.clone(), naming.version)).collect()
+    /// Models with the oldest version whose context boxes may still read from stores.
+    fn released(&self, now_ms: u64) -> Vec<(String, u64)> {
+        let released = self.namings.iter().filter(|naming| naming.is_safe(now_ms));
+        released.map(|naming| (naming.model.clone(), naming.version)).collect()
     }
 
-    /// Models whose engines have all had the newest version for longer than any transfer.
-    fn settled(&mut self, state: &State, now_ms: u64) -> Vec<(String, u64)> {
-        let mut settled = Vec::new();
+    /// Models all of whose engines have had the newest version for longer than any transfer
+    /// takes, with that version.
+    fn loaded_by_all(&mut self, state: &State, now_ms: u64) -> Vec<(String, u64)> {
+        let mut loaded = Vec::new();
         for (model, named) in &state.weights {
             let newest = named.newest();
             let mut engines = state.upstreams.current();
-            if engines.any(|one| (1..newest).contains(&one.weight_version(model))) {
-                self.settled_at_ms.remove(model);
+            if engines.any(|engine| (1..newest).contains(&engine.weight_version(model))) {
+                self.all_newest_since_ms.remove(model);
                 continue;
             }
-            let settled_at_ms = *self.settled_at_ms.entry(model.clone()).or_insert(now_ms);
-            if now_ms >= settled_at_ms + MAX_TRANSFER_MS {
-                settled.push((model.clone(), newest));
+            let since_ms = *self.all_newest_since_ms.entry(model.clone()).or_insert(now_ms);
+            if now_ms >= since_ms + MAX_TRANSFER_MS {
+                loaded.push((model.clone(), newest));
             }
         }
-        settled
+        loaded
     }
 
+    /// The parts of a store that can be freed, by its listing.
     fn parts_to_free(
         &mut self,
         now_ms: u64,
         store: &str,
         listing: &CacheListing,
     ) -> Vec<CachedPart> {
-        let is_old = |kept: &CachedPart| {
+        let is_outdated = |kept: &CachedPart| {
             let version = scope_version(&kept.scope);
-            let oldest = scope_model(&kept.scope).and_then(|model| self.oldest_read.get(model));
-            oldest.is_some_and(|oldest| version.is_some_and(|one| one < *oldest))
+            let oldest = scope_model(&kept.scope).and_then(|model| self.oldest_readable.get(model));
+            oldest.is_some_and(|oldest| version.is_some_and(|version| version < *oldest))
         };
         let mut parts: Vec<CachedPart> = listing
             .complete
             .iter()
             .map(|held| &held.part)
-            .filter(|kept| is_old(kept))
+            .filter(|kept| is_outdated(kept))
             .cloned()
             .collect();
-        let mut seen = HashSet::new();
+        let mut listed = HashSet::new();
         for partial in &listing.partial {
             let key = (store.to_owned(), PartKey::new(&partial.part.scope, &partial.part.part_id));
-            seen.insert(key.clone());
+            listed.insert(key.clone());
             let known = self.partial.entry(key).or_insert((partial.complete_tokens, now_ms));
             if known.0 != partial.complete_tokens {
                 *known = (partial.complete_tokens, now_ms);
             }
-            if now_ms >= known.1 + BROKEN_OFF_MS {
+            if now_ms >= known.1 + ABORTED_AFTER_MS {
                 parts.push(partial.part.clone());
             }
         }
-        self.partial.retain(|key, _| key.0 != store || seen.contains(key));
+        self.partial.retain(|key, _| key.0 != store || listed.contains(key));
         parts
     }
 }
 
+/// The context stores whose space the gateway manages.
 fn managed_stores(gateway: &Gateway) -> Vec<(String, SocketAddr)> {
     let state = gateway.state();
     let managed = state.stores.iter().filter(|(store, _)| store.managed);
     managed.map(|(store, _)| (store.name.clone(), store.address)).collect()
 }
 
-/// Whether no leader before this one may have ordered a store lately.
+/// Whether the pause after orders of earlier leaders to any managed store is over.
 fn may_order_stores(gateway: &Gateway, now_ms: u64) -> bool {
     let state = gateway.state();
     let bounds = &gateway.settings.bounds;
@@ -190,7 +198,7 @@
     managed.all(|(store, _)| claims::may_order(&state, bounds, now_ms, number(&store.name)))
 }
 
-/// A store that is to free parts.
+/// A store in which parts are to be freed.
 #[derive(Clone, Copy)]
 struct ManagedStore<'a> {
     name: &'a str,
@@ -199,6 +207,7 @@
     fence: u64,
 }
 
+/// Orders a store to free parts, batch by batch.
 async fn free(
     gateway: &Gateway,
     socket: &UdpSocket,
@@ -208,7 +217,7 @@
 ) {
     let ManagedStore { name, address, fence } = store;
     for batch in parts.chunks(FREE_BATCH) {
-        if !claimed(gateway, socket, store).await {
+        if !claim_store(gateway, socket, store).await {
             return;
         }
         let now_ms = now_ms();
@@ -217,13 +226,13 @@
             (state.leads(now_ms, fence), state.upstream_clock_offset_ms)
         };
         let Some(ahead_ms) = ahead_ms.filter(|_| allowed) else { return };
-        let until_ms = now_ms.saturating_add_signed(ahead_ms) + FREE_MS;
+        let until_ms = now_ms.saturating_add_signed(ahead_ms) + FREE_ORDER_TIMEOUT_MS;
         match gateway.caches.free(address, batch, listing.boot_epoch, until_ms).await {
             Ok(FreeOutcome::Freed) => {
                 info!(target: "leader", "event=parts_freed store={name} count={}", batch.len());
-                if let Some((_, state)) = gateway.state().stores.get_mut(name) {
+                if let Some((_, store)) = gateway.state().stores.get_mut(name) {
                     for kept in batch {
-                        state.holder.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
+                        store.holder.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
                     }
                 }
             }
@@ -237,8 +246,8 @@
     }
 }
 
-/// Writes down that a store may be ordered; whether it may.
-async fn claimed(gateway: &Gateway, socket: &UdpSocket, store: ManagedStore<'_>) -> bool {
+/// Claims a store; returns whether this box may send it orders.
+async fn claim_store(gateway: &Gateway, socket: &UdpSocket, store: ManagedStore<'_>) -> bool {
     let target = number(store.name);
     match claims::claim(gateway, socket, store.fence, target).await {
         Ok(claimed) => claimed,
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -87,7 +87,7 @@
     for finding in [
         ":1: [box] has no hall",
         ":3: clients: 'nowhere' cannot be read",
-        ":4: seeds: 'what' is no address",
+        ":4: seeds: invalid address 'what'",
         ":5: 'colour' is not known in [box]",
         ":7: stop_s: 'soon' cannot be read",
         "[platform] has no address",
--- a/tests/gateway_settings.rs
+++ b/tests/gateway_settings.rs
@@ -30,7 +30,9 @@
 #[test]
 fn nonsense_found() {
     let error = settings("stop_s = -1\nlease_ms = soon\nretry_window_s = NaN").unwrap_err();
-    for finding in ["stop_s: it is no duration", "lease_ms: 'soon'", "retry_window_s: it is no"] {
+    for finding in
+        ["stop_s: not a valid duration", "lease_ms: 'soon'", "retry_window_s: not a valid"]
+    {
         assert!(error.contains(finding), "{finding} in {error}");
     }
 }
