--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -25,7 +25,7 @@
 use crate::gateway::settings::Bounds;
 use crate::gateway::{claims, entries, members, quarantine};
 use crate::phase::Phase;
-use crate::platform::keys::{self, Kind};
+use crate::platform::keys::{self, KeyKind};
 
 /// A watch waits for at most this fraction (1/n) of the time in which a change must be in
 /// force.
@@ -274,12 +274,12 @@
 
 /// Whether the gateway uses the item with this key.
 fn is_covered(key: &str) -> bool {
-    keys::kind(key) != Kind::Other
+    keys::kind(key) != KeyKind::Other
 }
 
 /// Whether the item disappears by itself when its writer stops renewing it.
 fn lapses(key: &str) -> bool {
-    matches!(keys::kind(key), Kind::Upstream { .. })
+    matches!(keys::kind(key), KeyKind::Upstream { .. })
 }
 
 fn note_store_answered(gateway: &Gateway) {
@@ -350,26 +350,29 @@
             ViewChange::Removed { key } => (key, None),
         };
         match (keys::kind(key), value) {
-            (Kind::Configuration, Some(value)) => {
+            (KeyKind::Configuration, Some(value)) => {
                 upstreams_changed |= apply_configuration(state, value);
             }
-            (Kind::Weights { model }, Some(value)) => {
+            (KeyKind::Weights { model }, Some(value)) => {
                 apply_weights_version(state, now_ms, named, model, value);
             }
-            (Kind::Upstream { id }, Some(value)) => {
+            (KeyKind::Upstream { id }, Some(value)) => {
                 upstreams_changed |= entries::apply(gateway, state, now_ms, id, value);
             }
-            (Kind::Upstream { id }, None) => {
+            (KeyKind::Upstream { id }, None) => {
                 info!(target: "follow", "event=upstream_gone upstream={id}");
                 entries::remove(gateway, state, now_ms, id);
                 upstreams_changed = true;
             }
-            (Kind::Configuration | Kind::Weights { .. }, None) => {
+            (KeyKind::Configuration | KeyKind::Weights { .. }, None) => {
                 warn!(target: "follow", "event=removal_ignored key={key} reason=never_reverts");
             }
-            (Kind::Members, Some(value)) => members::apply(gateway, &mut state.peers, value),
-            (Kind::Quarantine, Some(value)) => quarantine::restore(gateway, state, now_ms, value),
-            (Kind::Members | Kind::Quarantine, None) | (Kind::Own | Kind::Other, _) => {}
+            (KeyKind::Members, Some(value)) => members::apply(gateway, &mut state.peers, value),
+            (KeyKind::Quarantine, Some(value)) => {
+                quarantine::restore(gateway, state, now_ms, value)
+            }
+            (KeyKind::Members | KeyKind::Quarantine, None) | (KeyKind::Own | KeyKind::Other, _) => {
+            }
         }
     }
     if upstreams_changed {
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -1,5 +1,5 @@
-//! What engines and stores tell of the context that they keep, and the calls
-//! that free it.
+//! Calls to engines and context stores about the context that they hold: its changes, its full
+//! list, and the order to free parts of it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,18 +14,19 @@
 use crate::gateway::decisions::cache_reports::{
     CacheChange, CacheChanges, CacheListing, CachedPart, FreeOutcome, PartialPart,
 };
-use crate::platform::http::{HttpClient, decoded, whole_ms};
+use crate::platform::http::{HttpClient, decode, floor_ms};
 
-/// Time for which a call for events waits; calls that wait 200 ms or more cost
-/// nothing.
+/// Time for which a call for events waits if there are none; calls that wait 200 ms or more
+/// cost the holder nothing.
 pub const EVENTS_WAIT_MS: u64 = 1000;
-/// Time in which a call must be answered beyond its wait.
+/// Time in which a call must be answered, in addition to its wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// What no clock shows, in Unix milliseconds: the year 10000, so that no sum with a
-/// difference of clocks overflows.
-const MOST_CLOCK_MS: f64 = 253_402_300_800_000.0;
+/// Upper limit for clock readings, in Unix milliseconds: the year 10000, so that adding a clock
+/// difference does not overflow.
+const MAX_CLOCK_MS: f64 = 253_402_300_800_000.0;
 
-/// An item of a list. Each is read by itself: what another writer put there spoils no other.
+/// An item of a list. Items are decode one by one, so that an invalid item does not make the
+/// others unreadable.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum Item<T> {
@@ -33,12 +34,12 @@
     Unreadable(IgnoredAny),
 }
 
-/// Number, sign, scope, part, tokens that are kept now, model. The sign says no more than
-/// the tokens.
+/// Number, sign, scope, part, tokens now held, model. The sign adds nothing to the number of
+/// tokens and is ignored.
 type Event = (u64, String, String, String, u32, String);
-/// Scope, part, tokens, model.
+/// Scope, part, number of tokens, model.
 type Held = (String, String, u32, String);
-/// Scope, part, whole tokens, all tokens.
+/// Scope, part, number of complete tokens, number of all tokens.
 type Partial = (String, String, u32, u32);
 
 #[derive(Deserialize)]
@@ -51,7 +52,7 @@
     #[serde(default)]
     events: Vec<Item<Event>>,
     clock_ms: Option<f64>,
-    /// Unix milliseconds of its start.
+    /// Start of the holder's process, in Unix milliseconds.
     born: Option<u64>,
 }
 
@@ -72,56 +73,56 @@
     until_ms: u64,
 }
 
-/// Calls to engines and stores about kept context.
+/// HTTP client for the context that engines and stores hold.
 #[derive(Clone)]
 pub struct CacheClient {
     http: HttpClient,
 }
 
 impl CacheClient {
-    /// Calls over `http`.
+    /// Creates a client that uses `http`.
     #[must_use]
     pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
-    /// Waits for changes after `since`.
+    /// Waits for changes after the position `since`.
     ///
     /// # Errors
-    /// Fails when the holder does not answer as it should.
+    /// Fails when the holder does not answer in time, or not with a valid answer.
     pub async fn changes(&self, address: SocketAddr, since: u64) -> Result<CacheChanges> {
         let url = format!("http://{address}/coursestile/kv-events?since={since}");
         let timeout = CALL_TIMEOUT + Duration::from_millis(EVENTS_WAIT_MS);
         let request = self.http.get(&url).header("Wait-Ms", EVENTS_WAIT_MS).timeout(timeout);
-        read_changes(address, &self.bytes(request).await?)
+        read_changes(address, &self.fetch(request).await?)
     }
 
-    /// Lists all that is kept. Engines stop working meanwhile.
+    /// Lists all context of a holder. Engines stop working while they answer.
     ///
     /// # Errors
-    /// Fails when the holder does not answer as it should.
+    /// Fails when the holder does not answer in time, or not with a valid answer.
     pub async fn list(&self, address: SocketAddr) -> Result<CacheListing> {
         let url = format!("http://{address}/coursestile/kv-list");
-        let body = self.bytes(self.http.get(&url).timeout(CALL_TIMEOUT)).await?;
+        let body = self.fetch(self.http.get(&url).timeout(CALL_TIMEOUT)).await?;
         read_listing(address, &body)
     }
 
-    /// Sends a call; the body of its answer.
-    async fn bytes(&self, request: RequestBuilder) -> Result<Bytes> {
+    /// Sends a call and returns the body of the answer.
+    async fn fetch(&self, request: RequestBuilder) -> Result<Bytes> {
         let answer = self.http.send(request).await?;
-        // Each holder serves a few such calls at once.
+        // A holder serves only a few such calls at the same time.
         if answer.status() == StatusCode::TOO_MANY_REQUESTS {
             return Err(Error::Busy(answer.url().to_string()));
         }
         self.http.bytes(self.http.success(answer)?).await
     }
 
-    /// Frees parts of a store, unless it has restarted since `boot` or
-    /// `until_ms` on the upstreams' clock is over when the call arrives.
+    /// Frees parts of a store, unless it has restarted since `boot`, or the call arrives after
+    /// `until_ms` by the upstreams' clock.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should; the parts may be
-    /// freed all the same, until `until_ms`.
+    /// Fails when the store does not answer in time, or not with a valid answer; the parts may
+    /// still be freed until `until_ms`.
     pub async fn free(
         &self,
         address: SocketAddr,
@@ -142,15 +143,15 @@
     }
 }
 
-/// Reads the changes that a holder tells.
+/// Decodes the changes that a holder reports.
 ///
 /// # Errors
-/// Fails when they are not such; an event that is none makes a gap.
+/// Fails when the body is invalid. An invalid event does not fail, but counts as a gap.
 pub fn read_changes(holder: SocketAddr, body: &[u8]) -> Result<CacheChanges> {
-    let body: EventsBody = decoded(body)?;
-    let told = body.events.len();
+    let body: EventsBody = decode(body)?;
+    let reported = body.events.len();
     let events = readable(holder, body.events);
-    let all_read = events.len() == told;
+    let all_read = events.len() == reported;
     let changes = events.into_iter().map(|(_, _, scope, part, tokens, _)| CacheChange {
         part: CachedPart { scope, part_id: part },
         tokens,
@@ -165,12 +166,12 @@
     })
 }
 
-/// Reads a holder's list of all that it keeps.
+/// Decodes a holder's list of all its context.
 ///
 /// # Errors
-/// Fails when it is none; an item that is no part is left out.
+/// Fails when the body is invalid. An invalid item does not fail, but is left out.
 pub fn read_listing(holder: SocketAddr, body: &[u8]) -> Result<CacheListing> {
-    let body: ListBody = decoded(body)?;
+    let body: ListBody = decode(body)?;
     let held = readable(holder, body.held).into_iter().map(|(scope, part, tokens, _)| {
         CacheChange { part: CachedPart { scope, part_id: part }, tokens }
     });
@@ -186,9 +187,9 @@
     })
 }
 
-/// The items that can be read.
+/// The items that could be decode; the others are logged and counted.
 fn readable<T>(holder: SocketAddr, items: Vec<Item<T>>) -> Vec<T> {
-    let told = items.len();
+    let item_count = items.len();
     let read: Vec<T> = items
         .into_iter()
         .filter_map(|item| match item {
@@ -196,18 +197,18 @@
             Item::Unreadable(_) => None,
         })
         .collect();
-    if read.len() < told {
-        let count = told - read.len();
+    if read.len() < item_count {
+        let count = item_count - read.len();
         warn!(target: "caches", "event=items_unreadable holder={holder} count={count}");
         metrics::counter!("coursestile_items_unreadable_total").increment(count as u64);
     }
     read
 }
 
-/// A clock in whole milliseconds, if it can be one.
+/// Converts a clock reading to whole milliseconds; `None` if it is out of range.
 fn read_clock(holder: SocketAddr, clock_ms: f64) -> Option<u64> {
-    if (0.0..MOST_CLOCK_MS).contains(&clock_ms) {
-        return Some(whole_ms(clock_ms));
+    if (0.0..MAX_CLOCK_MS).contains(&clock_ms) {
+        return Some(floor_ms(clock_ms));
     }
     warn!(target: "caches", "event=clock_unreadable holder={holder} clock_ms={clock_ms}");
     None
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -1,6 +1,6 @@
-//! The operators' configuration document and the named weight versions.
+//! Decodes the operators' configuration document and the named weights versions.
 //!
-//! Fields that are not known here are skipped.
+//! Unknown fields are ignored.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
     Account, ClientLimits, EngineSpec, Repeat, Route, Service, Site, Store, Target,
 };
 
-/// Longest time of a request whose route names none.
+/// Time-out of requests on a route without one.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
-/// Latency objective of a route that names none.
-const DEFAULT_AIM_MS: u64 = 1000;
+/// Latency objective of a route without one.
+const DEFAULT_LATENCY_OBJECTIVE_MS: u64 = 1000;
 
 #[derive(Deserialize)]
 struct Document {
@@ -36,7 +36,7 @@
     kind: DocumentKind,
     #[serde(default)]
     timeout_ms: Option<f64>,
-    /// Time within which an answer, or its first event, is wanted.
+    /// Latency objective: time within which the answer, or its first event, should arrive.
     slo_ms: Option<f64>,
     #[serde(default)]
     priority: u8,
@@ -65,14 +65,14 @@
     weight: f64,
 }
 
-/// A service of upstreams, or one store of kept context.
+/// A service that upstreams provide, or one context store.
 #[derive(Deserialize)]
 struct DocumentService {
     name: String,
     #[serde(default)]
     max_conns: Option<u32>,
     engine: Option<DocumentEngine>,
-    /// Address of a store; absent for a service of upstreams.
+    /// Address of the context store; absent for a service.
     kv_store: Option<SocketAddr>,
     #[serde(default)]
     zone: String,
@@ -90,14 +90,14 @@
 struct DocumentEngine {
     #[serde(default)]
     slots: u32,
-    /// Tokens that fit its memory, kept and in use.
+    /// Number of tokens that fit into its memory, both in use and cached.
     #[serde(default)]
     kv_capacity: u64,
     #[serde(default)]
     kv_token_bytes: f64,
     #[serde(default)]
     link_mbps: f64,
-    /// Whether a source may be named for each part of a prompt.
+    /// Whether requests may name a source of context for each part of the prompt.
     #[serde(default)]
     managed: bool,
 }
@@ -121,7 +121,7 @@
 }
 
 #[derive(Deserialize)]
-struct NamedWeights {
+struct WeightsDocument {
     version: u64,
 }
 
@@ -129,7 +129,7 @@
     1
 }
 
-/// Reads the configuration.
+/// Decodes the configuration.
 pub(super) fn site(bytes: &[u8]) -> serde_json::Result<Site> {
     let document: Document = serde_json::from_slice(bytes)?;
     let mut site = Site::default();
@@ -149,16 +149,16 @@
     Ok(site.indexed())
 }
 
-/// Reads a named weight version.
+/// Decodes a named weights version.
 pub(super) fn weights(bytes: &[u8]) -> serde_json::Result<u64> {
-    serde_json::from_slice::<NamedWeights>(bytes).map(|named| named.version)
+    serde_json::from_slice::<WeightsDocument>(bytes).map(|document| document.version)
 }
 
 fn route(route: DocumentRoute) -> Route {
     let mut targets: Vec<Target> = route
         .split
         .into_iter()
-        .map(|target| Target { service: target.service, weight: whole(target.weight * 1000.0) })
+        .map(|target| Target { service: target.service, weight: rounded(target.weight * 1000.0) })
         .collect();
     if let Some(service) = route.service.filter(|_| targets.is_empty()) {
         targets.push(Target { service, weight: 1 });
@@ -174,8 +174,8 @@
             (DocumentKind::Streaming, false) => Repeat::StreamOnce,
             (DocumentKind::Streaming, true) => Repeat::StreamResumable,
         },
-        timeout_ms: route.timeout_ms.map_or(DEFAULT_TIMEOUT_MS, whole_ms),
-        latency_objective_ms: route.slo_ms.map_or(DEFAULT_AIM_MS, whole_ms),
+        timeout_ms: route.timeout_ms.map_or(DEFAULT_TIMEOUT_MS, rounded_ms),
+        latency_objective_ms: route.slo_ms.map_or(DEFAULT_LATENCY_OBJECTIVE_MS, rounded_ms),
         attempts: route.max_attempts.max(1),
         priority: route.priority,
         public: route.public,
@@ -198,7 +198,7 @@
     EngineSpec {
         slots: engine.slots,
         memory_tokens: engine.kv_capacity,
-        token_bytes: u64::from(whole(engine.kv_token_bytes)),
+        token_bytes: u64::from(rounded(engine.kv_token_bytes)),
         link_mbps: engine.link_mbps,
         per_part_sources: engine.managed,
     }
@@ -209,8 +209,8 @@
     ClientLimits {
         max_header_bytes: limits.max_header_bytes.unwrap_or(default.max_header_bytes),
         max_body_bytes: limits.max_body_bytes.unwrap_or(default.max_body_bytes),
-        header_timeout_ms: limits.header_timeout_ms.map_or(default.header_timeout_ms, whole_ms),
-        idle_timeout_ms: limits.idle_timeout_ms.map_or(default.idle_timeout_ms, whole_ms),
+        header_timeout_ms: limits.header_timeout_ms.map_or(default.header_timeout_ms, rounded_ms),
+        idle_timeout_ms: limits.idle_timeout_ms.map_or(default.idle_timeout_ms, rounded_ms),
     }
 }
 
@@ -223,12 +223,12 @@
     }
 }
 
-/// A figure that the document may write with a fraction, rounded.
+/// Rounds a number that the document may give with a fraction; out-of-range values are clamped.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped before")]
-fn whole(figure: f64) -> u32 {
-    figure.round().clamp(0.0, f64::from(u32::MAX)) as u32
+fn rounded(value: f64) -> u32 {
+    value.round().clamp(0.0, f64::from(u32::MAX)) as u32
 }
 
-fn whole_ms(figure_ms: f64) -> u64 {
-    u64::from(whole(figure_ms))
+fn rounded_ms(value_ms: f64) -> u64 {
+    u64::from(rounded(value_ms))
 }
--- a/src/platform/engine.rs
+++ b/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! Reports of model engines, and the orders that change their weights.
+//! Calls to model engines: to fetch their reports, and to order a change of their weights.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
 use crate::platform::entry::Model;
 use crate::platform::headers;
-use crate::platform::http::{HttpClient, decoded};
+use crate::platform::http::{HttpClient, decode};
 
-/// Time in which a report or an order must be answered.
+/// Time in which an engine must answer a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(600);
 
 #[derive(Deserialize)]
@@ -21,10 +21,10 @@
     models: Vec<Model>,
     #[serde(default)]
     busy: bool,
-    /// Orders taken.
+    /// Number of orders that the engine has accepted.
     #[serde(default)]
     seq: u64,
-    /// Unix milliseconds of its start.
+    /// Start of the engine's process, in Unix milliseconds.
     born: Option<u64>,
 }
 
@@ -33,41 +33,41 @@
     op: &'static str,
     model: &'a str,
     version: u64,
-    /// What happens to runs: `queue` lets them end first.
+    /// What happens to running requests: `queue` lets them finish first.
     mode: &'static str,
     holder: &'a str,
     fence: u64,
     expected: u64,
 }
 
-/// Calls to model engines.
+/// HTTP client for model engines.
 #[derive(Clone)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 impl EngineClient {
-    /// Calls over `http`.
+    /// Creates a client that uses `http`.
     #[must_use]
     pub fn new(http: HttpClient) -> Self {
         Self { http }
     }
 
-    /// Asks for an engine's report.
+    /// Fetches an engine's report.
     ///
     /// # Errors
-    /// Fails when the engine does not answer as it should.
+    /// Fails when the engine does not answer in time, or not with a valid report.
     pub async fn report(&self, address: SocketAddr) -> Result<EngineReport> {
         let url = format!("http://{address}/coursestile/report");
         let answer = self.http.send(self.http.get(&url).timeout(CALL_TIMEOUT)).await?;
         read_report(&self.http.bytes(self.http.success(answer)?).await?)
     }
 
-    /// Gives an order.
+    /// Orders an engine to change its weights.
     ///
     /// # Errors
-    /// Fails when the engine does not answer as it should; it may have taken
-    /// the order, or may carry it out later.
+    /// Fails when the engine does not answer in time, or with an unexpected status; it may have
+    /// accepted the order, or may still execute it later.
     pub async fn order(
         &self,
         address: SocketAddr,
@@ -97,12 +97,12 @@
     }
 }
 
-/// Reads an engine's report.
+/// Decodes an engine's report.
 ///
 /// # Errors
-/// Fails when it is none.
+/// Fails when the body is invalid.
 pub fn read_report(body: &[u8]) -> Result<EngineReport> {
-    let body: ReportBody = decoded(body)?;
+    let body: ReportBody = decode(body)?;
     Ok(EngineReport {
         models: body.models.into_iter().map(|model| (model.name, model.version)).collect(),
         busy: body.busy,
--- a/src/platform/entry.rs
+++ b/src/platform/entry.rs
@@ -1,4 +1,4 @@
-//! What an upstream tells of itself in the metadata store.
+//! Decodes the entry that each upstream writes in the metadata store.
 
 use std::net::SocketAddr;
 
@@ -6,29 +6,30 @@
 
 use crate::gateway::decisions::upstream::UpstreamEntry;
 
-/// The entry as every upstream writes it: one that lacks a field, or has it of another
-/// type, is not its own.
+/// An entry as every upstream writes it. A value that lacks a field, or has a field of another
+/// type, was not written by an upstream and is rejected.
 #[derive(Deserialize)]
-struct Written {
+struct EntryBody {
     service: String,
-    /// IP and port.
+    /// IP address and port.
     addr: SocketAddr,
     /// Data hall.
     zone: String,
-    /// Version of its software, of no concern here.
+    /// Version of its software; must be present, but is not used.
     #[serde(rename = "version")]
     _software: String,
     slots: u32,
     state: State,
-    /// How long it is still slow from its start, in milliseconds.
+    /// How long it will still be slow after its start, in milliseconds; must be present, but is
+    /// not used.
     #[serde(rename = "cold_left_ms")]
     _cold_left_ms: f64,
-    /// Orders taken.
+    /// Number of orders that it has accepted; must be present, but is not used.
     #[serde(rename = "seq")]
     _orders_taken: u64,
     #[serde(default)]
     models: Vec<Model>,
-    /// Unix milliseconds of its start.
+    /// Start of its process, in Unix milliseconds.
     born: Option<u64>,
 }
 
@@ -46,16 +47,16 @@
     pub(super) version: u64,
 }
 
-/// Reads an entry.
+/// Decodes an entry.
 pub(super) fn entry(bytes: &[u8]) -> serde_json::Result<UpstreamEntry> {
-    let written: Written = serde_json::from_slice(bytes)?;
+    let body: EntryBody = serde_json::from_slice(bytes)?;
     Ok(UpstreamEntry {
-        service: written.service,
-        address: written.addr,
-        hall: written.zone,
-        slots: written.slots,
-        leaving: written.state == State::Draining,
-        models: written.models.into_iter().map(|model| (model.name, model.version)).collect(),
-        started_at_ms: written.born,
+        service: body.service,
+        address: body.addr,
+        hall: body.zone,
+        slots: body.slots,
+        leaving: body.state == State::Draining,
+        models: body.models.into_iter().map(|model| (model.name, model.version)).collect(),
+        started_at_ms: body.born,
     })
 }
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -1,5 +1,4 @@
-//! Requests and answers on the wire: decoded from clients and upstreams into
-//! typed views, and encoded towards them.
+//! Converts the heads of HTTP requests and answers to and from the types of the gateway.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -13,7 +12,7 @@
 use crate::gateway::heads::{ForwardHead, RequestHead, ResponseHead};
 use crate::platform::headers;
 
-/// Headers that concern one connection only.
+/// Headers that apply to a single connection and are not forwarded.
 const HOP_BY_HOP: [HeaderName; 9] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -26,7 +25,7 @@
     header::UPGRADE,
 ];
 
-/// Reads what a client's request says.
+/// Decodes the head of a client's request.
 #[must_use]
 pub fn request_head(uri: &Uri, head: &HeaderMap) -> RequestHead {
     let host = text(head, &header::HOST).or_else(|| uri.authority().map(Authority::as_str));
@@ -42,12 +41,12 @@
         request_id: text(head, &headers::REQUEST_ID).map(str::to_owned),
         host: host.map(|host| host.split(':').next().unwrap_or(host).to_ascii_lowercase()),
         api_key: text(head, &headers::API_KEY).map(str::to_owned),
-        timeout_ms: text(head, &headers::TIME_LEFT_MS).and_then(whole_ms),
+        timeout_ms: text(head, &headers::TIME_LEFT_MS).and_then(parse_ms),
         prompt,
     }
 }
 
-/// The request as an upstream gets it.
+/// Builds the request that is sent to an upstream.
 #[must_use]
 pub fn upstream_request(
     method: &Method,
@@ -84,6 +83,7 @@
     request
 }
 
+/// Sets the headers that tell an engine which context to fetch and where to save it.
 fn set_context(head: &mut HeaderMap, context: &ContextPlan, until_ms: Option<u64>) {
     set(head, headers::CONTEXT_SCOPE, &context.scope);
     head.insert(headers::WEIGHT_VERSION, HeaderValue::from(context.version));
@@ -100,13 +100,14 @@
         head.insert(headers::CONTEXT_UNTIL_MS, HeaderValue::from(until_ms));
     }
     if context.saves.iter().any(Option::is_some) {
-        let saves = context.saves.iter().map(|save| save.as_ref().map(|one| one.address.as_str()));
+        let saves =
+            context.saves.iter().map(|save| save.as_ref().map(|save| save.address.as_str()));
         set(head, headers::CONTEXT_DESTINATIONS, &addresses(context, saves));
     }
 }
 
-/// Addresses as a header has them: one for each part (`-` for none), or the one
-/// that there is.
+/// Formats addresses for a header: one for each part, or `-` where there is none. For an engine
+/// that takes one address for the whole prompt, it is the first one.
 fn addresses<'a>(context: &ContextPlan, parts: impl Iterator<Item = Option<&'a str>>) -> String {
     if context.per_part_sources {
         let parts: Vec<&str> = parts.map(|address| address.unwrap_or("-")).collect();
@@ -115,7 +116,7 @@
     parts.flatten().next().unwrap_or("-").to_owned()
 }
 
-/// Reads what an upstream's answer says.
+/// Decodes the head of an upstream's answer.
 #[must_use]
 pub fn answer_head(status: StatusCode, head: &HeaderMap) -> ResponseHead {
     let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
@@ -130,25 +131,27 @@
     }
 }
 
+/// Whether the upstream announces that it is about to leave.
 fn is_leaving(head: &HeaderMap) -> bool {
-    text(head, &headers::LEAVING).is_some_and(|told| told.trim() == "1")
+    text(head, &headers::LEAVING).is_some_and(|value| value.trim() == "1")
 }
 
-/// How long an upstream that turns a request away wants no other; in seconds on the wire,
-/// where fractions count.
+/// How long an upstream that refuses a request asks not to be sent others. The header gives
+/// seconds, possibly with a fraction.
 fn rest_ms(status: StatusCode, head: &HeaderMap) -> Option<u64> {
-    let told = text(head, &header::RETRY_AFTER);
-    let text = told.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE)?;
+    let retry_after = text(head, &header::RETRY_AFTER);
+    let text = retry_after.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE)?;
     let seconds = text.trim().parse::<f64>().ok().filter(|seconds| seconds.is_finite());
     if seconds.is_none() {
         log::debug!(target: "exchange", "event=retry_after_unreadable value=\"{text}\"");
     }
-    seconds.map(|seconds| crate::platform::http::whole_ms((seconds * 1000.0).ceil()))
+    seconds.map(|seconds| crate::platform::http::floor_ms((seconds * 1000.0).ceil()))
 }
 
-/// The headers that are passed on from one side to the other.
+/// The headers that are forwarded: all but those that apply to a single connection, including
+/// those that the `Connection` header lists.
 pub fn end_to_end_headers(head: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &HeaderValue)> {
-    let named: Vec<String> = head
+    let connection_headers: Vec<String> = head
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -156,21 +159,23 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     head.iter().filter(move |(name, _)| {
-        !HOP_BY_HOP.contains(name) && !named.iter().any(|listed| listed == name.as_str())
+        !HOP_BY_HOP.contains(name)
+            && !connection_headers.iter().any(|listed| listed == name.as_str())
     })
 }
 
-/// Sets when a refused client may come back; fractions of a second count.
+/// Sets after which time a refused client may retry, in seconds with three decimals.
 pub fn set_retry_after(head: &mut HeaderMap, after_ms: u64) {
     let seconds = format!("{}.{:03}", after_ms / 1000, after_ms % 1000);
     set(head, header::RETRY_AFTER, &seconds);
 }
 
-/// Names the request that an answer of ours belongs to.
+/// Sets the id of the request to which an answer of the gateway belongs.
 pub fn set_request_id(head: &mut HeaderMap, request_id: &str) {
     set(head, headers::REQUEST_ID, request_id);
 }
 
+/// Sets a header; a value that no header can have is logged and left out.
 fn set(head: &mut HeaderMap, name: HeaderName, value: &str) {
     match HeaderValue::from_str(value) {
         Ok(value) => {
@@ -182,10 +187,12 @@
     }
 }
 
+/// The value of a header, if it is text.
 fn text<'a>(head: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     head.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn whole_ms(text: &str) -> Option<u64> {
-    text.trim().parse::<f64>().ok().filter(|ms| *ms >= 0.0).map(crate::platform::http::whole_ms)
+/// Parses milliseconds, possibly with a fraction, which is dropped.
+fn parse_ms(text: &str) -> Option<u64> {
+    text.trim().parse::<f64>().ok().filter(|ms| *ms >= 0.0).map(crate::platform::http::floor_ms)
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,48 +1,48 @@
-//! Names of the headers, on the clients' side and on the upstreams'.
+//! Names of the HTTP headers exchanged with clients and upstreams.
 
 use hyper::header::HeaderName;
 
-/// Id of a request; each try of a client has its own.
+/// Id of a request; each attempt of a client has its own.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Time that is left for the request, in milliseconds: a duration, not a
-/// deadline.
+/// Remaining time for the request, in milliseconds: a duration, not a point in time.
 pub const TIME_LEFT_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// A client's key.
+/// API key of a client.
 pub const API_KEY: HeaderName = HeaderName::from_static("x-api-key");
-/// Client account, as told to upstreams.
+/// Client account, as sent to upstreams.
 pub const ACCOUNT: HeaderName = HeaderName::from_static("x-tenant");
-/// The one upstream that may run the request.
+/// Id of the only upstream that may run the request.
 pub const UPSTREAM_ID: HeaderName = HeaderName::from_static("x-target-instance");
-/// Proof that an upstream made the answer.
+/// Proof that the answer comes from an upstream.
 pub const SEAL: HeaderName = HeaderName::from_static("x-server-seal");
-/// An upstream's word that it did not run the request.
+/// Set by an upstream that did not run the request.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
-/// An upstream's word that it is about to leave.
+/// Set by an upstream that is about to leave.
 pub const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Model of a prompt.
+/// Model to which a prompt is addressed.
 pub const MODEL: HeaderName = HeaderName::from_static("x-model");
-/// Lengths of a prompt and of its answer.
+/// Lengths of a prompt and of its answer, in tokens.
 pub const TOKENS: HeaderName = HeaderName::from_static("x-token-count");
-/// Parts of a prompt.
+/// Ids of the parts of a prompt.
 pub const PARTS: HeaderName = HeaderName::from_static("x-prefix-hash");
-/// Last event that arrived, when a stream is taken up again.
+/// Id of the last event received, when a stream is resumed.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// Order of work, 0 to 9, 0 first.
+/// Priority from 0 to 9; 0 is served first.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Weight version that must run.
+/// Weights version with which the request must run.
 pub const WEIGHT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Weight version that has run.
+/// Weights version with which the request was run.
 pub const RAN_VERSION: HeaderName = HeaderName::from_static("versions");
-/// Name under which kept context is found.
+/// Name under which cached context is looked up.
 pub const CONTEXT_SCOPE: HeaderName = HeaderName::from_static("cache-salt");
-/// Sources of kept context, one for each part.
+/// Addresses from which to fetch cached context, one for each part.
 pub const CONTEXT_SOURCES: HeaderName = HeaderName::from_static("kv-fetch");
-/// Stores that take context, one for each part.
+/// Addresses of the stores in which to save context, one for each part.
 pub const CONTEXT_DESTINATIONS: HeaderName = HeaderName::from_static("kv-save");
-/// Moment on the upstreams' clock at which a transfer is given up.
+/// Time by the upstreams' clock at which a transfer is aborted.
 pub const CONTEXT_UNTIL_MS: HeaderName = HeaderName::from_static("kv-until");
 
-/// Headers that only we may set towards an upstream; a client's are dropped.
+/// Headers that only the gateway may set on requests to an upstream; those of clients are
+/// dropped.
 pub const GATEWAY_ONLY: [HeaderName; 15] = [
     API_KEY,
     ACCOUNT,
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,9 +1,9 @@
-//! The HTTP client of all calls to the platform's store, engines and stores of
-//! context. Silence ends every call in bounded time.
+//! HTTP client for all calls to the platform's metadata store, engines and context stores. Every
+//! call ends in bounded time if there is no answer.
 //!
-//! Connections that wait for the next call may have gone silent together with one on
-//! which a call was not answered in time. A client of one place gives all of them up
-//! then, so that the next call opens a new one.
+//! When a call on one connection times out, the idle connections in the pool may be dead as
+//! well. A client of a single server then discards all of them, so that the next call opens a
+//! new connection.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -16,113 +16,114 @@
 use crate::error::{Error, Result};
 use crate::sync::locked;
 
-/// Time in which a connection must come up: many round trips of some ms.
+/// Maximum time to establish a connection: many round trips of a few ms each.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which unacknowledged bytes end a connection: some retransmissions.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time between probes of an idle connection, so that a cut is seen within
-/// [`SILENCE_TIMEOUT`] and this.
+/// Time after which unacknowledged data ends a connection: enough for some retransmissions.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Interval between probes of an idle connection: an interrupted connection is noticed within
+/// this time plus [`UNACKNOWLEDGED_TIMEOUT`].
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Probes that may be lost until an idle connection ends: each takes another
+/// Number of unanswered probes that end an idle connection; each takes another
 /// [`KEEPALIVE_PERIOD`].
 const KEEPALIVE_PROBES: u32 = 1;
 
-/// Whom a client calls.
+/// Which servers a client calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Called {
-    /// One place, so that silence on one connection speaks against all.
-    One,
-    /// Many, which have nothing to do with each other.
+enum Servers {
+    /// A single server: a time-out on one connection makes all of them suspect.
+    Single,
+    /// Many servers that are independent of each other.
     Many,
 }
 
-/// Makes calls; `fault` says whose failure theirs is.
+/// HTTP client; `to_error` converts the description of a failure to an error of the kind of
+/// server that it calls.
 #[derive(Clone)]
 pub struct HttpClient {
     client: Arc<Mutex<Client>>,
-    called: Called,
-    fault: fn(String) -> Error,
+    servers: Servers,
+    to_error: fn(String) -> Error,
 }
 
 impl HttpClient {
-    /// A client of many places.
+    /// Creates a client for engines and context stores.
     ///
     /// # Errors
-    /// Fails when the library cannot make one.
+    /// Fails when the HTTP library cannot create a client.
     pub fn new() -> Result<Self> {
-        let client = Arc::new(Mutex::new(build()?));
-        Ok(Self { client, called: Called::Many, fault: Error::Upstream })
+        let client = Arc::new(Mutex::new(build_client()?));
+        Ok(Self { client, servers: Servers::Many, to_error: Error::Upstream })
     }
 
-    /// A client of the metadata store.
+    /// Creates a client for the metadata store.
     ///
     /// # Errors
-    /// Fails when the library cannot make one.
+    /// Fails when the HTTP library cannot create a client.
     pub fn for_metadata_store() -> Result<Self> {
-        let client = Arc::new(Mutex::new(build()?));
-        Ok(Self { client, called: Called::One, fault: Error::Platform })
+        let client = Arc::new(Mutex::new(build_client()?));
+        Ok(Self { client, servers: Servers::Single, to_error: Error::Platform })
     }
 
-    /// A request.
+    /// Creates a request.
     pub fn request(&self, method: Method, url: &str) -> RequestBuilder {
         locked(&self.client).request(method, url)
     }
 
-    /// A request to read.
+    /// Creates a GET request.
     pub fn get(&self, url: &str) -> RequestBuilder {
         self.request(Method::GET, url)
     }
 
-    /// A request to write.
+    /// Creates a POST request.
     pub fn post(&self, url: &str) -> RequestBuilder {
         self.request(Method::POST, url)
     }
 
-    /// Sends a request; any status is an answer.
+    /// Sends a request; an answer of any status is returned.
     ///
     /// # Errors
     /// Fails when there is no answer in time.
     pub async fn send(&self, request: RequestBuilder) -> Result<Response> {
-        request.send().await.map_err(|error| self.failed(&error))
+        request.send().await.map_err(|error| self.convert_error(&error))
     }
 
-    /// Lets an answer through when its status says that the call succeeded.
+    /// Returns the answer unless its status is an error.
     ///
     /// # Errors
-    /// Fails with any other status.
+    /// Fails when the status is a client or server error.
     pub fn success(&self, answer: Response) -> Result<Response> {
-        answer.error_for_status().map_err(|error| self.failed(&error))
+        answer.error_for_status().map_err(|error| self.convert_error(&error))
     }
 
-    /// An answer's body as it is.
+    /// Reads the raw body of an answer.
     ///
     /// # Errors
-    /// Fails when it does not arrive whole.
+    /// Fails when it does not arrive completely.
     pub async fn bytes(&self, answer: Response) -> Result<Bytes> {
-        answer.bytes().await.map_err(|error| self.failed(&error))
+        answer.bytes().await.map_err(|error| self.convert_error(&error))
     }
 
-    /// Decodes an answer's body.
+    /// Reads and decodes the JSON body of an answer.
     ///
     /// # Errors
-    /// Fails when it is not what was expected.
+    /// Fails when it does not arrive completely or is invalid.
     pub async fn body<T: DeserializeOwned>(&self, answer: Response) -> Result<T> {
-        answer.json().await.map_err(|error| self.failed(&error))
+        answer.json().await.map_err(|error| self.convert_error(&error))
     }
 
-    /// Gives up the connections that wait for a call.
-    fn renew(&self) {
-        match build() {
+    /// Replaces the client, which discards the idle connections of its pool.
+    fn discard_connections(&self) {
+        match build_client() {
             Ok(client) => *locked(&self.client) = client,
             Err(error) => warn!(target: "http", "event=client_kept cause=\"{error}\""),
         }
     }
 
-    /// The error with its causes; the library names the call's address.
-    fn failed(&self, error: &reqwest::Error) -> Error {
-        if error.is_timeout() && self.called == Called::One {
-            self.renew();
+    /// Converts an error of the HTTP library, with all its causes; its text includes the URL.
+    fn convert_error(&self, error: &reqwest::Error) -> Error {
+        if error.is_timeout() && self.servers == Servers::Single {
+            self.discard_connections();
         }
         let mut text = error.to_string();
         let mut source = std::error::Error::source(error);
@@ -130,20 +131,20 @@
             text = format!("{text}: {cause}");
             source = cause.source();
         }
-        // A store that answers, though with a failure, speaks of itself; a connection that
-        // breaks does not.
-        match (self.called, error.status()) {
-            (Called::One, Some(_)) => Error::PlatformUnable(text),
-            _ => (self.fault)(text),
+        // An error status is the store's own statement that it cannot serve; a broken connection
+        // says nothing about the store.
+        match (self.servers, error.status()) {
+            (Servers::Single, Some(_)) => Error::PlatformUnable(text),
+            _ => (self.to_error)(text),
         }
     }
 }
 
-fn build() -> Result<Client> {
+fn build_client() -> Result<Client> {
     Client::builder()
         .no_proxy()
         .connect_timeout(CONNECT_TIMEOUT)
-        .tcp_user_timeout(SILENCE_TIMEOUT)
+        .tcp_user_timeout(UNACKNOWLEDGED_TIMEOUT)
         .tcp_keepalive(KEEPALIVE_PERIOD)
         .tcp_keepalive_interval(KEEPALIVE_PERIOD)
         .tcp_keepalive_retries(KEEPALIVE_PROBES)
@@ -151,16 +152,16 @@
         .map_err(|error| Error::Upstream(error.to_string()))
 }
 
-/// Milliseconds that are written with a fraction, rounded down.
+/// Rounds milliseconds down; negative values become 0.
 #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "clamped before")]
-pub(super) fn whole_ms(figure_ms: f64) -> u64 {
-    figure_ms.max(0.0) as u64
+pub(super) fn floor_ms(value_ms: f64) -> u64 {
+    value_ms.max(0.0) as u64
 }
 
-/// Decodes what an upstream tells.
+/// Decodes the JSON body of an upstream's answer.
 ///
 /// # Errors
-/// Fails when it is not what was expected.
-pub(super) fn decoded<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
+/// Fails when it is invalid.
+pub(super) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| Error::Upstream(error.to_string()))
 }
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -1,126 +1,125 @@
-//! Keys of the metadata store, and what each holds.
+//! Keys of the metadata store, and the decoding of their values.
 
 use crate::error::{Error, Result};
 use crate::gateway::decisions::site::Site;
 use crate::gateway::decisions::upstream::UpstreamEntry;
-use crate::platform::document;
-use crate::platform::entry;
+use crate::platform::{document, entry};
 
-/// Start of all keys that operators write.
+/// Prefix of all keys that operators write.
 pub const OPERATOR_PREFIX: &str = "op/";
-/// Start of the keys of upstreams.
+/// Prefix of the keys of upstreams' entries.
 pub const UPSTREAM_PREFIX: &str = "servers/";
 /// Key of the configuration.
 const CONFIGURATION: &str = "op/config";
-/// Start of the keys that name weight versions.
+/// Prefix of the keys that name the weights version of a model.
 const WEIGHTS_PREFIX: &str = "op/version/";
-/// Start of our own keys.
+/// Prefix of the keys that the gateway writes.
 pub const OWN_PREFIX: &str = "coursestile/";
 
-/// What a key holds.
+/// Kind of value that a key holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind<'a> {
+pub enum KeyKind<'a> {
     /// The configuration.
     Configuration,
-    /// The weight version that a model is to have.
+    /// The weights version that operators have named for a model.
     Weights {
-        /// Model.
+        /// Name of the model.
         model: &'a str,
     },
-    /// An upstream.
+    /// An upstream's entry.
     Upstream {
-        /// Its id.
+        /// Id of the upstream.
         id: &'a str,
     },
-    /// Addresses of our boxes.
+    /// The list of box addresses.
     Members,
-    /// Requests under which upstreams crash.
+    /// The quarantined requests, which crash upstreams.
     Quarantine,
-    /// Another one of ours.
+    /// Another key that the gateway writes.
     Own,
-    /// Nothing that concerns us.
+    /// A key that the gateway does not use.
     Other,
 }
 
-/// What `key` holds.
+/// Returns what kind of value `key` holds.
 #[must_use]
-pub fn kind(key: &str) -> Kind<'_> {
+pub fn kind(key: &str) -> KeyKind<'_> {
     if key == CONFIGURATION {
-        return Kind::Configuration;
+        return KeyKind::Configuration;
     }
     if let Some(model) = key.strip_prefix(WEIGHTS_PREFIX) {
-        return Kind::Weights { model };
+        return KeyKind::Weights { model };
     }
     if key == members() {
-        return Kind::Members;
+        return KeyKind::Members;
     }
     if key == quarantine() {
-        return Kind::Quarantine;
+        return KeyKind::Quarantine;
     }
     if key.starts_with(OWN_PREFIX) {
-        return Kind::Own;
+        return KeyKind::Own;
     }
     match key.strip_prefix(UPSTREAM_PREFIX) {
-        Some(id) => Kind::Upstream { id },
-        None => Kind::Other,
+        Some(id) => KeyKind::Upstream { id },
+        None => KeyKind::Other,
     }
 }
 
-/// The key of the list of our boxes.
+/// The key of the list of box addresses.
 #[must_use]
 pub fn members() -> String {
     format!("{OWN_PREFIX}members")
 }
 
-/// The key of the requests that are quarantined.
+/// The key of the quarantined requests.
 #[must_use]
 pub fn quarantine() -> String {
     format!("{OWN_PREFIX}quarantine")
 }
 
-/// The key of a lease that one box holds.
+/// The key of the item that the owner of a lease writes.
 #[must_use]
 pub fn lease(name: &str) -> String {
     format!("{OWN_PREFIX}lease/{name}")
 }
 
-/// The key of the engines that leaders may have ordered.
+/// The key of the claims of leaders on the targets of their orders.
 #[must_use]
 pub fn claims() -> String {
     format!("{OWN_PREFIX}claims")
 }
 
-/// The key that names a model's weight version.
+/// The key that names the weights version of a model.
 #[must_use]
 pub fn weights(model: &str) -> String {
     format!("{WEIGHTS_PREFIX}{model}")
 }
 
-/// Reads the configuration.
+/// Decodes the configuration.
 ///
 /// # Errors
-/// Fails with what cannot be read and where.
+/// Fails with the key and the position of the error.
 pub fn read_site(bytes: &[u8]) -> Result<Site> {
-    document::site(bytes).map_err(|fault| unreadable(CONFIGURATION, &fault))
+    document::site(bytes).map_err(|error| decode_error(CONFIGURATION, &error))
 }
 
-/// Reads a named weight version.
+/// Decodes a named weights version.
 ///
 /// # Errors
-/// Fails with what cannot be read and where.
+/// Fails with the key and the position of the error.
 pub fn read_weights(model: &str, bytes: &[u8]) -> Result<u64> {
     document::weights(bytes)
-        .map_err(|fault| unreadable(&format!("{WEIGHTS_PREFIX}{model}"), &fault))
+        .map_err(|error| decode_error(&format!("{WEIGHTS_PREFIX}{model}"), &error))
 }
 
-/// Reads an upstream's entry.
+/// Decodes an upstream's entry.
 ///
 /// # Errors
-/// Fails with what cannot be read and where.
+/// Fails with the key and the position of the error.
 pub fn read_upstream(id: &str, bytes: &[u8]) -> Result<UpstreamEntry> {
-    entry::entry(bytes).map_err(|fault| unreadable(&format!("{UPSTREAM_PREFIX}{id}"), &fault))
+    entry::entry(bytes).map_err(|error| decode_error(&format!("{UPSTREAM_PREFIX}{id}"), &error))
 }
 
-fn unreadable(key: &str, fault: &serde_json::Error) -> Error {
-    Error::PlatformValue(key.to_owned(), fault.to_string())
+fn decode_error(key: &str, error: &serde_json::Error) -> Error {
+    Error::PlatformValue(key.to_owned(), error.to_string())
 }
--- a/src/platform/metadata.rs
+++ b/src/platform/metadata.rs
@@ -1,8 +1,7 @@
-//! The platform's metadata store: items, watches, transactions, leases.
+//! Client of the platform's metadata store: items, watches, transactions, leases.
 //!
-//! Every call has a deadline. A call that got no answer may have been done, or
-//! may be done later; its connection is dropped, since the store says nothing
-//! more on it.
+//! Every call has a time-out. A call without an answer may have been executed, or may still be
+//! executed later; its connection is closed, since the store sends nothing more on it.
 
 use std::time::Duration;
 
@@ -18,14 +17,14 @@
 };
 use crate::platform::http::HttpClient;
 
-/// Time in which a call must be answered: 250 times the usual 4 ms.
+/// Time-out of most calls: 250 times the usual 4 ms.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time in which a renewal must be answered: there must be time for another.
+/// Time-out of the renewal of a lease: short, so that there is time for another attempt.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(400);
-/// Stands for no lease.
+/// Lease id of items that are written without a lease.
 const NO_LEASE: u64 = 0;
 
-/// The platform's metadata store.
+/// Client of the platform's metadata store.
 #[derive(Clone)]
 pub struct MetadataClient {
     http: HttpClient,
@@ -38,7 +37,7 @@
     #[serde(default)]
     value: String,
     rev: u64,
-    /// A watch says so of an item that is no more.
+    /// Set by a watch if the item was removed.
     #[serde(default)]
     gone: bool,
 }
@@ -47,7 +46,7 @@
 struct RangeBody {
     items: Vec<ItemBody>,
     more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the answer.
     at: u64,
 }
 
@@ -67,7 +66,7 @@
 #[derive(Serialize)]
 struct Expected<'a> {
     key: &'a str,
-    /// 0: the key is absent.
+    /// Revision that the item must have; 0 if there must be none.
     rev: u64,
 }
 
@@ -84,7 +83,7 @@
 }
 
 #[derive(Serialize)]
-struct LeaseAsk {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
@@ -95,17 +94,17 @@
 }
 
 impl MetadataClient {
-    /// The store at `address` (IP and port).
+    /// Creates a client of the store at `address` (IP address and port).
     #[must_use]
     pub fn new(http: HttpClient, address: &str) -> Self {
         Self { http, address: address.to_owned() }
     }
 
-    /// Reads all items whose keys begin with `prefix`. The pages are no
-    /// snapshot: go on by watching from the listing's revision.
+    /// Reads all items whose keys start with `prefix`. The pages are not a consistent snapshot:
+    /// the caller has to watch from the revision of the listing.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should.
+    /// Fails when the store does not answer in time, or not with a valid answer.
     pub async fn list(&self, prefix: &str, freshness: Freshness) -> Result<Listing> {
         let mut listing = Listing { at_revision: u64::MAX, ..Listing::default() };
         let mut after = String::new();
@@ -129,10 +128,10 @@
         }
     }
 
-    /// Waits for changes after a revision.
+    /// Waits for changes after the revision `after`.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should.
+    /// Fails when the store does not answer in time, or not with a valid answer.
     pub async fn watch(&self, prefix: &str, after: u64, wait: WatchWait) -> Result<WatchResult> {
         let WatchWait { wait_ms, grace_ms } = wait;
         let path = format!("kv-watch?path_prefix={prefix}&after={after}&wait_ms={wait_ms}");
@@ -146,11 +145,11 @@
         Ok(WatchResult::Changes { changes, at_revision: body.at })
     }
 
-    /// Writes `value`, under a lease or to stay, if the item's revision is
-    /// `expected` (0: there is none).
+    /// Writes `value`, under a lease if one is given, provided that the item has the revision
+    /// `expected` (0 if there must be no item).
     ///
     /// # Errors
-    /// Fails when the store does not answer; the write may be done all the same.
+    /// Fails when the store does not answer; the write may still take effect.
     pub async fn write(
         &self,
         key: &str,
@@ -164,11 +163,11 @@
         self.transact(&TxnBody { expected, put: vec![put], remove: Vec::new() }).await
     }
 
-    /// Writes `value` to stay, if the item's revision is `expected` (0: there is none) and
-    /// that of the item `guard` is still `guard_revision`.
+    /// Writes `value` without a lease, provided that the item has the revision `expected` (0 if
+    /// there must be no item) and the item `guard` has the revision `guard_revision`.
     ///
     /// # Errors
-    /// Fails when the store does not answer; the write may be done all the same.
+    /// Fails when the store does not answer; the write may still take effect.
     pub async fn write_guarded(
         &self,
         key: &str,
@@ -194,38 +193,38 @@
         }
     }
 
-    /// Opens a lease. Its time runs from the arrival of the call.
+    /// Opens a lease. Its duration counts from the arrival of the call at the store.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should.
+    /// Fails when the store does not answer in time, or not with a valid answer.
     pub async fn open_lease(&self, ttl_ms: u64) -> Result<Lease> {
-        let ask = LeaseAsk { ttl_ms };
-        let answer = self.call(Method::POST, "kv-lease", Some(&ask), CALL_TIMEOUT).await?;
+        let request = LeaseRequest { ttl_ms };
+        let answer = self.call(Method::POST, "kv-lease", Some(&request), CALL_TIMEOUT).await?;
         let body: LeaseBody = self.decode(answer).await?;
         Ok(Lease { id: body.lease, ttl_ms: body.ttl_ms })
     }
 
-    /// Renews a lease; false when it is over.
+    /// Renews a lease; returns false if it has ended.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should.
+    /// Fails when the store does not answer in time, or not with a valid answer.
     pub async fn renew_lease(&self, lease: Lease) -> Result<bool> {
         let path = format!("kv-keep/{}", lease.id);
         let answer = self.call(Method::POST, &path, None::<&()>, RENEW_TIMEOUT).await?;
         Ok(answer.status() != StatusCode::NOT_FOUND)
     }
 
-    /// Ends a lease, and with it the items written under it.
+    /// Ends a lease, which removes the items written under it.
     ///
     /// # Errors
-    /// Fails when the store does not answer as it should.
+    /// Fails when the store does not answer in time, or not with a valid answer.
     pub async fn end_lease(&self, lease: Lease) -> Result<()> {
         let path = format!("kv-lease-end/{}", lease.id);
         self.call(Method::DELETE, &path, None::<&()>, CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Makes a call; answers that mean something to the caller come back, all
-    /// others are errors.
+    /// Sends a call. Answers with a status that callers handle themselves are returned; all other
+    /// error statuses are errors.
     async fn call(
         &self,
         method: Method,
@@ -252,8 +251,8 @@
     }
 }
 
-/// Reads an item. One whose content is no text of bytes is there, but holds nothing: it
-/// must not keep the others from being read.
+/// Decodes an item. An item whose value is not valid base64 gets an empty value, so that it does
+/// not make the other items unreadable.
 fn item(body: ItemBody) -> Item {
     let value = BASE64_STANDARD.decode(&body.value).unwrap_or_else(|error| {
         warn!(target: "metadata", "event=item_unreadable key={} cause=\"{error}\"", body.key);
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,9 +1,9 @@
-//! The users' platform, met through its published protocol.
+//! Adapters for the protocol of the platform on which the gateway runs.
 //!
-//! Everything here is names, formats and calls: what arrives is decoded once
-//! into the product's types, and what leaves is encoded from them. Nothing
-//! here decides, and nothing outside this folder knows the platform's names.
-//! docs/GLOSSARY.md maps its words onto ours.
+//! This module holds the names, formats and calls of that protocol: incoming data is decoded
+//! into the types of the gateway, and outgoing data is encoded from them. It makes no decisions,
+//! and no other module uses the platform's names. docs/GLOSSARY.md maps the platform's terms to
+//! those of this project.
 
 pub mod caches;
 pub mod document;
