--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use coursestile::account::{Account, Terms, Weights, key_hash};
-use coursestile::ask::{Ask, AskId, End, Report, Verdict};
+use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::configlog::{Change, Config, Entry, Proposal, State};
 use coursestile::context::{Course, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
@@ -66,14 +66,14 @@
     begun_at.elapsed().as_secs_f64() * 1e6 / f64::from(u32::try_from(count).unwrap_or(1))
 }
 
-fn ask(number: usize, prompts: usize) -> Ask {
+fn ask(number: usize, prompts: usize) -> SlotRequest {
     let account = format!("account-{}", number % ACCOUNTS);
     let (model, version) = ("model".to_owned(), "v1".to_owned());
     let scope = Scope { account, model, version };
     let prompt = format!("{:<24000}", number % prompts);
-    Ask {
-        id: AskId {
-            entry: BoxRef { name: "box".to_owned(), incarnation: 1 },
+    SlotRequest {
+        id: SlotRequestId {
+            entry_box: BoxRef { name: "box".to_owned(), incarnation: 1 },
             number: number as u64,
         },
         course: Course::new(&scope, &prompt),
@@ -85,7 +85,7 @@
         weights: Weights::default(),
         worthless_at_ms: u64::MAX / 2,
         deadline_ms: u64::MAX / 2,
-        avoid: Vec::new(),
+        excluded_engines: Vec::new(),
         no_wait: false,
         trace: TraceId(1),
     }
@@ -108,24 +108,25 @@
     let mut dispatcher = new_dispatcher(prompts);
     let mut open = std::collections::VecDeque::new();
     let mut number = 0;
-    let mut turn = |dispatcher: &mut Dispatcher, source: &Ask| {
+    let mut turn = |dispatcher: &mut Dispatcher, source: &SlotRequest| {
         number += 1;
         let mut one = source.clone();
         one.id.number = number;
         let id = one.id.clone();
         let now_ms = 1_000_000 + number;
-        let actions = dispatcher.ask(now_ms, one);
-        let granted = actions
-            .iter()
-            .any(|action| matches!(action, Action::Answer { verdict: Verdict::Run(_), .. }));
+        let actions = dispatcher.request_slot(now_ms, one);
+        let granted = actions.iter().any(|action| {
+            matches!(action, Action::Respond { response: SlotResponse::Granted(_), .. })
+        });
         assert!(granted, "the fleet has places free");
-        let first = Report::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
+        let first = SlotReport::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
         dispatcher.report(now_ms, &first);
         open.push_back(id);
         if open.len() > HALL_ENGINES * 8 * 7 / 10 {
             let id = open.pop_front().expect("it is not empty");
             let request = "request".to_owned();
-            let done = Report::Done { id, request, generated_tokens: 200, end: End::Finished };
+            let done =
+                SlotReport::Done { id, request, generated_tokens: 200, end: SlotEnd::Finished };
             dispatcher.report(now_ms, &done);
         }
     };
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -11,18 +11,18 @@
 
 /// Names an ask; a repeated one is the same ask.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AskId {
+pub struct SlotRequestId {
     /// Box that entered the request.
-    pub entry: BoxRef,
+    pub entry_box: BoxRef,
     /// Number that the box never uses again.
     pub number: u64,
 }
 
 /// Asks where a request may run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// Name of the ask.
-    pub id: AskId,
+    pub id: SlotRequestId,
     /// Account, model and weight version of the request.
     pub scope: Scope,
     /// Course of the prompt.
@@ -42,7 +42,7 @@
     /// When the caller gives up, in Unix milliseconds.
     pub deadline_ms: u64,
     /// Engines that failed this request already.
-    pub avoid: Vec<String>,
+    pub excluded_engines: Vec<String>,
     /// Refuse rather than let it wait.
     pub no_wait: bool,
     /// Trace that the request belongs to.
@@ -81,18 +81,18 @@
 
 /// Answer to an ask.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum SlotResponse {
     /// Run it there.
-    Run(Grant),
+    Granted(Grant),
     /// It waits for its turn; another verdict follows.
-    Wait,
+    Queued,
     /// It is refused; it has not run.
-    Refuse(Refusal),
+    Refused(Refusal),
 }
 
 /// How the use of a place ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum End {
+pub enum SlotEnd {
     /// The answer is whole.
     Finished,
     /// The caller gave up.
@@ -107,7 +107,7 @@
 
 /// How the import of a block went.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Imported {
+pub struct ImportReport {
     /// The block.
     pub block: BlockId,
     /// Time that it was expected to take.
@@ -131,13 +131,13 @@
 
 /// What an entry box reports on a place that it was given.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Report {
+pub enum SlotReport {
     /// An import ended.
-    Imported { id: AskId, imported: Imported },
+    Imported { id: SlotRequestId, imported: ImportReport },
     /// The prefill ended.
-    FirstToken { id: AskId, cached_tokens: u32, took_ms: u32 },
+    FirstToken { id: SlotRequestId, cached_tokens: u32, took_ms: u32 },
     /// The place is free again.
-    Done { id: AskId, request: String, generated_tokens: u32, end: End },
+    Done { id: SlotRequestId, request: String, generated_tokens: u32, end: SlotEnd },
     /// These places are still in use.
-    Renew { ids: Vec<AskId> },
+    Renew { ids: Vec<SlotRequestId> },
 }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -12,7 +12,7 @@
 use log::info;
 
 use crate::account::Terms;
-use crate::ask::{Ask, AskId, End, Report};
+use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId};
 use crate::assembler::Assembler;
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::context::{Course, Scope, salt, tokens};
@@ -182,12 +182,15 @@
         self.job.max_tokens.saturating_sub(done)
     }
 
-    fn ask(&self) -> Ask {
+    fn ask(&self) -> SlotRequest {
         let scope = self.scope();
         let prompt = self.prompt();
         let terms = &self.job.terms;
-        Ask {
-            id: AskId { entry: self.kernel.me.clone(), number: self.kernel.take_number() },
+        SlotRequest {
+            id: SlotRequestId {
+                entry_box: self.kernel.me.clone(),
+                number: self.kernel.take_number(),
+            },
             course: Course::new(&scope, &prompt),
             scope,
             prompt_tokens: tokens(prompt.len()),
@@ -197,7 +200,7 @@
             weights: terms.weights,
             worthless_at_ms: now_ms() + terms.keep_for_s * 1000,
             deadline_ms: self.job.deadline_ms,
-            avoid: self.avoid.clone(),
+            excluded_engines: self.avoid.clone(),
             no_wait: false,
             trace: self.job.trace,
         }
@@ -221,7 +224,7 @@
         }
         if self.leaves(&placed.grant.engine) {
             self.avoid.push(placed.grant.engine.clone());
-            guard.done(0, End::Unused);
+            guard.done(0, SlotEnd::Unused);
             return Attempt::Refused;
         }
         let stream = self.stream;
@@ -232,14 +235,14 @@
         };
         let generated = self.assembler.next_seq() - first_seq;
         let (end, ran) = match &ended {
-            Attempt::Finished(_) => (End::Finished, true),
-            Attempt::Cancelled => (End::Cancelled, true),
-            Attempt::Refused => (End::Refused, false),
-            Attempt::OtherVersion { ran } => (End::Refused, *ran),
-            Attempt::Unreachable => (End::Failed, false),
+            Attempt::Finished(_) => (SlotEnd::Finished, true),
+            Attempt::Cancelled => (SlotEnd::Cancelled, true),
+            Attempt::Refused => (SlotEnd::Refused, false),
+            Attempt::OtherVersion { ran } => (SlotEnd::Refused, *ran),
+            Attempt::Unreachable => (SlotEnd::Failed, false),
             Attempt::Failed(why) => {
                 info!(target: "completion", "{run} failed: {why}.");
-                (End::Failed, true)
+                (SlotEnd::Failed, true)
             }
         };
         self.may_have_run = ran_before || ran;
@@ -329,7 +332,7 @@
     fn first_piece(&self, placed: &Placed, piece: &EnginePiece, began_at_ms: u64) {
         let took_ms = u32::try_from(now_ms() - began_at_ms).unwrap_or(u32::MAX);
         let (id, cached_tokens) = (placed.id().clone(), piece.cached_tokens);
-        placed.report(self.kernel, Report::FirstToken { id, cached_tokens, took_ms });
+        placed.report(self.kernel, SlotReport::FirstToken { id, cached_tokens, took_ms });
     }
 
     fn take(&mut self, run: &str, piece: EnginePiece) -> Result<(), EngineError> {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -9,7 +9,7 @@
 
 use log::{info, warn};
 
-use crate::ask::{Ask, AskId, Grant, Report, Verdict};
+use crate::ask::{Grant, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::clock::{now_ms, now_us};
 use crate::dispatch_state::{Acting, Asker};
 use crate::dispatcher::{Action, Dispatcher};
@@ -40,7 +40,7 @@
 }
 
 /// Takes an ask that came from `reply_to`.
-fn ask(kernel: &Arc<Kernel>, reply_to: &str, ask: Ask) {
+fn ask(kernel: &Arc<Kernel>, reply_to: &str, ask: SlotRequest) {
     let (model, id) = (ask.scope.model.clone(), ask.id.clone());
     let config = kernel.configuration.current();
     let actions = with(kernel, &model, |acting| {
@@ -50,19 +50,19 @@
         let reply_to = reply_to.to_owned();
         let asker = Asker { reply_to, trace: ask.trace, asked_at_us: now_us() };
         acting.askers.entry(id).or_insert(asker);
-        acting.dispatcher.ask(now_ms, ask)
+        acting.dispatcher.request_slot(now_ms, ask)
     });
     carry_out(kernel, &model, actions);
 }
 
 /// Takes a report on a place.
-fn report(kernel: &Arc<Kernel>, model: &str, report: &Report) {
+fn report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
     let actions = with(kernel, model, |acting| acting.dispatcher.report(now_ms(), report));
     carry_out(kernel, model, actions);
 }
 
 /// Takes an ask back.
-fn withdraw(kernel: &Arc<Kernel>, model: &str, id: &AskId) {
+fn withdraw(kernel: &Arc<Kernel>, model: &str, id: &SlotRequestId) {
     with(kernel, model, |acting| {
         acting.dispatcher.withdraw(id);
         acting.askers.remove(id);
@@ -81,7 +81,7 @@
 fn carry_out(kernel: &Arc<Kernel>, model: &str, actions: Vec<Action>) {
     for action in actions {
         match action {
-            Action::Answer { to, verdict } => answer(kernel, model, to, verdict),
+            Action::Respond { to, response: verdict } => answer(kernel, model, to, verdict),
             Action::Export(export) => {
                 tokio::spawn(write_out(kernel.clone(), model.to_owned(), export));
             }
@@ -89,8 +89,8 @@
     }
 }
 
-fn answer(kernel: &Arc<Kernel>, model: &str, id: AskId, verdict: Verdict) {
-    let last = verdict != Verdict::Wait;
+fn answer(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, verdict: SlotResponse) {
+    let last = verdict != SlotResponse::Queued;
     let found = with(kernel, model, |acting| {
         if last { acting.askers.remove(&id) } else { acting.askers.get(&id).cloned() }
     });
@@ -103,12 +103,12 @@
     kernel.hand(&reply_to, Message::Verdict { model: model.to_owned(), id, verdict });
 }
 
-fn describe(verdict: &Verdict) -> String {
+fn describe(verdict: &SlotResponse) -> String {
     match verdict {
-        Verdict::Run(Grant { engine, import: None, .. }) => format!("run on {engine}"),
-        Verdict::Run(Grant { engine, .. }) => format!("run on {engine} with kept context"),
-        Verdict::Refuse(refusal) => format!("refused: {}", refusal.reason),
-        Verdict::Wait => "wait".to_owned(),
+        SlotResponse::Granted(Grant { engine, import: None, .. }) => format!("run on {engine}"),
+        SlotResponse::Granted(Grant { engine, .. }) => format!("run on {engine} with kept context"),
+        SlotResponse::Refused(refusal) => format!("refused: {}", refusal.reason),
+        SlotResponse::Queued => "wait".to_owned(),
     }
 }
 
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-use crate::ask::AskId;
+use crate::ask::SlotRequestId;
 use crate::clock::now_ms;
 use crate::configlog::Config;
 use crate::dispatcher::Dispatcher;
@@ -22,7 +22,7 @@
     /// When it was asked last.
     pub(crate) asked_at_ms: u64,
     /// Who waits, by ask.
-    pub(crate) askers: BTreeMap<AskId, Asker>,
+    pub(crate) askers: BTreeMap<SlotRequestId, Asker>,
 }
 
 impl Acting {
@@ -102,8 +102,8 @@
             let served = dispatcher.virtual_tokens();
             DispatcherStatus {
                 model: model.clone(),
-                waiting: dispatcher.waiting(),
-                places_in_use: dispatcher.places_in_use(),
+                waiting: dispatcher.queue_len(),
+                places_in_use: dispatcher.slots_in_use(),
                 prompts: dispatcher.keeper.directory.len(),
                 engines: engines.map(|one| (one.name.clone(), one.outstanding)).collect(),
                 served_tokens: served.map(|(name, tokens)| (name.to_owned(), tokens)).collect(),
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -10,8 +10,8 @@
 
 use std::collections::HashMap;
 
-use crate::ask::{Ask, AskId, End, Report, Verdict};
-pub use crate::dispatcher::places::HOLD_MS;
+use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
+pub use crate::dispatcher::places::GRANT_TTL_MS;
 use crate::dispatcher::places::{Running, work_tokens};
 use crate::edge::EngineReport;
 use crate::fleet::{Engine, Fleet};
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Answer an ask.
-    Answer { to: AskId, verdict: Verdict },
+    Respond { to: SlotRequestId, response: SlotResponse },
     /// Write context to a store.
     Export(Export),
 }
@@ -51,8 +51,8 @@
     policies: Policies,
     /// The engines.
     pub fleet: Fleet,
-    queue: ShareQueue<Ask>,
-    running: HashMap<AskId, Running>,
+    queue: ShareQueue<SlotRequest>,
+    running: HashMap<SlotRequestId, Running>,
     throughput: Throughput,
     /// Kept context.
     pub keeper: Keeper,
@@ -84,13 +84,13 @@
 
     /// Number of asks that wait.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
     /// Number of places in use.
     #[must_use]
-    pub fn places_in_use(&self) -> usize {
+    pub fn slots_in_use(&self) -> usize {
         self.running.len()
     }
 
@@ -100,12 +100,12 @@
     }
 
     /// Takes an ask.
-    pub fn ask(&mut self, now_ms: u64, ask: Ask) -> Vec<Action> {
+    pub fn request_slot(&mut self, now_ms: u64, ask: SlotRequest) -> Vec<Action> {
         if let Some(verdict) = self.known_verdict(&ask.id) {
-            return vec![Action::Answer { to: ask.id, verdict }];
+            return vec![Action::Respond { to: ask.id, response: verdict }];
         }
         if let Some(refusal) = self.refusal(now_ms, &ask) {
-            return vec![Action::Answer { to: ask.id, verdict: Verdict::Refuse(refusal) }];
+            return vec![Action::Respond { to: ask.id, response: SlotResponse::Refused(refusal) }];
         }
         let id = ask.id.clone();
         let account = ask.scope.account.clone();
@@ -115,42 +115,42 @@
         self.queue.push(&account, share, priority, ask, work_tokens, deadline_ms);
         let mut actions = self.place_waiting(now_ms);
         let placed =
-            actions.iter().any(|one| matches!(one, Action::Answer { to, .. } if *to == id));
+            actions.iter().any(|one| matches!(one, Action::Respond { to, .. } if *to == id));
         if !placed && no_wait {
             self.withdraw(&id);
             let refusal = Refusal::not_run(Reason::Overloaded).retry_at(now_ms + LEAST_RETRY_MS);
-            actions.push(Action::Answer { to: id, verdict: Verdict::Refuse(refusal) });
+            actions.push(Action::Respond { to: id, response: SlotResponse::Refused(refusal) });
         } else if !placed {
-            actions.push(Action::Answer { to: id, verdict: Verdict::Wait });
+            actions.push(Action::Respond { to: id, response: SlotResponse::Queued });
         }
         actions
     }
 
     /// The verdict on an ask that came before: its answer may have been lost.
-    fn known_verdict(&self, id: &AskId) -> Option<Verdict> {
+    fn known_verdict(&self, id: &SlotRequestId) -> Option<SlotResponse> {
         if let Some(running) = self.running.get(id) {
-            return Some(Verdict::Run(running.grant.clone()));
+            return Some(SlotResponse::Granted(running.grant.clone()));
         }
-        self.queue.contains(|waiting| waiting.id == *id).then_some(Verdict::Wait)
+        self.queue.contains(|waiting| waiting.id == *id).then_some(SlotResponse::Queued)
     }
 
     /// Takes a report on a place.
-    pub fn report(&mut self, now_ms: u64, report: &Report) -> Vec<Action> {
+    pub fn report(&mut self, now_ms: u64, report: &SlotReport) -> Vec<Action> {
         match report {
-            Report::Imported { id, imported } => self.imported(now_ms, id, imported),
-            Report::FirstToken { id, cached_tokens, took_ms } => {
+            SlotReport::Imported { id, imported } => self.imported(now_ms, id, imported),
+            SlotReport::FirstToken { id, cached_tokens, took_ms } => {
                 self.first_token(now_ms, id, *cached_tokens, *took_ms);
             }
-            Report::Done { id, request, generated_tokens, end } => {
+            SlotReport::Done { id, request, generated_tokens, end } => {
                 return self.done(now_ms, id, request, *generated_tokens, *end);
             }
-            Report::Renew { ids } => self.renew(now_ms, ids),
+            SlotReport::Renew { ids } => self.renew(now_ms, ids),
         }
         Vec::new()
     }
 
     /// Drops an ask that waits.
-    pub fn withdraw(&mut self, id: &AskId) {
+    pub fn withdraw(&mut self, id: &SlotRequestId) {
         self.queue.take_out(|waiting| waiting.item.id == *id);
     }
 
@@ -158,7 +158,7 @@
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         let lapsed = self.running.iter().filter(|(_, running)| running.held_until_ms <= now_ms);
         for id in lapsed.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            self.release(now_ms, &id, 0, End::Cancelled);
+            self.release(now_ms, &id, 0, SlotEnd::Cancelled);
         }
         let mut actions = self.place_waiting(now_ms);
         actions.extend(self.keeper.plan_put_off(now_ms).map(Action::Export));
@@ -167,14 +167,14 @@
         let lost = self.queue.take_out(|waiting| !fleet.can_serve(now_ms, &waiting.item));
         let late = late.into_iter().map(|ask| (ask, Refusal::not_run(Reason::DeadlinePassed)));
         let lost = lost.into_iter().map(|ask| (ask, no_upstream(now_ms)));
-        actions.extend(late.chain(lost).map(|(ask, refusal)| Action::Answer {
+        actions.extend(late.chain(lost).map(|(ask, refusal)| Action::Respond {
             to: ask.id,
-            verdict: Verdict::Refuse(refusal),
+            response: SlotResponse::Refused(refusal),
         }));
         actions
     }
 
-    fn refusal(&self, now_ms: u64, ask: &Ask) -> Option<Refusal> {
+    fn refusal(&self, now_ms: u64, ask: &SlotRequest) -> Option<Refusal> {
         if ask.deadline_ms <= now_ms {
             return Some(Refusal::not_run(Reason::DeadlinePassed));
         }
@@ -191,12 +191,12 @@
     }
 
     /// How long the ask would wait for a place, by the work ahead of it.
-    fn expected_wait_ms(&self, ask: &Ask) -> u64 {
+    fn expected_wait_ms(&self, ask: &SlotRequest) -> u64 {
         let ahead = self.queue.tokens_ahead(&ask.scope.account, ask.share);
         self.throughput.time_ms(ahead)
     }
 
-    fn expected_work(&self, ask: &Ask) -> f64 {
+    fn expected_work(&self, ask: &SlotRequest) -> f64 {
         let matching = self.keeper.directory.matching(&ask.course);
         let held = matching.map(|(_, common)| common).max().unwrap_or(0);
         work_tokens(ask.prompt_tokens.saturating_sub(held), ask.max_tokens)
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -1,6 +1,6 @@
 //! Places at engines: given to those who wait, followed, and freed.
 
-use crate::ask::{Ask, AskId, End, Grant, Imported, Verdict};
+use crate::ask::{Grant, ImportReport, SlotEnd, SlotRequest, SlotRequestId, SlotResponse};
 use crate::dispatcher::{Action, Dispatcher, narrow};
 use crate::fleet::Engine;
 use crate::keeper::Source;
@@ -8,7 +8,7 @@
 use crate::share::GENERATED_TOKEN_WEIGHT;
 
 /// Time for which a place is held without a renewal.
-pub const HOLD_MS: u64 = 4000;
+pub const GRANT_TTL_MS: u64 = 4000;
 /// Tokens that an engine may hold less than believed, for its block size.
 const SLACK_TOKENS: u32 = 256;
 
@@ -21,7 +21,7 @@
 
 /// A place in use.
 pub(super) struct Running {
-    pub(super) ask: Ask,
+    pub(super) ask: SlotRequest,
     pub(super) grant: Grant,
     engine: usize,
     uncached_tokens: u32,
@@ -41,11 +41,11 @@
             };
             let to = waiting.item.id.clone();
             let grant = self.grant(now_ms, waiting.item, waiting.work_tokens);
-            actions.push(Action::Answer { to, verdict: Verdict::Run(grant) });
+            actions.push(Action::Respond { to, response: SlotResponse::Granted(grant) });
         }
     }
 
-    fn grant(&mut self, now_ms: u64, ask: Ask, work_tokens: f64) -> Grant {
+    fn grant(&mut self, now_ms: u64, ask: SlotRequest, work_tokens: f64) -> Grant {
         let offer = self.keeper.offer(now_ms, &ask);
         let demand = Demand {
             prompt_tokens: ask.prompt_tokens,
@@ -80,14 +80,14 @@
             believed: if grant.import.is_none() { believed } else { Held::default() },
             first_token: false,
             work_tokens,
-            held_until_ms: now_ms + HOLD_MS,
+            held_until_ms: now_ms + GRANT_TTL_MS,
         };
         self.running.insert(id, running);
         grant
     }
 
     /// Counts a place as used, and notes what the engine will hold.
-    fn occupy(&mut self, now_ms: u64, ask: &Ask, engine: usize, uncached_tokens: u32) {
+    fn occupy(&mut self, now_ms: u64, ask: &SlotRequest, engine: usize, uncached_tokens: u32) {
         let used = &mut self.fleet.engines[engine];
         used.outstanding += 1;
         used.pending_tokens += u64::from(uncached_tokens);
@@ -101,7 +101,7 @@
     }
 
     /// Tokens of the prompt that each engine is believed to hold.
-    fn held(&self, ask: &Ask) -> Vec<Held> {
+    fn held(&self, ask: &SlotRequest) -> Vec<Held> {
         let mut cached = vec![Held::default(); self.fleet.engines.len()];
         for (record, common) in self.keeper.directory.matching(&ask.course) {
             for copy in &record.copies {
@@ -117,7 +117,7 @@
         cached
     }
 
-    pub(super) fn imported(&mut self, now_ms: u64, id: &AskId, imported: &Imported) {
+    pub(super) fn imported(&mut self, now_ms: u64, id: &SlotRequestId, imported: &ImportReport) {
         if let Some(running) = self.running.get(id) {
             self.keeper.imported(now_ms, &running.ask.course, imported);
         }
@@ -126,7 +126,7 @@
     pub(super) fn first_token(
         &mut self,
         now_ms: u64,
-        id: &AskId,
+        id: &SlotRequestId,
         cached_tokens: u32,
         took_ms: u32,
     ) {
@@ -134,7 +134,7 @@
             return;
         };
         running.first_token = true;
-        running.held_until_ms = now_ms + HOLD_MS;
+        running.held_until_ms = now_ms + GRANT_TTL_MS;
         let engine = &mut self.fleet.engines[running.engine];
         let pending = u64::from(running.uncached_tokens);
         let alone = engine.pending_tokens == pending;
@@ -153,16 +153,16 @@
     pub(super) fn done(
         &mut self,
         now_ms: u64,
-        id: &AskId,
+        id: &SlotRequestId,
         request: &str,
         generated_tokens: u32,
-        end: End,
+        end: SlotEnd,
     ) -> Vec<Action> {
         let Some((ask, engine)) = self.release(now_ms, id, generated_tokens, end) else {
             return Vec::new();
         };
         let mut actions = Vec::new();
-        if end == End::Finished {
+        if end == SlotEnd::Finished {
             let Engine { url, token_ms, .. } = &self.fleet.engines[engine];
             let (engine_url, request, token_ms) = (url.clone(), request.to_owned(), *token_ms);
             let source = Source { ask, engine_url, request, token_ms };
@@ -176,10 +176,10 @@
     pub(super) fn release(
         &mut self,
         now_ms: u64,
-        id: &AskId,
+        id: &SlotRequestId,
         generated_tokens: u32,
-        end: End,
-    ) -> Option<(Ask, usize)> {
+        end: SlotEnd,
+    ) -> Option<(SlotRequest, usize)> {
         let running = self.running.remove(id)?;
         let engine = &mut self.fleet.engines[running.engine];
         engine.outstanding -= 1;
@@ -188,25 +188,25 @@
             engine.pending_tokens = engine.pending_tokens.saturating_sub(pending);
         }
         match end {
-            End::Failed => engine.failed(now_ms),
-            End::Refused => engine.refused(now_ms),
-            End::Finished | End::Cancelled | End::Unused => {}
+            SlotEnd::Failed => engine.failed(now_ms),
+            SlotEnd::Refused => engine.refused(now_ms),
+            SlotEnd::Finished | SlotEnd::Cancelled | SlotEnd::Unused => {}
         }
         let took = match end {
-            End::Finished | End::Cancelled => {
+            SlotEnd::Finished | SlotEnd::Cancelled => {
                 work_tokens(running.uncached_tokens, generated_tokens)
             }
-            End::Failed | End::Refused | End::Unused => 0.0,
+            SlotEnd::Failed | SlotEnd::Refused | SlotEnd::Unused => 0.0,
         };
         self.queue.finish(&running.ask.scope.account, took - running.work_tokens);
         self.throughput.add(now_ms, took, !self.queue.is_empty());
         Some((running.ask, running.engine))
     }
 
-    pub(super) fn renew(&mut self, now_ms: u64, ids: &[AskId]) {
+    pub(super) fn renew(&mut self, now_ms: u64, ids: &[SlotRequestId]) {
         for id in ids {
             if let Some(running) = self.running.get_mut(id) {
-                running.held_until_ms = now_ms + HOLD_MS;
+                running.held_until_ms = now_ms + GRANT_TTL_MS;
             }
         }
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,6 +1,6 @@
 //! The engines of one model in one data hall, as their dispatcher sees them.
 
-use crate::ask::Ask;
+use crate::ask::SlotRequest;
 use crate::cache::Cache;
 use crate::edge::EngineReport;
 use crate::route::Candidate;
@@ -89,8 +89,8 @@
 
     /// Whether the ask may be sent here now.
     #[must_use]
-    pub fn fits(&self, now_ms: u64, ask: &Ask) -> bool {
-        let allowed = self.serves(&ask.scope.version) && !ask.avoid.contains(&self.name);
+    pub fn fits(&self, now_ms: u64, ask: &SlotRequest) -> bool {
+        let allowed = self.serves(&ask.scope.version) && !ask.excluded_engines.contains(&self.name);
         allowed && self.has_room(now_ms)
     }
 
@@ -198,11 +198,11 @@
 
     /// Whether the ask can be served, now or after a load that is awaited.
     #[must_use]
-    pub fn can_serve(&self, now_ms: u64, ask: &Ask) -> bool {
+    pub fn can_serve(&self, now_ms: u64, ask: &SlotRequest) -> bool {
         let awaited = self.version.as_ref().is_some_and(|wanted| {
             wanted.name == ask.scope.version && now_ms < wanted.awaited_until_ms
         });
-        let allowed = |engine: &Engine| !ask.avoid.contains(&engine.name);
+        let allowed = |engine: &Engine| !ask.excluded_engines.contains(&engine.name);
         let mut engines = self.engines.iter().filter(|engine| allowed(engine));
         engines.any(|engine| engine.serves(&ask.scope.version) || (awaited && engine.stays()))
     }
@@ -216,7 +216,7 @@
 
     /// Whether some engine has a place for the ask now.
     #[must_use]
-    pub fn has_place(&self, now_ms: u64, ask: &Ask) -> bool {
+    pub fn has_place(&self, now_ms: u64, ask: &SlotRequest) -> bool {
         self.engines.iter().any(|engine| engine.fits(now_ms, ask))
     }
 
@@ -225,7 +225,7 @@
     pub fn candidates(
         &self,
         now_ms: u64,
-        ask: &Ask,
+        ask: &SlotRequest,
         cached: impl Fn(usize) -> u32,
     ) -> Vec<Candidate> {
         let all = self.engines.iter().enumerate();
--- a/src/import.rs
+++ b/src/import.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::ask::{Import, ImportResult, Imported, Report};
+use crate::ask::{Import, ImportReport, ImportResult, SlotReport};
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::edge::{ContextStores, ModelEngines, Staged};
 use crate::invariant::{Invariant, check};
@@ -39,8 +39,8 @@
         let note = format!("{} to {}: {result:?}", import.block.0, placed.grant.engine);
         kernel.span(self.trace, Hop::Import, span_at_us, note);
         let (block, expected_ms) = (import.block.clone(), import.expected_ms);
-        let imported = Imported { block, expected_ms, took_ms, result };
-        placed.report(kernel, Report::Imported { id: placed.id().clone(), imported });
+        let imported = ImportReport { block, expected_ms, took_ms, result };
+        placed.report(kernel, SlotReport::Imported { id: placed.id().clone(), imported });
     }
 
     /// Pins the block, has it staged, and uses it only as it was sealed.
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{Ask, Import, ImportResult, Imported};
+use crate::ask::{Import, ImportReport, ImportResult, SlotRequest};
 use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
 use crate::context::{Course, Scope};
 use crate::directory::Directory;
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Source {
     /// The request.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// Where the engine listens.
     pub engine_url: String,
     /// The request's name at the engine.
@@ -145,7 +145,7 @@
 
     /// The best kept block for a prompt, and what bringing it takes.
     #[must_use]
-    pub fn offer(&self, now_ms: u64, ask: &Ask) -> Option<(BlockId, Offer)> {
+    pub fn offer(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, Offer)> {
         let offers = self.directory.matching(&ask.course).filter_map(|(record, common)| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.scope == ask.scope)?;
@@ -186,7 +186,7 @@
     }
 
     /// Takes in how an import went.
-    pub fn imported(&mut self, now_ms: u64, course: &Course, imported: &Imported) {
+    pub fn imported(&mut self, now_ms: u64, course: &Course, imported: &ImportReport) {
         let Some(block) = self.blocks.get(&imported.block) else {
             return;
         };
@@ -278,7 +278,7 @@
         };
         self.blocks.begin_write(&id, block);
         self.directory.record_mut(&ask.course)?.block = Some(id.clone());
-        let Ask { scope, course, worthless_at_ms, .. } = ask;
+        let SlotRequest { scope, course, worthless_at_ms, .. } = ask;
         let meta = BlockMeta { scope, course, worthless_at_ms };
         Some(Export { block: id, engine_url, request, store_url, meta })
     }
--- a/src/place.rs
+++ b/src/place.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::ask::End;
+use crate::ask::SlotEnd;
 use crate::edge::ModelEngines;
 use crate::kernel::Kernel;
 use crate::placing::Placed;
@@ -31,11 +31,11 @@
     }
 
     /// Gives the place back.
-    pub fn done(&mut self, generated_tokens: u32, end: End) {
+    pub fn done(&mut self, generated_tokens: u32, end: SlotEnd) {
         let Some(placed) = self.placed.take() else {
             return;
         };
-        if end == End::Cancelled {
+        if end == SlotEnd::Cancelled {
             let (kernel, run) = (self.kernel.clone(), self.run.to_owned());
             let url = placed.grant.url.clone();
             tokio::spawn(async move { kernel.upstreams.cancel(&url, &run).await });
@@ -46,6 +46,6 @@
 
 impl Drop for PlaceGuard<'_> {
     fn drop(&mut self) {
-        self.done(0, End::Cancelled);
+        self.done(0, SlotEnd::Cancelled);
     }
 }
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::ask::{Ask, AskId, End, Grant, Report, Verdict};
+use crate::ask::{Grant, SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::{owner, ranked};
@@ -47,25 +47,25 @@
     pub grant: Grant,
     dispatcher: String,
     model: String,
-    id: AskId,
+    id: SlotRequestId,
 }
 
 impl Placed {
     /// Name of the ask that got this place.
     #[must_use]
-    pub fn id(&self) -> &AskId {
+    pub fn id(&self) -> &SlotRequestId {
         &self.id
     }
 
     /// Reports on the place to the dispatcher that gave it.
-    pub fn report(&self, kernel: &Arc<Kernel>, report: Report) {
+    pub fn report(&self, kernel: &Arc<Kernel>, report: SlotReport) {
         send_report(kernel, &self.dispatcher, &self.model, report);
     }
 
     /// Gives the place back.
-    pub fn done(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: End) {
+    pub fn done(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
         let (id, request) = (self.id.clone(), request.to_owned());
-        self.report(kernel, Report::Done { id, request, generated_tokens, end });
+        self.report(kernel, SlotReport::Done { id, request, generated_tokens, end });
         let held = (self.dispatcher, self.model, self.id);
         locked(&kernel.placing.held).remove(&held);
     }
@@ -74,7 +74,7 @@
 /// One search for a place.
 struct Search<'a> {
     kernel: &'a Arc<Kernel>,
-    ask: Ask,
+    ask: SlotRequest,
     inbox: mpsc::Receiver<Heard>,
     waits_at: Option<String>,
     refusal: Option<Refusal>,
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// Fails with a refusal; the request has not run.
-pub async fn place(kernel: &Arc<Kernel>, ask: Ask) -> Result<Placed, Refusal> {
+pub async fn place(kernel: &Arc<Kernel>, ask: SlotRequest) -> Result<Placed, Refusal> {
     let (sender, inbox) = mpsc::channel(INBOX_LEN);
     let (id, trace) = (ask.id.clone(), ask.trace);
     locked(&kernel.placing.inboxes).insert(id.clone(), sender);
@@ -145,17 +145,17 @@
             };
             let from_target = heard.from == target;
             match heard.verdict {
-                Verdict::Run(grant) => return Some(self.take(heard.from, grant)),
-                Verdict::Wait if from_target => {
+                SlotResponse::Granted(grant) => return Some(self.take(heard.from, grant)),
+                SlotResponse::Queued if from_target => {
                     self.waits_at.get_or_insert(heard.from);
                     return None;
                 }
-                Verdict::Refuse(refusal) if from_target => {
+                SlotResponse::Refused(refusal) if from_target => {
                     self.note(refusal);
                     return None;
                 }
-                Verdict::Wait => {}
-                Verdict::Refuse(refusal) => {
+                SlotResponse::Queued => {}
+                SlotResponse::Refused(refusal) => {
                     self.waits_at = None;
                     self.note(refusal);
                 }
@@ -171,10 +171,12 @@
         while Instant::now() < deadline {
             let again_at = (Instant::now() + ASK_AGAIN_PERIOD).min(deadline);
             match tokio::time::timeout_at(again_at, self.inbox.recv()).await {
-                Ok(Some(Heard { from, verdict: Verdict::Run(grant) })) => {
+                Ok(Some(Heard { from, verdict: SlotResponse::Granted(grant) })) => {
                     return Ok(self.take(from, grant));
                 }
-                Ok(Some(Heard { from, verdict: Verdict::Refuse(refusal) })) if from == target => {
+                Ok(Some(Heard { from, verdict: SlotResponse::Refused(refusal) }))
+                    if from == target =>
+                {
                     self.waits_at = None;
                     return Err(refusal);
                 }
@@ -244,7 +246,7 @@
 
 /// Dispatchers to ask, in order: the home hall's, then the region's others by
 /// the same ranking, then the other regions'.
-fn targets(kernel: &Kernel, ask: &Ask) -> Vec<String> {
+fn targets(kernel: &Kernel, ask: &SlotRequest) -> Vec<String> {
     let key = ask.course.root.to_string();
     let membership = kernel.membership();
     let own = &kernel.settings;
@@ -282,22 +284,28 @@
     passed_over.insert(target.to_owned(), now_ms() + PASSED_OVER_MS);
 }
 
-fn send_report(kernel: &Arc<Kernel>, dispatcher: &str, model: &str, report: Report) {
+fn send_report(kernel: &Arc<Kernel>, dispatcher: &str, model: &str, report: SlotReport) {
     kernel.hand(dispatcher, Message::Report { model: model.to_owned(), report });
 }
 
 /// Hands a verdict to the search that waits for it. A place that nobody waits
 /// for any more is given back.
-fn deliver(kernel: &Arc<Kernel>, from: &str, model: &str, id: AskId, verdict: Verdict) {
+fn deliver(
+    kernel: &Arc<Kernel>,
+    from: &str,
+    model: &str,
+    id: SlotRequestId,
+    verdict: SlotResponse,
+) {
     let inbox = locked(&kernel.placing.inboxes).get(&id).cloned();
-    let granted = matches!(verdict, Verdict::Run(_));
+    let granted = matches!(verdict, SlotResponse::Granted(_));
     let heard = Heard { from: from.to_owned(), verdict };
     let taken = inbox.is_some_and(|inbox| inbox.try_send(heard).is_ok());
     let held = (from.to_owned(), model.to_owned(), id.clone());
     let in_use = locked(&kernel.placing.held).contains(&held);
     if granted && !taken && !in_use {
         let request = String::new();
-        let done = Report::Done { id, request, generated_tokens: 0, end: End::Unused };
+        let done = SlotReport::Done { id, request, generated_tokens: 0, end: SlotEnd::Unused };
         send_report(kernel, from, model, done);
     }
 }
@@ -316,13 +324,13 @@
     let mut ticks = tokio::time::interval(RENEW_PERIOD);
     loop {
         ticks.tick().await;
-        let mut by_dispatcher: BTreeMap<(String, String), Vec<AskId>> = BTreeMap::new();
+        let mut by_dispatcher: BTreeMap<(String, String), Vec<SlotRequestId>> = BTreeMap::new();
         for (dispatcher, model, id) in locked(&kernel.placing.held).iter() {
             let key = (dispatcher.clone(), model.clone());
             by_dispatcher.entry(key).or_default().push(id.clone());
         }
         for ((dispatcher, model), ids) in by_dispatcher {
-            send_report(&kernel, &dispatcher, &model, Report::Renew { ids });
+            send_report(&kernel, &dispatcher, &model, SlotReport::Renew { ids });
         }
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{Ask, AskId, Report, Verdict};
+use crate::ask::{SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::configlog::{Entry, State};
 use crate::error::{Error, Result};
 use crate::ledger::{Answer, CallKey, Ledger, Outcome};
@@ -99,13 +99,13 @@
     /// A whole configuration, for a box that is too far behind.
     ConfigState(Box<State>),
     /// Asks where a request may run.
-    Ask(Box<Ask>),
+    Ask(Box<SlotRequest>),
     /// Answers an ask.
-    Verdict { model: String, id: AskId, verdict: Verdict },
+    Verdict { model: String, id: SlotRequestId, verdict: SlotResponse },
     /// Takes an ask back.
-    Withdraw { model: String, id: AskId },
+    Withdraw { model: String, id: SlotRequestId },
     /// Reports on a place.
-    Report { model: String, report: Report },
+    Report { model: String, report: SlotReport },
     /// Forwards a call to the box that may spend its ticket.
     Call { number: u64, spender: BoxRef, call: Box<Call> },
     /// Answers a forwarded call.
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use coursestile::account::Weights;
-use coursestile::ask::{Ask, AskId, End, Report, Verdict};
+use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::blocks::{BlockId, Seal};
 use coursestile::context::{Course, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
@@ -27,7 +27,7 @@
 }
 
 /// A store whose link moves 2 GB/s keeps the context of `ask`.
-fn keep(dispatcher: &mut Dispatcher, ask: &Ask) {
+fn keep(dispatcher: &mut Dispatcher, ask: &SlotRequest) {
     let meta = BlockMeta {
         scope: ask.scope.clone(),
         course: ask.course.clone(),
@@ -40,12 +40,12 @@
 }
 
 /// An ask with always the same prompt.
-fn ask(number: u64, avoid: &[&str]) -> Ask {
+fn ask(number: u64, avoid: &[&str]) -> SlotRequest {
     let text = |text: &str| text.to_owned();
     let scope = Scope { account: text("sanam"), model: text("summary"), version: text("v1") };
     let entry = BoxRef { name: text("b1"), incarnation: 1 };
-    Ask {
-        id: AskId { entry, number },
+    SlotRequest {
+        id: SlotRequestId { entry_box: entry, number },
         course: Course::new(&scope, &"A rule. ".repeat(1500)),
         scope,
         prompt_tokens: 3000,
@@ -55,21 +55,22 @@
         weights: Weights::default(),
         worthless_at_ms: NOW_MS + 1_000_000,
         deadline_ms: NOW_MS + 30_000,
-        avoid: avoid.iter().map(|name| text(name)).collect(),
+        excluded_engines: avoid.iter().map(|name| text(name)).collect(),
         no_wait: false,
         trace: TraceId(1),
     }
 }
 
 /// Runs an ask to its end; the engine that ran it.
-fn run(dispatcher: &mut Dispatcher, ask: Ask) -> String {
+fn run(dispatcher: &mut Dispatcher, ask: SlotRequest) -> String {
     let id = ask.id.clone();
-    let actions = dispatcher.ask(NOW_MS, ask);
-    let [Action::Answer { verdict: Verdict::Run(grant), .. }] = actions.as_slice() else {
+    let actions = dispatcher.request_slot(NOW_MS, ask);
+    let [Action::Respond { response: SlotResponse::Granted(grant), .. }] = actions.as_slice()
+    else {
         panic!("not placed: {actions:?}");
     };
     let request = "r".to_owned();
-    let done = Report::Done { id, request, generated_tokens: 5, end: End::Finished };
+    let done = SlotReport::Done { id, request, generated_tokens: 5, end: SlotEnd::Finished };
     dispatcher.report(NOW_MS, &done);
     grant.engine.clone()
 }
@@ -106,8 +107,9 @@
     let mut dispatcher = dispatcher();
     let ask = ask(1, &[]);
     keep(&mut dispatcher, &ask);
-    let actions = dispatcher.ask(NOW_MS, ask);
-    let [Action::Answer { verdict: Verdict::Run(grant), .. }] = actions.as_slice() else {
+    let actions = dispatcher.request_slot(NOW_MS, ask);
+    let [Action::Respond { response: SlotResponse::Granted(grant), .. }] = actions.as_slice()
+    else {
         panic!("not placed: {actions:?}");
     };
     let import = grant.import.as_ref().expect("bringing 56 MB takes 28 ms, reading 140");
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use coursestile::account::Weights;
-use coursestile::ask::{Ask, AskId, ImportResult, Imported};
+use coursestile::ask::{ImportReport, ImportResult, SlotRequest, SlotRequestId};
 use coursestile::blocks::Seal;
 use coursestile::context::{Course, Scope};
 use coursestile::keep::KeepPolicy;
@@ -23,12 +23,12 @@
 }
 
 /// An ask for a prompt of 4,000 tokens; context is worth keeping until 1,000 s.
-fn ask(account: &str, book: usize) -> Ask {
+fn ask(account: &str, book: usize) -> SlotRequest {
     let (model, version) = ("m".to_owned(), "v1".to_owned());
     let scope = Scope { account: account.to_owned(), model, version };
     let prompt = format!("{book:<16000}");
-    Ask {
-        id: AskId { entry: BoxRef { name: "b".to_owned(), incarnation: 1 }, number: 1 },
+    SlotRequest {
+        id: SlotRequestId { entry_box: BoxRef { name: "b".to_owned(), incarnation: 1 }, number: 1 },
         course: Course::new(&scope, &prompt),
         scope,
         prompt_tokens: 4000,
@@ -38,14 +38,14 @@
         weights: Weights::default(),
         worthless_at_ms: 1_000_000,
         deadline_ms: u64::MAX,
-        avoid: Vec::new(),
+        excluded_engines: Vec::new(),
         no_wait: false,
         trace: TraceId(1),
     }
 }
 
 /// Uses a prompt and has its context written; false when it is not worth it.
-fn write(keeper: &mut Keeper, now_ms: u64, ask: &Ask) -> bool {
+fn write(keeper: &mut Keeper, now_ms: u64, ask: &SlotRequest) -> bool {
     let account = &ask.scope.account;
     keeper.directory.used(now_ms, account, &ask.course, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
@@ -67,7 +67,7 @@
     let (block, first) = keeper.offer(10_000, &ask).unwrap();
     for _ in 0..20 {
         let (expected_ms, took_ms, result) = (40, 400, ImportResult::Done);
-        let imported = Imported { block: block.clone(), expected_ms, took_ms, result };
+        let imported = ImportReport { block: block.clone(), expected_ms, took_ms, result };
         keeper.imported(10_000, &ask.course, &imported);
     }
     let slow = keeper.offer(10_000, &ask).unwrap().1;
