--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -156,7 +156,7 @@
         ticks.tick().await;
         let slow = tick.is_multiple_of(SLOW_REPORT_EVERY);
         for model in kernel.dispatch.models() {
-            let awaits = with(&kernel, &model, |acting| acting.dispatcher.fleet.awaits_version());
+            let awaits = with(&kernel, &model, |acting| acting.dispatcher.fleet.awaits_load());
             if slow || awaits {
                 ask_engines(&kernel, &model);
             }
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -36,7 +36,7 @@
         let mut actions = Vec::new();
         loop {
             let fleet = &self.fleet;
-            let Some((_, waiting)) = self.queue.pop(|ask| fleet.has_place(now_ms, ask)) else {
+            let Some((_, waiting)) = self.queue.pop(|ask| fleet.has_free_slot(now_ms, ask)) else {
                 return actions;
             };
             let to = waiting.item.id.clone();
@@ -59,7 +59,8 @@
         self.turn += 1;
         let import = offer.filter(|_| choice.import).and_then(|(block, offer)| {
             let spared_tokens = offer.tokens.saturating_sub(cached[choice.engine].tokens);
-            let spared_ms = f64::from(spared_tokens) * self.fleet.engines[choice.engine].token_ms;
+            let spared_ms =
+                f64::from(spared_tokens) * self.fleet.engines[choice.engine].prefill_ms_per_token;
             self.keeper.start_import(now_ms, &ask.scope, &block, &offer, spared_ms)
         });
         let held_tokens = match (&import, demand.offer) {
@@ -141,9 +142,9 @@
         engine.pending_tokens = engine.pending_tokens.saturating_sub(pending);
         let computed = running.ask.prompt_tokens.saturating_sub(cached_tokens);
         if alone {
-            engine.measured(computed, f64::from(took_ms));
+            engine.record_prefill(computed, f64::from(took_ms));
         }
-        engine.works();
+        engine.record_success();
         if running.believed.tokens > 0 {
             let hit = cached_tokens + SLACK_TOKENS >= running.believed.tokens;
             engine.cache.learn(running.believed.depth_tokens, hit);
@@ -163,9 +164,9 @@
         };
         let mut actions = Vec::new();
         if end == SlotEnd::Finished {
-            let Engine { url, token_ms, .. } = &self.fleet.engines[engine];
+            let Engine { url, prefill_ms_per_token: token_ms, .. } = &self.fleet.engines[engine];
             let (engine_url, request, token_ms) = (url.clone(), request.to_owned(), *token_ms);
-            let source = Source { ask, engine_url, request, token_ms };
+            let source = Source { ask, engine_url, request, prefill_ms_per_token: token_ms };
             actions.extend(self.keeper.plan_export(now_ms, source).map(Action::Export));
         }
         actions.extend(self.place_waiting(now_ms));
@@ -188,8 +189,8 @@
             engine.pending_tokens = engine.pending_tokens.saturating_sub(pending);
         }
         match end {
-            SlotEnd::Failed => engine.failed(now_ms),
-            SlotEnd::Refused => engine.refused(now_ms),
+            SlotEnd::Failed => engine.record_failure(now_ms),
+            SlotEnd::Refused => engine.record_refusal(now_ms),
             SlotEnd::Finished | SlotEnd::Cancelled | SlotEnd::Unused => {}
         }
         let took = match end {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -36,13 +36,13 @@
     /// It loads weights.
     pub loading: bool,
     /// Operators want it to leave.
-    pub ordered_to_leave: bool,
+    pub marked_leaving: bool,
     /// Requests granted to it and not ended.
     pub outstanding: u32,
     /// Prompt tokens granted to it and not yet prefilled.
     pub pending_tokens: u64,
     /// Time to prefill a token, measured.
-    pub token_ms: f64,
+    pub prefill_ms_per_token: f64,
     /// It is left alone until then, in Unix milliseconds.
     pub cooldown_until_ms: u64,
     failures: u32,
@@ -60,10 +60,10 @@
             version: None,
             leaving: false,
             loading: false,
-            ordered_to_leave: false,
+            marked_leaving: false,
             outstanding: 0,
             pending_tokens: 0,
-            token_ms,
+            prefill_ms_per_token: token_ms,
             cooldown_until_ms: 0,
             failures: 0,
         }
@@ -71,60 +71,61 @@
 
     /// Whether the engine is to get new work at all.
     #[must_use]
-    pub fn stays(&self) -> bool {
-        !self.leaving && !self.ordered_to_leave
+    pub fn accepts_work(&self) -> bool {
+        !self.leaving && !self.marked_leaving
     }
 
     /// Whether a request that expects `version` may run here.
     #[must_use]
     pub fn serves(&self, version: &str) -> bool {
-        self.stays() && self.version.as_deref().is_none_or(|own| own == version)
+        self.accepts_work() && self.version.as_deref().is_none_or(|own| own == version)
     }
 
     /// Whether a request may be sent now.
     #[must_use]
-    pub fn has_room(&self, now_ms: u64) -> bool {
+    pub fn has_capacity(&self, now_ms: u64) -> bool {
         !self.loading && self.outstanding < self.slots && now_ms >= self.cooldown_until_ms
     }
 
     /// Whether the ask may be sent here now.
     #[must_use]
-    pub fn fits(&self, now_ms: u64, ask: &SlotRequest) -> bool {
+    pub fn can_run(&self, now_ms: u64, ask: &SlotRequest) -> bool {
         let allowed = self.serves(&ask.scope.version) && !ask.excluded_engines.contains(&self.name);
-        allowed && self.has_room(now_ms)
+        allowed && self.has_capacity(now_ms)
     }
 
     /// The engine as a candidate that holds `cached_tokens` of the prompt.
     #[must_use]
     pub fn candidate(&self, engine: usize, cached_tokens: u32) -> Candidate {
         #[expect(clippy::cast_precision_loss, reason = "token counts stay far below 2^52")]
-        let wait_ms = self.pending_tokens as f64 * self.token_ms;
-        let (outstanding, token_ms) = (self.outstanding, self.token_ms);
-        Candidate { engine, outstanding, wait_ms, token_ms, cached_tokens }
+        let wait_ms = self.pending_tokens as f64 * self.prefill_ms_per_token;
+        let (outstanding, token_ms) = (self.outstanding, self.prefill_ms_per_token);
+        Candidate { engine, outstanding, wait_ms, prefill_ms_per_token: token_ms, cached_tokens }
     }
 
     /// Notes a failure: the engine is left alone for a while.
-    pub fn failed(&mut self, now_ms: u64) {
+    pub fn record_failure(&mut self, now_ms: u64) {
         let cooldown_ms = FIRST_COOLDOWN_MS << self.failures.min(5);
         self.failures += 1;
         self.cooldown_until_ms = now_ms + cooldown_ms.min(MAX_COOLDOWN_MS);
     }
 
     /// Notes that the engine refused work: its next report will say why.
-    pub fn refused(&mut self, now_ms: u64) {
+    pub fn record_refusal(&mut self, now_ms: u64) {
         self.cooldown_until_ms = self.cooldown_until_ms.max(now_ms + REFUSED_COOLDOWN_MS);
     }
 
     /// Notes that the engine works.
-    pub fn works(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.cooldown_until_ms = 0;
     }
 
     /// Takes a measured prefill into the mean.
-    pub fn measured(&mut self, tokens: u32, took_ms: f64) {
+    pub fn record_prefill(&mut self, tokens: u32, took_ms: f64) {
         if tokens >= LEAST_MEASURED_TOKENS {
-            self.token_ms += RATE_WEIGHT * (took_ms / f64::from(tokens) - self.token_ms);
+            self.prefill_ms_per_token +=
+                RATE_WEIGHT * (took_ms / f64::from(tokens) - self.prefill_ms_per_token);
         }
     }
 }
@@ -162,10 +163,10 @@
         let index = self.engines.iter().position(|engine| engine.name == name)?;
         let engine = &mut self.engines[index];
         let Some(report) = report else {
-            engine.failed(now_ms);
+            engine.record_failure(now_ms);
             return None;
         };
-        engine.works();
+        engine.record_success();
         engine.leaving = report.leaving;
         engine.loading = report.loading;
         // The first report changes nothing: what the engine was given before ran on it.
@@ -188,7 +189,7 @@
 
     /// Whether some engine has yet to load the version that operators want.
     #[must_use]
-    pub fn awaits_version(&self) -> bool {
+    pub fn awaits_load(&self) -> bool {
         let Some(wanted) = &self.version else {
             return false;
         };
@@ -204,20 +205,21 @@
         });
         let allowed = |engine: &Engine| !ask.excluded_engines.contains(&engine.name);
         let mut engines = self.engines.iter().filter(|engine| allowed(engine));
-        engines.any(|engine| engine.serves(&ask.scope.version) || (awaited && engine.stays()))
+        engines
+            .any(|engine| engine.serves(&ask.scope.version) || (awaited && engine.accepts_work()))
     }
 
     /// Marks which engines operators want to leave.
     pub fn set_leaving(&mut self, leaving: impl Fn(&str) -> bool) {
         for engine in &mut self.engines {
-            engine.ordered_to_leave = leaving(&engine.name);
+            engine.marked_leaving = leaving(&engine.name);
         }
     }
 
     /// Whether some engine has a place for the ask now.
     #[must_use]
-    pub fn has_place(&self, now_ms: u64, ask: &SlotRequest) -> bool {
-        self.engines.iter().any(|engine| engine.fits(now_ms, ask))
+    pub fn has_free_slot(&self, now_ms: u64, ask: &SlotRequest) -> bool {
+        self.engines.iter().any(|engine| engine.can_run(now_ms, ask))
     }
 
     /// Engines with a place for the ask; `cached` tells what each holds.
@@ -229,7 +231,7 @@
         cached: impl Fn(usize) -> u32,
     ) -> Vec<Candidate> {
         let all = self.engines.iter().enumerate();
-        let fit = all.filter(|(_, engine)| engine.fits(now_ms, ask));
+        let fit = all.filter(|(_, engine)| engine.can_run(now_ms, ask));
         fit.map(|(index, engine)| engine.candidate(index, cached(index))).collect()
     }
 }
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -82,7 +82,7 @@
     /// The request's name at the engine.
     pub request: String,
     /// Time to prefill a token there.
-    pub token_ms: f64,
+    pub prefill_ms_per_token: f64,
 }
 
 /// How a write ended.
@@ -233,7 +233,7 @@
 
     /// Size of the block that would be written; none when it is not worth it.
     fn worth_writing(&mut self, now_ms: u64, source: &Source) -> Option<u64> {
-        let Source { ask, token_ms, .. } = source;
+        let Source { ask, prefill_ms_per_token: token_ms, .. } = source;
         let mark = ask.course.end().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
         self.shares.insert(ask.scope.account.clone(), ask.share);
         let record = self.directory.record_mut(&ask.course)?;
--- a/src/route.rs
+++ b/src/route.rs
@@ -56,7 +56,7 @@
     /// Time until its prefill queue is done.
     pub wait_ms: f64,
     /// Time to prefill a token there.
-    pub token_ms: f64,
+    pub prefill_ms_per_token: f64,
     /// Tokens of the prompt in its cache.
     pub cached_tokens: u32,
 }
@@ -136,5 +136,5 @@
 }
 
 fn recompute_ms(demand: &Demand, candidate: &Candidate, held_tokens: u32) -> f64 {
-    f64::from(demand.prompt_tokens.saturating_sub(held_tokens)) * candidate.token_ms
+    f64::from(demand.prompt_tokens.saturating_sub(held_tokens)) * candidate.prefill_ms_per_token
 }
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -49,7 +49,7 @@
     let account = &ask.scope.account;
     keeper.directory.used(now_ms, account, &ask.course, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
-    let source = Source { ask: ask.clone(), engine_url, request, token_ms: 0.03 };
+    let source = Source { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
     let Some(export) = keeper.plan_export(now_ms, source) else {
         return false;
     };
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 
 fn candidate(engine: usize, outstanding: u32, wait_ms: f64, cached_tokens: u32) -> Candidate {
-    Candidate { engine, outstanding, wait_ms, token_ms: 0.03, cached_tokens }
+    Candidate { engine, outstanding, wait_ms, prefill_ms_per_token: 0.03, cached_tokens }
 }
 
 fn demand(offer: Option<Offer>) -> Demand {
