--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -7,7 +7,7 @@
 use coursestile::account::{Account, Terms, Weights, key_hash};
 use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::configlog::{Change, Config, Entry, Proposal, State};
-use coursestile::context::{Course, Scope};
+use coursestile::context::{PrefixChain, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::fleet::Engine;
 use coursestile::keep::KeepPolicy;
@@ -76,7 +76,7 @@
             entry_box: BoxRef { name: "box".to_owned(), incarnation: 1 },
             number: number as u64,
         },
-        course: Course::new(&scope, &prompt),
+        prefix: PrefixChain::new(&scope, &prompt),
         scope,
         prompt_tokens: 6000,
         max_tokens: 200,
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -4,7 +4,7 @@
 
 use crate::account::Weights;
 use crate::blocks::{BlockId, Seal};
-use crate::context::{Course, Scope};
+use crate::context::{PrefixChain, Scope};
 use crate::refusal::Refusal;
 use crate::ticket::BoxRef;
 use crate::trace::TraceId;
@@ -26,7 +26,7 @@
     /// Account, model and weight version of the request.
     pub scope: Scope,
     /// Course of the prompt.
-    pub course: Course,
+    pub prefix: PrefixChain,
     /// Length of the prompt.
     pub prompt_tokens: u32,
     /// Most tokens to generate.
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::context::{Mark, Scope};
+use crate::context::{PrefixHash, Scope};
 use crate::invariant::{Invariant, check};
 
 /// Time added to a pin before its block is deleted, for clocks that differ.
@@ -22,8 +22,8 @@
 impl BlockId {
     /// A new id; `nonce` is never given twice by one `writer`.
     #[must_use]
-    pub fn new(scope: &Scope, mark: Mark, writer: &str, nonce: u64) -> Self {
-        let scope = &crate::context::salt(scope)[..16];
+    pub fn new(scope: &Scope, mark: PrefixHash, writer: &str, nonce: u64) -> Self {
+        let scope = &crate::context::cache_salt(scope)[..16];
         let mut hasher = blake3::Hasher::new();
         hasher.update(writer.as_bytes());
         hasher.update(&nonce.to_le_bytes());
@@ -60,7 +60,7 @@
     /// Store that holds it.
     pub store: String,
     /// End of the context that it covers.
-    pub mark: Mark,
+    pub prefix_end: PrefixHash,
     /// Size as the link and the store count it.
     pub size_bytes: u64,
     /// Where it is in its life.
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -23,7 +23,7 @@
 use crate::chunk::{events, last_chunk};
 use crate::clock::{instant_at, now_ms};
 use crate::completion::{self, Job};
-use crate::context::tokens;
+use crate::context::token_count;
 use crate::kernel::{Kernel, Plugin};
 use crate::ledger::{Answer, CallKey};
 use crate::listen::server;
@@ -175,7 +175,7 @@
     let (job, streamed) = job(kernel, caller, &body)?;
     metrics::counter!("coursestile_requests_total", "kind" => "completion").increment(1);
     let id = format!("{}-{:x}", kernel.me.name, fastrand::u128(..));
-    let prompt_tokens = tokens(job.prompt.len());
+    let prompt_tokens = token_count(job.prompt.len());
     let stream = kernel.streams.open(id, &job.account, &job.model, prompt_tokens);
     tokio::spawn(completion::serve(kernel.clone(), job, stream.clone()));
     Ok((stream, streamed))
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -15,7 +15,7 @@
 use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId};
 use crate::assembler::Assembler;
 use crate::clock::{instant_at, now_ms, now_us};
-use crate::context::{Course, Scope, salt, tokens};
+use crate::context::{PrefixChain, Scope, cache_salt, token_count};
 use crate::crashes::{note_answered, note_broken_off, quarantined_until_ms};
 use crate::edge::{EngineError, EnginePiece, Generate, ModelEngines, Pieces};
 use crate::fingerprint::Fingerprint;
@@ -191,9 +191,9 @@
                 entry_box: self.kernel.me.clone(),
                 number: self.kernel.take_number(),
             },
-            course: Course::new(&scope, &prompt),
+            prefix: PrefixChain::new(&scope, &prompt),
             scope,
-            prompt_tokens: tokens(prompt.len()),
+            prompt_tokens: token_count(prompt.len()),
             max_tokens: self.tokens_left(),
             share: terms.share,
             priority: terms.priority,
@@ -218,7 +218,7 @@
         let mut guard = PlaceGuard::new(self.kernel, placed, &run);
         let placed = guard.placed();
         if let Some(import) = placed.grant.import.clone() {
-            let (prompt, salt, trace) = (self.prompt(), salt(&self.scope()), self.job.trace);
+            let (prompt, salt, trace) = (self.prompt(), cache_salt(&self.scope()), self.job.trace);
             let (prompt, salt) = (prompt.as_str(), salt.as_str());
             Bringing { kernel: self.kernel, placed, prompt, salt, trace }.import(&import).await;
         }
@@ -263,7 +263,7 @@
             prompt: &prompt,
             max_tokens: self.tokens_left(),
             priority: self.job.terms.priority,
-            cache_salt: &salt(&scope),
+            cache_salt: &cache_salt(&scope),
             stream: true,
         };
         let url = &placed.grant.url;
--- a/src/context.rs
+++ b/src/context.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Prompt bytes that make a token, as the engines count.
-pub const TOKEN_BYTES: usize = 4;
+pub const BYTES_PER_TOKEN: usize = 4;
 /// Tokens in a block.
-pub const BLOCK_TOKENS: usize = 256;
+pub const PREFIX_BLOCK_TOKENS: usize = 256;
 /// Most hashes that describe a prompt; longer prompts get coarser courses.
 const MAX_HASHES: usize = 32;
 
@@ -27,7 +27,7 @@
 
 /// A point in a prompt, named by everything before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct PrefixHash {
     /// Tokens before this point.
     pub tokens: u32,
     /// Hash of scope and of those tokens.
@@ -38,7 +38,7 @@
 ///
 /// Courses of prompts that share a start share their hashes up to there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Course {
+pub struct PrefixChain {
     /// Hash of the first block; 0 for a prompt shorter than that.
     pub root: u64,
     /// Blocks between two points.
@@ -46,11 +46,11 @@
     hashes: Box<[u64]>,
 }
 
-impl Course {
+impl PrefixChain {
     /// The course of a prompt.
     #[must_use]
     pub fn new(scope: &Scope, prompt: &str) -> Self {
-        let block_bytes = BLOCK_TOKENS * TOKEN_BYTES;
+        let block_bytes = PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN;
         let blocks = prompt.len() / block_bytes;
         if blocks == 0 {
             return Self::default();
@@ -80,9 +80,9 @@
 
     /// The last point.
     #[must_use]
-    pub fn end(&self) -> Option<Mark> {
+    pub fn last(&self) -> Option<PrefixHash> {
         let hash = *self.hashes.last()?;
-        Some(Mark { tokens: self.tokens_at(self.hashes.len()), hash })
+        Some(PrefixHash { tokens: self.tokens_at(self.hashes.len()), hash })
     }
 
     /// Tokens up to the last point.
@@ -93,7 +93,7 @@
 
     fn tokens_at(&self, points: usize) -> u32 {
         let blocks = u32::try_from(points).unwrap_or(u32::MAX).saturating_mul(self.stride_blocks);
-        blocks.saturating_mul(u32::try_from(BLOCK_TOKENS).unwrap_or(u32::MAX))
+        blocks.saturating_mul(u32::try_from(PREFIX_BLOCK_TOKENS).unwrap_or(u32::MAX))
     }
 
     /// Tokens that two prompts have in common, by the points of both.
@@ -123,13 +123,13 @@
 
 /// Tokens of a prompt of `len_bytes`.
 #[must_use]
-pub fn tokens(len_bytes: usize) -> u32 {
-    u32::try_from(len_bytes.div_ceil(TOKEN_BYTES)).unwrap_or(u32::MAX)
+pub fn token_count(len_bytes: usize) -> u32 {
+    u32::try_from(len_bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
 /// The salt that keeps an account's context apart in an engine's cache.
 #[must_use]
-pub fn salt(scope: &Scope) -> String {
+pub fn cache_salt(scope: &Scope) -> String {
     scope_hasher(scope).finalize().to_hex()[..32].to_owned()
 }
 
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -8,7 +8,7 @@
 
 use crate::blocks::BlockId;
 use crate::cache::Use;
-use crate::context::Course;
+use crate::context::PrefixChain;
 use crate::keep::{Prior, Returns};
 
 /// Most records that start with the same block.
@@ -31,7 +31,7 @@
     /// Client account that it belongs to.
     pub account: String,
     /// Course of the longest prompt seen.
-    pub course: Course,
+    pub prefix: PrefixChain,
     /// Engines that are believed to hold some of it.
     pub copies: Vec<Copy>,
     /// Block that a store keeps or is being given.
@@ -71,9 +71,12 @@
     }
 
     /// Records that share their start with `course`, with the tokens in common.
-    pub fn matching<'a>(&'a self, course: &'a Course) -> impl Iterator<Item = (&'a Record, u32)> {
+    pub fn matching<'a>(
+        &'a self,
+        course: &'a PrefixChain,
+    ) -> impl Iterator<Item = (&'a Record, u32)> {
         let records = self.by_root.get(&course.root).into_iter().flatten();
-        records.map(move |record| (record, course.common_tokens(&record.course)))
+        records.map(move |record| (record, course.common_tokens(&record.prefix)))
     }
 
     /// What is known of the prompts of an account.
@@ -87,7 +90,7 @@
         &mut self,
         now_ms: u64,
         account: &str,
-        course: &Course,
+        course: &PrefixChain,
         worthless_at_ms: u64,
     ) -> Option<&mut Record> {
         if course.is_empty() {
@@ -113,8 +116,8 @@
             records.len() - 1
         };
         let record = &mut records[index];
-        if course.tokens() > record.course.tokens() {
-            record.course = course.clone();
+        if course.tokens() > record.prefix.tokens() {
+            record.prefix = course.clone();
         }
         Some(record)
     }
@@ -124,7 +127,7 @@
         &mut self,
         now_ms: u64,
         account: &str,
-        course: &Course,
+        course: &PrefixChain,
         worthless_at_ms: u64,
         block: &BlockId,
     ) {
@@ -142,7 +145,7 @@
     }
 
     /// The record that `course` belongs to.
-    pub fn record_mut(&mut self, course: &Course) -> Option<&mut Record> {
+    pub fn record_mut(&mut self, course: &PrefixChain) -> Option<&mut Record> {
         let records = self.by_root.get_mut(&course.root)?;
         let index = course_of(records, course)?;
         Some(&mut records[index])
@@ -190,10 +193,10 @@
 }
 
 impl Record {
-    fn new(now_ms: u64, account: &str, course: &Course, worthless_at_ms: u64) -> Self {
+    fn new(now_ms: u64, account: &str, course: &PrefixChain, worthless_at_ms: u64) -> Self {
         Self {
             account: account.to_owned(),
-            course: course.clone(),
+            prefix: course.clone(),
             copies: Vec::new(),
             block: None,
             returns: Returns::new(now_ms),
@@ -218,8 +221,8 @@
 }
 
 /// The record that continues `course` or is continued by it.
-fn course_of(records: &[Record], course: &Course) -> Option<usize> {
-    records.iter().position(|record| record.course.continues(course))
+fn course_of(records: &[Record], course: &PrefixChain) -> Option<usize> {
+    records.iter().position(|record| record.prefix.continues(course))
 }
 
 /// Drops the record used longest ago among those without a block.
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -245,7 +245,7 @@
         return warn!(target: "dispatch", "Store {store} does not list its blocks.");
     };
     let own = listed.into_iter().filter(|block| block.meta.scope.model == model);
-    let own: Vec<_> = own.filter(|block| is_home(&kernel, block.meta.course.root)).collect();
+    let own: Vec<_> = own.filter(|block| is_home(&kernel, block.meta.prefix.root)).collect();
     info!(target: "dispatch", "Took over {} blocks of store {store}.", own.len());
     with(&kernel, &model, |acting| {
         for block in own {
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -197,7 +197,7 @@
     }
 
     fn expected_work(&self, ask: &SlotRequest) -> f64 {
-        let matching = self.keeper.directory.matching(&ask.course);
+        let matching = self.keeper.directory.matching(&ask.prefix);
         let held = matching.map(|(_, common)| common).max().unwrap_or(0);
         work_tokens(ask.prompt_tokens.saturating_sub(held), ask.max_tokens)
     }
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -93,8 +93,8 @@
         used.outstanding += 1;
         used.pending_tokens += u64::from(uncached_tokens);
         let (account, until_ms) = (&ask.scope.account, ask.worthless_at_ms);
-        let record = self.keeper.directory.used(now_ms, account, &ask.course, until_ms);
-        if let (Some(record), Some(mark)) = (record, ask.course.end()) {
+        let record = self.keeper.directory.used(now_ms, account, &ask.prefix, until_ms);
+        if let (Some(record), Some(mark)) = (record, ask.prefix.last()) {
             let before = record.used_at(narrow(engine));
             let now = used.cache.touch(before, mark.tokens);
             record.held(narrow(engine), mark.tokens, now);
@@ -104,7 +104,7 @@
     /// Tokens of the prompt that each engine is believed to hold.
     fn held(&self, ask: &SlotRequest) -> Vec<Held> {
         let mut cached = vec![Held::default(); self.fleet.engines.len()];
-        for (record, common) in self.keeper.directory.matching(&ask.course) {
+        for (record, common) in self.keeper.directory.matching(&ask.prefix) {
             for copy in &record.copies {
                 let index = usize::from(copy.engine);
                 let engine = &self.fleet.engines[index];
@@ -120,7 +120,7 @@
 
     pub(super) fn imported(&mut self, now_ms: u64, id: &SlotRequestId, imported: &ImportReport) {
         if let Some(running) = self.running.get(id) {
-            self.keeper.imported(now_ms, &running.ask.course, imported);
+            self.keeper.imported(now_ms, &running.ask.prefix, imported);
         }
     }
 
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::ask::{Import, ImportReport, ImportResult, SlotRequest};
 use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
-use crate::context::{Course, Scope};
+use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
 use crate::keep::{self, KeepPolicy, Kept};
 use crate::route::Offer;
@@ -39,7 +39,8 @@
     /// Whose context it is.
     pub scope: Scope,
     /// Course of its prompt.
-    pub course: Course,
+    #[serde(rename = "course")]
+    pub prefix: PrefixChain,
     /// When it is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
 }
@@ -146,7 +147,7 @@
     /// The best kept block for a prompt, and what bringing it takes.
     #[must_use]
     pub fn offer(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, Offer)> {
-        let offers = self.directory.matching(&ask.course).filter_map(|(record, common)| {
+        let offers = self.directory.matching(&ask.prefix).filter_map(|(record, common)| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.scope == ask.scope)?;
             let store = self.stores.get(&block.store)?;
@@ -186,7 +187,7 @@
     }
 
     /// Takes in how an import went.
-    pub fn imported(&mut self, now_ms: u64, course: &Course, imported: &ImportReport) {
+    pub fn imported(&mut self, now_ms: u64, course: &PrefixChain, imported: &ImportReport) {
         let Some(block) = self.blocks.get(&imported.block) else {
             return;
         };
@@ -207,7 +208,7 @@
     /// While the links are busy it is put off for a little.
     pub fn plan_export(&mut self, now_ms: u64, source: Source) -> Option<Export> {
         let size_bytes = self.worth_writing(now_ms, &source)?;
-        let root = source.ask.course.root;
+        let root = source.ask.prefix.root;
         if let Some(store) = self.store_for(now_ms, root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
@@ -224,7 +225,7 @@
             return None;
         }
         let size_bytes = self.worth_writing(now_ms, &source)?;
-        if let Some(store) = self.store_for(now_ms, source.ask.course.root, size_bytes) {
+        if let Some(store) = self.store_for(now_ms, source.ask.prefix.root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
         self.put_off.push_front((until_ms, source));
@@ -234,9 +235,9 @@
     /// Size of the block that would be written; none when it is not worth it.
     fn worth_writing(&mut self, now_ms: u64, source: &Source) -> Option<u64> {
         let Source { ask, prefill_ms_per_token: token_ms, .. } = source;
-        let mark = ask.course.end().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
+        let mark = ask.prefix.last().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
         self.shares.insert(ask.scope.account.clone(), ask.share);
-        let record = self.directory.record_mut(&ask.course)?;
+        let record = self.directory.record_mut(&ask.prefix)?;
         if record.block.is_some() {
             return None;
         }
@@ -265,21 +266,21 @@
         let store = self.stores.get_mut(store_name)?;
         store.plan(now_ms, exact(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
-        let mark = ask.course.end()?;
+        let mark = ask.prefix.last()?;
         let id = BlockId::new(&ask.scope, mark, &self.writer, self.next_nonce);
         self.next_nonce += 1;
         let block = Block {
             scope: ask.scope.clone(),
             store: store_name.to_owned(),
-            mark,
+            prefix_end: mark,
             size_bytes,
             phase: Phase::Writing { deadline_ms: now_ms + WRITE_TIMEOUT_MS },
             pinned_until_ms: 0,
         };
         self.blocks.begin_write(&id, block);
-        self.directory.record_mut(&ask.course)?.block = Some(id.clone());
-        let SlotRequest { scope, course, worthless_at_ms, .. } = ask;
-        let meta = BlockMeta { scope, course, worthless_at_ms };
+        self.directory.record_mut(&ask.prefix)?.block = Some(id.clone());
+        let SlotRequest { scope, prefix: course, worthless_at_ms, .. } = ask;
+        let meta = BlockMeta { scope, prefix: course, worthless_at_ms };
         Some(Export { block: id, engine_url, request, store_url, meta })
     }
 
@@ -293,7 +294,7 @@
         if sealed {
             return;
         }
-        self.drop_block(&export.block, export.meta.course.root);
+        self.drop_block(&export.block, export.meta.prefix.root);
         let store = self.stores.values_mut().find(|store| store.url == export.store_url);
         if let Some(store) = store.filter(|_| failed) {
             store.fail(now_ms);
@@ -302,21 +303,21 @@
 
     /// Takes over a block that a store lists.
     pub fn adopt(&mut self, now_ms: u64, store: &str, listed: Listed) {
-        let Some(mark) = listed.meta.course.end() else {
+        let Some(mark) = listed.meta.prefix.last() else {
             return;
         };
         let meta = listed.meta;
         let block = Block {
             scope: meta.scope.clone(),
             store: store.to_owned(),
-            mark,
+            prefix_end: mark,
             size_bytes: listed.size_bytes,
             phase: Phase::Sealed(listed.seal),
             pinned_until_ms: now_ms,
         };
         self.blocks.adopt(&listed.id, block);
         let account = &meta.scope.account;
-        self.directory.adopt_block(now_ms, account, &meta.course, meta.worthless_at_ms, &listed.id);
+        self.directory.adopt_block(now_ms, account, &meta.prefix, meta.worthless_at_ms, &listed.id);
     }
 
     /// Forgets a block that was deleted.
--- a/src/keeper/room.rs
+++ b/src/keeper/room.rs
@@ -90,11 +90,11 @@
         let kept = Kept {
             returns: record.returns,
             worthless_at_ms: record.worthless_at_ms,
-            saved_ms: f64::from(block.mark.tokens),
+            saved_ms: f64::from(block.prefix_end.tokens),
             size_bytes: block.size_bytes,
             over_share,
         };
-        let (account, root) = (record.account.clone(), record.course.root);
+        let (account, root) = (record.account.clone(), record.prefix.root);
         Self { id: id.clone(), account, root, kept }
     }
 }
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -247,7 +247,7 @@
 /// Dispatchers to ask, in order: the home hall's, then the region's others by
 /// the same ranking, then the other regions'.
 fn targets(kernel: &Kernel, ask: &SlotRequest) -> Vec<String> {
-    let key = ask.course.root.to_string();
+    let key = ask.prefix.root.to_string();
     let membership = kernel.membership();
     let own = &kernel.settings;
     let mut near = BTreeSet::new();
@@ -257,7 +257,7 @@
         halls.insert(member.hall.as_str());
     }
     let mut halls = ranked(&key, near.iter().copied(), near.len());
-    if ask.course.is_empty() {
+    if ask.prefix.is_empty() {
         // Nothing to gather: the own hall is the nearest.
         halls.sort_by_key(|hall| *hall != own.hall);
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -52,7 +52,7 @@
     pub fn offer(&self, now_ms: u64, block: &Block, common: u32) -> Offer {
         let transfer_ms = exact(block.size_bytes) / self.bytes_per_ms;
         let link_ms = self.backlog_ms(now_ms) + transfer_ms;
-        Offer { tokens: common.min(block.mark.tokens), link_ms, transfer_ms }
+        Offer { tokens: common.min(block.prefix_end.tokens), link_ms, transfer_ms }
     }
 
     /// Plans a transfer.
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use coursestile::blocks::{Block, BlockId, Blocks, PIN_MARGIN_MS, Phase, Seal};
-use coursestile::context::{Mark, Scope};
+use coursestile::context::{PrefixHash, Scope};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
@@ -80,13 +80,13 @@
     }
 
     fn write(&mut self, now_ms: u64, account: u8) {
-        let mark = Mark { tokens: 512, hash: 7 };
+        let mark = PrefixHash { tokens: 512, hash: 7 };
         let id = BlockId::new(&scope(account), mark, "box", self.ids.len() as u64);
         let phase = Phase::Writing { deadline_ms: now_ms + WRITE_MS };
         let block = Block {
             scope: scope(account),
             store: "s".to_owned(),
-            mark,
+            prefix_end: mark,
             size_bytes: 10,
             phase,
             pinned_until_ms: 0,
--- a/tests/courses.rs
+++ b/tests/courses.rs
@@ -1,6 +1,6 @@
 //! Courses of prompts: what they have in common, and what they do not.
 
-use coursestile::context::{Course, Scope, salt};
+use coursestile::context::{PrefixChain, Scope, cache_salt};
 use rstest::rstest;
 
 const BLOCK_BYTES: usize = 1024;
@@ -15,8 +15,8 @@
     letters.chars().map(|letter| letter.to_string().repeat(BLOCK_BYTES)).collect()
 }
 
-fn course(letters: &str) -> Course {
-    Course::new(&scope("a", "v1"), &prompt(letters))
+fn course(letters: &str) -> PrefixChain {
+    PrefixChain::new(&scope("a", "v1"), &prompt(letters))
 }
 
 #[rstest]
@@ -53,11 +53,11 @@
 #[test]
 fn scopes_apart() {
     let text = prompt("abcd");
-    let own = Course::new(&scope("a", "v1"), &text);
+    let own = PrefixChain::new(&scope("a", "v1"), &text);
     for other in [scope("b", "v1"), scope("a", "v2")] {
-        let other_course = Course::new(&other, &text);
+        let other_course = PrefixChain::new(&other, &text);
         assert_ne!(own.root, other_course.root);
         assert_eq!(own.common_tokens(&other_course), 0);
-        assert_ne!(salt(&scope("a", "v1")), salt(&other));
+        assert_ne!(cache_salt(&scope("a", "v1")), cache_salt(&other));
     }
 }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -5,7 +5,7 @@
 use coursestile::account::Weights;
 use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::blocks::{BlockId, Seal};
-use coursestile::context::{Course, Scope};
+use coursestile::context::{PrefixChain, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::edge::EngineReport;
 use coursestile::fleet::Engine;
@@ -30,11 +30,11 @@
 fn keep(dispatcher: &mut Dispatcher, ask: &SlotRequest) {
     let meta = BlockMeta {
         scope: ask.scope.clone(),
-        course: ask.course.clone(),
+        prefix: ask.prefix.clone(),
         worthless_at_ms: ask.worthless_at_ms,
     };
     let seal = Seal { len_bytes: 1, checksum: "c".to_owned() };
-    let size_bytes = u64::from(ask.course.tokens()) * 20_000;
+    let size_bytes = u64::from(ask.prefix.tokens()) * 20_000;
     let listed = Listed { id: BlockId("kept".to_owned()), size_bytes, seal, meta };
     dispatcher.keeper.adopt(NOW_MS, "store1", listed);
 }
@@ -46,7 +46,7 @@
     let entry = BoxRef { name: text("b1"), incarnation: 1 };
     SlotRequest {
         id: SlotRequestId { entry_box: entry, number },
-        course: Course::new(&scope, &"A rule. ".repeat(1500)),
+        prefix: PrefixChain::new(&scope, &"A rule. ".repeat(1500)),
         scope,
         prompt_tokens: 3000,
         max_tokens: 5,
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -5,7 +5,7 @@
 use coursestile::account::Weights;
 use coursestile::ask::{ImportReport, ImportResult, SlotRequest, SlotRequestId};
 use coursestile::blocks::Seal;
-use coursestile::context::{Course, Scope};
+use coursestile::context::{PrefixChain, Scope};
 use coursestile::keep::KeepPolicy;
 use coursestile::keeper::{Keeper, Source, Written};
 use coursestile::store::Store;
@@ -29,7 +29,7 @@
     let prompt = format!("{book:<16000}");
     SlotRequest {
         id: SlotRequestId { entry_box: BoxRef { name: "b".to_owned(), incarnation: 1 }, number: 1 },
-        course: Course::new(&scope, &prompt),
+        prefix: PrefixChain::new(&scope, &prompt),
         scope,
         prompt_tokens: 4000,
         max_tokens: 10,
@@ -47,14 +47,14 @@
 /// Uses a prompt and has its context written; false when it is not worth it.
 fn write(keeper: &mut Keeper, now_ms: u64, ask: &SlotRequest) -> bool {
     let account = &ask.scope.account;
-    keeper.directory.used(now_ms, account, &ask.course, ask.worthless_at_ms);
+    keeper.directory.used(now_ms, account, &ask.prefix, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
     let source = Source { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
     let Some(export) = keeper.plan_export(now_ms, source) else {
         return false;
     };
     let seal = Seal { len_bytes: 1, checksum: "c".to_owned() };
-    let size_bytes = u64::from(ask.course.tokens()) * TOKEN_BYTES;
+    let size_bytes = u64::from(ask.prefix.tokens()) * TOKEN_BYTES;
     keeper.exported(now_ms, &export, Written::Sealed(seal, size_bytes));
     true
 }
@@ -68,7 +68,7 @@
     for _ in 0..20 {
         let (expected_ms, took_ms, result) = (40, 400, ImportResult::Done);
         let imported = ImportReport { block: block.clone(), expected_ms, took_ms, result };
-        keeper.imported(10_000, &ask.course, &imported);
+        keeper.imported(10_000, &ask.prefix, &imported);
     }
     let slow = keeper.offer(10_000, &ask).unwrap().1;
     assert!(slow.link_ms > first.link_ms * 3.0, "{slow:?}");
@@ -84,7 +84,7 @@
 #[case(KeepPolicy::Lru, 0)]
 #[case(KeepPolicy::Worth, 1)]
 fn returning_stays(#[case] policy: KeepPolicy, #[case] kept: usize) {
-    let size_bytes = u64::from(ask("a", 0).course.tokens()) * TOKEN_BYTES;
+    let size_bytes = u64::from(ask("a", 0).prefix.tokens()) * TOKEN_BYTES;
     let mut keeper = keeper(policy, size_bytes * 10);
     let returning = ask("a", 1);
     for use_number in 0..10 {
@@ -102,7 +102,7 @@
 
 #[test]
 fn share_caps() {
-    let size_bytes = u64::from(ask("a", 0).course.tokens()) * TOKEN_BYTES;
+    let size_bytes = u64::from(ask("a", 0).prefix.tokens()) * TOKEN_BYTES;
     let mut keeper = keeper(KeepPolicy::Worth, size_bytes * 10);
     let small = ask("small", 1);
     assert!(write(&mut keeper, 1000, &small));
