--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -31,7 +31,7 @@
     );
     match state.upstreams.upsert(now_ms, id, entry) {
         ReportedRun::Current if changed => {
-            info!(target: "entries", "event=upstream_seen {details}")
+            info!(target: "entries", "event=upstream_seen {details}");
         }
         ReportedRun::Current => {}
         ReportedRun::Outdated => info!(target: "entries", "event=upstream_outdated {details}"),
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -369,7 +369,7 @@
             }
             (KeyKind::Members, Some(value)) => members::apply(gateway, &mut state.peers, value),
             (KeyKind::Quarantine, Some(value)) => {
-                quarantine::restore(gateway, state, now_ms, value)
+                quarantine::restore(gateway, state, now_ms, value);
             }
             (KeyKind::Members | KeyKind::Quarantine, None) | (KeyKind::Own | KeyKind::Other, _) => {
             }
