--- a/src/gateway/decisions/view.rs
+++ b/src/gateway/decisions/view.rs
@@ -1,114 +1,104 @@
-//! What this box knows of the metadata store: the items as they were written.
+//! A local replica of the metadata store, which holds items with a key, a value and a revision.
 //!
-//! The view takes listings and changes from the store, and snapshots from
-//! peers, in any order; the revision of each item decides which is newer. An
-//! upstream's item that vanishes while the store has trouble stays for a
-//! while, since live upstreams write theirs again after the trouble. A connection
-//! that breaks is no such trouble yet: items lapse only after a time without the store.
+//! The replica takes listings and changes from the store and snapshots from peers, in any order;
+//! the revision of each item decides which is newer. The item of an upstream that disappears
+//! during or shortly after an outage of the store is kept for a while, because upstreams that are
+//! still running register again once the store is back. A broken connection alone does not count
+//! as an outage: items can only expire after the store has been out of reach for some time.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// Time that live upstreams take to write their items again after the store
-/// has come back.
-const REWRITE_MS: u64 = 2000;
-/// Removals that are remembered for peers that are behind.
-const LOGGED_REMOVALS: usize = 512;
-/// Time after trouble in which removals are still put down to it.
-const TROUBLE_ECHO_MS: u64 = 1000;
+/// Time within which running upstreams write their items again after an outage of the store.
+const REREGISTRATION_MS: u64 = 2000;
+/// Number of removals that are remembered for peers that have fallen behind.
+const REMOVAL_LOG_CAPACITY: usize = 512;
+/// Time after the re-registration period during which removals are still attributed to the
+/// outage.
+const OUTAGE_AFTERMATH_MS: u64 = 1000;
 
-/// An item as it was written.
+/// The value of an item and its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedValue {
-    /// Revision of its last change.
+    /// Revision of the last change to the item.
     pub revision: u64,
-    /// Content.
     pub value: Vec<u8>,
 }
 
-/// A copy of the view, for a peer that is behind.
+/// A copy of the view, for a peer that has fallen behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Revision of the store up to which it is complete.
+    /// Store revision up to which the copy is complete.
     pub at_revision: u64,
-    /// Revision of the newest change that the giver knows.
+    /// Revision of the newest change that the sender knows.
     pub last_change_revision: u64,
-    /// Items by key.
     pub items: BTreeMap<String, VersionedValue>,
 }
 
-/// What a peer that is behind gets.
+/// Update for a peer that has fallen behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// All that is known.
+    /// All items.
     Full(Snapshot),
-    /// What has changed since the revision that the peer named.
+    /// The changes since the revision that the peer gave.
     Delta {
         /// Items that were written since.
         changed: Snapshot,
-        /// Keys that were removed since, with the revisions.
+        /// Keys that were removed since, with the revisions of the removals.
         removed: Vec<(String, u64)>,
     },
 }
 
-/// State of the view by which two boxes see whether theirs are alike.
+/// Digest of a view. Boxes compare digests to find out whether their views are equal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewDigest {
     /// Revision of the newest change.
     pub last_change_revision: u64,
-    /// Sum over all items; differs when items do, almost surely.
+    /// Sum over the hashes of all items. Views that differ almost surely have different sums.
     pub checksum: u32,
 }
 
 /// A change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ViewChange {
-    /// An item is new or has changed.
-    Put {
-        /// Key.
-        key: String,
-        /// Content.
-        value: Vec<u8>,
-    },
-    /// An item is gone.
-    Removed {
-        /// Key.
-        key: String,
-    },
+    /// An item is new or its value has changed.
+    Put { key: String, value: Vec<u8> },
+    /// An item was removed.
+    Removed { key: String },
 }
 
-/// Items of the metadata store, as far as this box knows.
+/// The items of the metadata store that this box knows.
 #[derive(Debug, Default)]
 pub struct MetadataView {
     at_revision: u64,
     last_change_revision: u64,
     items: BTreeMap<String, VersionedValue>,
-    removals: HashMap<String, u64>,
+    pending_removals: HashMap<String, u64>,
     /// The last removals, oldest first.
-    removed: VecDeque<(String, u64)>,
-    /// Changes since this revision can be told.
-    log_from_revision: u64,
+    removal_log: VecDeque<(String, u64)>,
+    /// All removals after this revision are in `removal_log`.
+    removal_log_start: u64,
     checksum: u32,
-    store_answers: bool,
-    answered_at_ms: u64,
-    /// Since when the store answers, while it does.
-    answers_since_ms: u64,
-    said_unable: bool,
-    trouble_ended_at_ms: Option<u64>,
-    complete_at_ms: Option<u64>,
-    least_trouble_ms: u64,
+    store_available: bool,
+    last_answer_at_ms: u64,
+    /// Start of the current period in which the store answers.
+    available_since_ms: u64,
+    reported_unavailable: bool,
+    outage_ended_at_ms: Option<u64>,
+    synced_at_ms: Option<u64>,
+    min_outage_ms: u64,
 }
 
 impl MetadataView {
-    /// An empty view. Items can lapse once the store has been away for
-    /// `least_trouble_ms`, or has said that it does not serve.
+    /// Creates an empty view. Items can expire once the store has not answered for
+    /// `min_outage_ms`, or after it reported that it is unavailable.
     #[must_use]
-    pub fn new(least_trouble_ms: u64) -> Self {
-        Self { least_trouble_ms, ..Self::default() }
+    pub fn new(min_outage_ms: u64) -> Self {
+        Self { min_outage_ms, ..Self::default() }
     }
 
-    /// Whether anything is known yet.
+    /// Whether a listing, snapshot or change has been received yet.
     #[must_use]
     pub fn is_loaded(&self) -> bool {
         self.at_revision > 0
@@ -126,156 +116,153 @@
         self.last_change_revision
     }
 
-    /// Whether the store answered this box's last call.
+    /// Whether the store answered the last call of this box.
     #[must_use]
     pub fn is_store_available(&self) -> bool {
-        self.store_answers
+        self.store_available
     }
 
-    /// When the store told this box all that there was to know; `None` before the first
-    /// listing.
+    /// When the view last held everything that the store had; `None` before the first listing.
     #[must_use]
     pub fn synced_at_ms(&self) -> Option<u64> {
-        self.complete_at_ms
+        self.synced_at_ms
     }
 
-    /// Notes that the store has told all that there is to know.
+    /// Notes that the view now holds everything that the store has.
     pub fn mark_synced(&mut self, now_ms: u64) {
-        self.complete_at_ms = Some(now_ms);
+        self.synced_at_ms = Some(now_ms);
     }
 
-    /// Whether the store has answered this box for a while.
+    /// Whether the store has answered this box for at least `min_ms`.
     #[must_use]
-    pub fn store_available_for(&self, now_ms: u64, least_ms: u64) -> bool {
-        self.store_answers && now_ms >= self.answers_since_ms + least_ms
+    pub fn store_available_for(&self, now_ms: u64, min_ms: u64) -> bool {
+        self.store_available && now_ms >= self.available_since_ms + min_ms
     }
 
-    /// Whether there is an item under `key`.
     #[must_use]
     pub fn contains_key(&self, key: &str) -> bool {
         self.items.contains_key(key)
     }
 
-    /// The item under `key`, as it was written.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<&VersionedValue> {
         self.items.get(key)
     }
 
-    /// What tells whether another view is like this one.
+    /// Digest by which the view is compared with that of another box.
     #[must_use]
     pub fn digest(&self) -> ViewDigest {
         ViewDigest { last_change_revision: self.last_change_revision, checksum: self.checksum }
     }
 
-    /// A copy for a peer.
+    /// A copy of all items, for a peer.
     #[must_use]
     pub fn snapshot(&self) -> Snapshot {
-        self.copy_of(self.items.clone())
+        self.snapshot_of(self.items.clone())
     }
 
-    fn copy_of(&self, items: BTreeMap<String, VersionedValue>) -> Snapshot {
+    fn snapshot_of(&self, items: BTreeMap<String, VersionedValue>) -> Snapshot {
         let (at_revision, last_change_revision) = (self.at_revision, self.last_change_revision);
         Snapshot { at_revision, last_change_revision, items }
     }
 
-    /// What a peer with `mark` lacks.
+    /// The update that a peer whose view has `digest` needs.
     #[must_use]
-    pub fn catch_up(&self, mark: ViewDigest) -> CatchUp {
-        let after = mark.last_change_revision;
-        // With the same changes known, it is the items that differ.
-        if after < self.log_from_revision || after >= self.last_change_revision {
+    pub fn catch_up(&self, digest: ViewDigest) -> CatchUp {
+        let after = digest.last_change_revision;
+        // A peer that knows the same last change and still differs needs all items.
+        if after < self.removal_log_start || after >= self.last_change_revision {
             return CatchUp::Full(self.snapshot());
         }
-        let items = self.items.iter().filter(|(_, written)| written.revision > after);
-        let items = items.map(|(key, written)| (key.clone(), written.clone())).collect();
-        let removed = self.removed.iter().filter(|(_, revision)| *revision > after);
-        CatchUp::Delta { changed: self.copy_of(items), removed: removed.cloned().collect() }
+        let items = self.items.iter().filter(|(_, item)| item.revision > after);
+        let items = items.map(|(key, item)| (key.clone(), item.clone())).collect();
+        let removed = self.removal_log.iter().filter(|(_, revision)| *revision > after);
+        CatchUp::Delta { changed: self.snapshot_of(items), removed: removed.cloned().collect() }
     }
 
-    /// Notes that the store did not answer as it should; true when it did
-    /// before.
+    /// Notes a failed call to the store. Returns true if the call before succeeded.
     pub fn note_store_failure(&mut self) -> bool {
-        std::mem::replace(&mut self.store_answers, false)
+        std::mem::replace(&mut self.store_available, false)
     }
 
-    /// Notes that the store has said itself that it does not serve.
+    /// Notes that the store itself reported that it is unavailable.
     pub fn note_store_unavailable(&mut self) {
-        self.said_unable = true;
+        self.reported_unavailable = true;
     }
 
-    /// Notes an answer of the store; true when it did not answer before.
+    /// Notes an answer of the store. Returns true if the call before failed.
     pub fn note_store_answer(&mut self, now_ms: u64) -> bool {
-        let was_away = !std::mem::replace(&mut self.store_answers, true);
-        let away_since_ms = std::mem::replace(&mut self.answered_at_ms, now_ms);
-        let away_ms = now_ms.saturating_sub(away_since_ms);
-        if was_away {
-            self.answers_since_ms = now_ms;
+        let was_unavailable = !std::mem::replace(&mut self.store_available, true);
+        let unanswered_since_ms = std::mem::replace(&mut self.last_answer_at_ms, now_ms);
+        let unanswered_ms = now_ms.saturating_sub(unanswered_since_ms);
+        if was_unavailable {
+            self.available_since_ms = now_ms;
         }
-        let said_unable = std::mem::take(&mut self.said_unable);
-        let may_have_lapsed = said_unable || away_ms >= self.least_trouble_ms;
-        // After a mere reset, what is gone has left: held in doubt, it got work for up to
-        // 3.3 s more, where 2 s were allowed.
-        if was_away && may_have_lapsed && self.is_loaded() {
-            self.trouble_ended_at_ms = Some(now_ms);
-            for until_ms in self.removals.values_mut() {
-                *until_ms = (*until_ms).max(now_ms + REWRITE_MS);
+        let reported_unavailable = std::mem::take(&mut self.reported_unavailable);
+        let may_have_expired = reported_unavailable || unanswered_ms >= self.min_outage_ms;
+        // After a mere connection reset, a missing upstream has really left. Deferring its
+        // removal would send it requests for up to 3.3 s more, where 2 s are allowed.
+        if was_unavailable && may_have_expired && self.is_loaded() {
+            self.outage_ended_at_ms = Some(now_ms);
+            for until_ms in self.pending_removals.values_mut() {
+                *until_ms = (*until_ms).max(now_ms + REREGISTRATION_MS);
             }
         }
-        was_away
+        was_unavailable
     }
 
-    /// Takes an item that was written.
-    pub fn put(&mut self, key: String, written: VersionedValue) -> Option<ViewChange> {
-        self.at_revision = self.at_revision.max(written.revision);
-        self.last_change_revision = self.last_change_revision.max(written.revision);
-        self.removals.remove(&key);
-        if self.items.get(&key).is_some_and(|known| known.revision >= written.revision) {
+    /// Applies the write of an item.
+    pub fn put(&mut self, key: String, item: VersionedValue) -> Option<ViewChange> {
+        self.at_revision = self.at_revision.max(item.revision);
+        self.last_change_revision = self.last_change_revision.max(item.revision);
+        self.pending_removals.remove(&key);
+        if self.items.get(&key).is_some_and(|known| known.revision >= item.revision) {
             return None;
         }
-        let same = self.items.get(&key).is_some_and(|known| known.value == written.value);
-        let value = written.value.clone();
-        self.forget_item(&key);
-        self.checksum = self.checksum.wrapping_add(item_checksum(&key, written.revision));
-        self.items.insert(key.clone(), written);
-        (!same).then_some(ViewChange::Put { key, value })
+        let is_unchanged = self.items.get(&key).is_some_and(|known| known.value == item.value);
+        let value = item.value.clone();
+        self.delete_item(&key);
+        self.checksum = self.checksum.wrapping_add(item_checksum(&key, item.revision));
+        self.items.insert(key.clone(), item);
+        (!is_unchanged).then_some(ViewChange::Put { key, value })
     }
 
-    /// Takes a removal. `lapses` says that the item goes by itself when its
-    /// writer is silent.
+    /// Applies a removal. An `is_ephemeral` item expires when its writer stops renewing it, so
+    /// its removal may be due to an outage of the store.
     pub fn remove(
         &mut self,
         now_ms: u64,
         key: &str,
         revision: u64,
-        lapses: bool,
+        is_ephemeral: bool,
     ) -> Option<ViewChange> {
         self.at_revision = self.at_revision.max(revision);
         self.last_change_revision = self.last_change_revision.max(revision);
         if self.items.get(key).is_none_or(|known| known.revision > revision) {
             return None;
         }
-        if lapses && let Some(until_ms) = self.doubtful_until_ms(now_ms) {
-            self.removals.entry(key.to_owned()).or_insert(until_ms);
+        if is_ephemeral && let Some(until_ms) = self.deferred_until_ms(now_ms) {
+            self.pending_removals.entry(key.to_owned()).or_insert(until_ms);
             return None;
         }
-        // One that is carried out later shows by the checksum alone.
+        // A deferred removal is not logged; peers notice it by the checksum.
         self.log_removal(key, revision);
-        self.take_out(key)
+        self.remove_now(key)
     }
 
-    /// Takes a listing or snapshot of all items whose keys `covers` accepts.
+    /// Applies a listing or snapshot of all items whose keys `covers` accepts.
     pub fn apply_snapshot(
         &mut self,
         now_ms: u64,
         snapshot: Snapshot,
         covers: impl Fn(&str) -> bool,
-        lapses: impl Fn(&str) -> bool,
+        is_ephemeral: impl Fn(&str) -> bool,
     ) -> Vec<ViewChange> {
         let mut changes = Vec::new();
         let at_revision = snapshot.at_revision;
-        // It does not say what was removed in between.
-        self.log_from_revision = at_revision;
+        // A snapshot does not say what was removed since the last update, so removals before it
+        // are unknown.
+        self.removal_log_start = at_revision;
         let missing: Vec<String> = self
             .items
             .keys()
@@ -283,95 +270,99 @@
             .cloned()
             .collect();
         for key in missing {
-            let lapses = lapses(&key);
-            // A listing does not say when the item went.
-            changes.extend(self.remove(now_ms, &key, at_revision, lapses));
+            let is_ephemeral = is_ephemeral(&key);
+            // A listing does not contain the revision of a removal; its own revision is the upper
+            // bound.
+            changes.extend(self.remove(now_ms, &key, at_revision, is_ephemeral));
         }
-        // Later pages of a listing tell newer items, and not what happened before those.
-        let complete_to = self.at_revision.max(at_revision);
-        for (key, written) in snapshot.items {
-            changes.extend(self.put(key, written));
+        // Later pages of a listing can contain newer items, but not all changes before those.
+        // They must not advance `at_revision`.
+        let complete_revision = self.at_revision.max(at_revision);
+        for (key, item) in snapshot.items {
+            changes.extend(self.put(key, item));
         }
         self.last_change_revision = self.last_change_revision.max(snapshot.last_change_revision);
-        self.at_revision = complete_to;
+        self.at_revision = complete_revision;
         changes
     }
 
-    /// Takes what a peer that follows the store itself has told.
+    /// Applies an update from a peer that follows the store itself.
     pub fn apply_catch_up(
         &mut self,
         now_ms: u64,
-        told: CatchUp,
+        update: CatchUp,
         covers: impl Fn(&str) -> bool,
     ) -> Vec<ViewChange> {
-        match told {
-            // The peer keeps items whose removal is in doubt, so none is here.
+        match update {
+            // The peer still lists items whose removal it has deferred, so removals are not
+            // deferred here.
             CatchUp::Full(snapshot) => self.apply_snapshot(now_ms, snapshot, covers, |_| false),
-            CatchUp::Delta { changed: written, removed } => {
+            CatchUp::Delta { changed, removed } => {
                 let mut changes = Vec::new();
-                // Its items may be newer than what it knows of all keys.
-                let complete_to = self.at_revision.max(written.at_revision);
+                // Single items may be newer than the revision up to which the peer's view is
+                // complete.
+                let complete_revision = self.at_revision.max(changed.at_revision);
                 for (key, revision) in removed {
                     changes.extend(self.remove(now_ms, &key, revision, false));
                 }
-                for (key, item) in written.items {
+                for (key, item) in changed.items {
                     changes.extend(self.put(key, item));
                 }
-                self.at_revision = complete_to;
+                self.at_revision = complete_revision;
                 self.last_change_revision =
-                    self.last_change_revision.max(written.last_change_revision);
+                    self.last_change_revision.max(changed.last_change_revision);
                 changes
             }
         }
     }
 
-    /// Notes that the view is complete up to a revision.
+    /// Notes that the view is complete up to `revision`.
     pub fn advance_to(&mut self, revision: u64) {
         self.at_revision = self.at_revision.max(revision);
     }
 
-    /// Carries out the removals that are due.
+    /// Carries out the deferred removals that are due.
     pub fn apply_due_removals(&mut self, now_ms: u64) -> Vec<ViewChange> {
-        if !self.store_answers {
+        if !self.store_available {
             return Vec::new();
         }
         let due: Vec<String> = self
-            .removals
+            .pending_removals
             .iter()
             .filter(|(_, until_ms)| **until_ms <= now_ms)
             .map(|(key, _)| key.clone())
             .collect();
-        due.iter().filter_map(|key| self.take_out(key)).collect()
+        due.iter().filter_map(|key| self.remove_now(key)).collect()
     }
 
-    /// Until when a removal may be due to trouble of the store.
-    fn doubtful_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let ended_at_ms = match (self.store_answers, self.trouble_ended_at_ms) {
+    /// Until when a removal is deferred, if it may be due to an outage of the store.
+    fn deferred_until_ms(&self, now_ms: u64) -> Option<u64> {
+        let ended_at_ms = match (self.store_available, self.outage_ended_at_ms) {
             (false, _) => now_ms,
             (true, Some(ended_at_ms)) => ended_at_ms,
             (true, None) => return None,
         };
-        let until_ms = ended_at_ms + REWRITE_MS;
-        (now_ms < until_ms + TROUBLE_ECHO_MS).then_some(until_ms.max(now_ms))
+        let until_ms = ended_at_ms + REREGISTRATION_MS;
+        (now_ms < until_ms + OUTAGE_AFTERMATH_MS).then_some(until_ms.max(now_ms))
     }
 
-    fn take_out(&mut self, key: &str) -> Option<ViewChange> {
-        self.removals.remove(key);
-        self.forget_item(key).then(|| ViewChange::Removed { key: key.to_owned() })
+    fn remove_now(&mut self, key: &str) -> Option<ViewChange> {
+        self.pending_removals.remove(key);
+        self.delete_item(key).then(|| ViewChange::Removed { key: key.to_owned() })
     }
 
-    fn forget_item(&mut self, key: &str) -> bool {
-        let Some(written) = self.items.remove(key) else { return false };
-        self.checksum = self.checksum.wrapping_sub(item_checksum(key, written.revision));
+    fn delete_item(&mut self, key: &str) -> bool {
+        let Some(item) = self.items.remove(key) else { return false };
+        self.checksum = self.checksum.wrapping_sub(item_checksum(key, item.revision));
         true
     }
 
     fn log_removal(&mut self, key: &str, revision: u64) {
-        self.removed.push_back((key.to_owned(), revision));
-        if self.removed.len() > LOGGED_REMOVALS
-            && let Some((_, revision)) = self.removed.pop_front()
+        self.removal_log.push_back((key.to_owned(), revision));
+        if self.removal_log.len() > REMOVAL_LOG_CAPACITY
+            && let Some((_, revision)) = self.removal_log.pop_front()
         {
-            self.log_from_revision = revision;
+            self.removal_log_start = revision;
         }
     }
 }
