--- a/src/gateway/decisions/incarnation.rs
+++ b/src/gateway/decisions/incarnation.rs
@@ -1,19 +1,19 @@
-//! Runs of one upstream. An upstream may start again under the id that it had; it then
-//! keeps and knows nothing of before, and the time of its start alone tells the two apart.
+//! Incarnations of an upstream: its runs from one start to the next. An upstream can restart
+//! under the same id and then has lost all its state. Only the start time tells the two
+//! incarnations apart.
 
 use crate::names::number;
 
-/// A run of an upstream, from its start to its end.
+/// One run of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// Id of the upstream.
     pub id: String,
-    /// Its start by its own clock, in Unix milliseconds; unknown until it is told.
+    /// Start time by the upstream's own clock, in Unix milliseconds; `None` until it is reported.
     pub started_at_ms: Option<u64>,
 }
 
 impl Incarnation {
-    /// The number that stands for it in messages between boxes.
+    /// Number that identifies the incarnation in messages between boxes.
     #[must_use]
     pub fn number(&self) -> u32 {
         match self.started_at_ms {
@@ -23,9 +23,12 @@
     }
 }
 
-/// Whether two starts are known and differ. Which of them is later is not asked: clocks
-/// may be off.
+/// Whether both start times are known and differ. It does not matter which is later, because
+/// clocks may be wrong.
 #[must_use]
-pub fn is_other_incarnation(one_ms: Option<u64>, other_ms: Option<u64>) -> bool {
-    matches!((one_ms, other_ms), (Some(one_ms), Some(other_ms)) if one_ms != other_ms)
+pub fn is_other_incarnation(start_ms: Option<u64>, other_start_ms: Option<u64>) -> bool {
+    matches!(
+        (start_ms, other_start_ms),
+        (Some(start_ms), Some(other_start_ms)) if start_ms != other_start_ms
+    )
 }
--- a/src/gateway/decisions/notice.rs
+++ b/src/gateway/decisions/notice.rs
@@ -1,45 +1,45 @@
-//! What an upstream asks of a box beside its answer.
+//! Notices that an upstream sends along with its answers: that it is about to leave, or that it
+//! wants a rest, which means no requests for some time.
 //!
-//! It holds for one run of the upstream, whatever its entry says: the entry lags behind while
-//! the metadata store does, and may lapse and come back.
+//! A notice holds for one incarnation of the upstream, whatever the upstream's item in the
+//! metadata store says: the item is out of date while the store is, and may expire and come back.
 
 use std::collections::HashMap;
 
 use crate::gateway::decisions::incarnation::{Incarnation, is_other_incarnation};
 
-/// Longest rest that is heeded.
+/// Upper limit of the rest that an upstream can ask for.
 const MAX_REST_MS: u64 = 600_000;
 /// Time for which the notices of an upstream that is not listed are kept.
-const KEEP_MS: u64 = 600_000;
+const RETENTION_MS: u64 = 600_000;
 
-/// A notice of an upstream.
+/// A notice that came with one answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Notice {
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// Time for which it wants no requests from this box.
+    /// Time for which the upstream wants no requests from this box.
     pub rest_ms: Option<u64>,
 }
 
 impl Notice {
-    /// Whether it asks for nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// What an upstream has asked in its notices.
+/// The combined effect of all notices of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NoticeState {
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// Until when it wants no requests from this box.
+    /// Until when the upstream wants no requests from this box.
     pub rest_until_ms: u64,
 }
 
 impl NoticeState {
-    /// What a notice asks from now on.
+    /// The effect of a notice that was received at `now_ms`.
     #[must_use]
     pub fn from_notice(now_ms: u64, notice: Notice) -> Self {
         let rest_ms = notice.rest_ms.map_or(0, |rest_ms| rest_ms.min(MAX_REST_MS));
@@ -47,43 +47,47 @@
         Self { leaving: notice.leaving, rest_until_ms }
     }
 
-    /// Adds what was asked beside.
+    /// Adds the effect of other notices.
     pub fn merge(&mut self, other: Self) {
         self.leaving |= other.leaving;
         self.rest_until_ms = self.rest_until_ms.max(other.rest_until_ms);
     }
 }
 
-/// What upstreams asked, kept while they are not listed.
+/// Effects of notices from upstreams that are not listed, kept in case they are listed again.
 #[derive(Debug, Default)]
 pub struct UnlistedNotices {
-    by_id: HashMap<String, Kept>,
+    by_id: HashMap<String, RetainedNotices>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct RetainedNotices {
     upstream: Incarnation,
     notices: NoticeState,
-    until_ms: u64,
+    expires_at_ms: u64,
 }
 
 impl UnlistedNotices {
-    /// Keeps what the run of an upstream asked that is not listed.
+    /// Keeps notices of an incarnation that is not listed, together with those kept before.
     pub fn insert(&mut self, now_ms: u64, upstream: &Incarnation, mut notices: NoticeState) {
-        self.by_id.retain(|_, kept| now_ms < kept.until_ms);
+        self.by_id.retain(|_, retained| now_ms < retained.expires_at_ms);
         notices.merge(self.remove(upstream));
         if notices != NoticeState::default() {
-            let kept = Kept { upstream: upstream.clone(), notices, until_ms: now_ms + KEEP_MS };
-            self.by_id.insert(upstream.id.clone(), kept);
+            let retained = RetainedNotices {
+                upstream: upstream.clone(),
+                notices,
+                expires_at_ms: now_ms + RETENTION_MS,
+            };
+            self.by_id.insert(upstream.id.clone(), retained);
         }
     }
 
-    /// What the run of an upstream asked that is listed again.
+    /// Removes and returns the notices kept for an incarnation that is listed again.
     pub fn remove(&mut self, upstream: &Incarnation) -> NoticeState {
-        let kept = self.by_id.remove(&upstream.id);
-        let same_run = kept.filter(|kept| {
-            !is_other_incarnation(kept.upstream.started_at_ms, upstream.started_at_ms)
+        let retained = self.by_id.remove(&upstream.id);
+        let same_incarnation = retained.filter(|retained| {
+            !is_other_incarnation(retained.upstream.started_at_ms, upstream.started_at_ms)
         });
-        same_run.map(|kept| kept.notices).unwrap_or_default()
+        same_incarnation.map(|retained| retained.notices).unwrap_or_default()
     }
 }
--- a/src/gateway/decisions/rollout.rs
+++ b/src/gateway/decisions/rollout.rs
@@ -1,87 +1,92 @@
-//! Which engines get new weights next.
+//! Decides which engines load new weights next.
 //!
-//! A few at a time, so that loads stay quick and the others carry the work;
-//! those with the least to lose go first. A version that a newer one has
-//! replaced is passed over.
+//! Only a few engines load at once, so that loads stay quick and the other engines carry the
+//! requests. Engines with the oldest weights and the fewest requests go first. A version that has
+//! been replaced by a newer one is skipped.
 
-/// Least number of engines that load at once, if there are so many: in a small pool each one
-/// out of service is much of what carries the work.
+/// Least number of engines that load at once, if there are enough: in a small pool, each engine
+/// out of service takes away much of the capacity.
 const MIN_CONCURRENT_LOADS: usize = 2;
-/// Engines for each one that loads at once: 12 of 60 load as quickly as one.
-const ENGINES_FOR_ONE: usize = 5;
-/// Engines for each one that loads at once when the time is short.
-const ENGINES_FOR_ONE_HURRIED: usize = 2;
-/// Time that one engine takes, with the requests that end before and the report after.
-const LOAD_MS: u64 = 1400;
-/// Engines that get no new work ahead of their load, so that what runs there
-/// ends meanwhile.
-const AHEAD: usize = 1;
+/// One engine of so many loads at a time: 12 of 60 load as quickly as a single engine.
+const ENGINES_PER_LOAD: usize = 5;
+/// One engine of so many loads at a time when the time limit is close.
+const ENGINES_PER_URGENT_LOAD: usize = 2;
+/// Duration of one load, including the requests that finish before it and the report after it.
+const LOAD_DURATION_MS: u64 = 1400;
+/// Engines that get no new requests ahead of their load, so that their running requests finish
+/// meanwhile.
+const PREPARED_AHEAD: usize = 1;
 
-/// Engines that load at once, so that each has `version` when its time is over.
+/// Number of engines that may load at once, chosen so that every engine has `version` before its
+/// time limit.
 #[must_use]
 pub fn max_concurrent_loads(candidates: &[RolloutCandidate], version: u64) -> usize {
     let count = candidates.len();
-    let half = (count / ENGINES_FOR_ONE_HURRIED).max(1);
-    let usual = MIN_CONCURRENT_LOADS.max(count / ENGINES_FOR_ONE).min(half);
-    let behind = candidates.iter().filter(|one| one.version < version && !one.doubtful);
-    let mut left_ms: Vec<u64> = behind.map(|one| one.time_left_ms).collect();
-    left_ms.sort_unstable();
-    // Those with older weights have less time than the others.
-    let needed = left_ms.iter().enumerate().map(|(before, left_ms)| {
-        let rounds = usize::try_from(left_ms / LOAD_MS).unwrap_or(usize::MAX).max(1);
-        (before + 1).div_ceil(rounds)
+    let max_loads = (count / ENGINES_PER_URGENT_LOAD).max(1);
+    let usual_loads = MIN_CONCURRENT_LOADS.max(count / ENGINES_PER_LOAD).min(max_loads);
+    let behind = candidates.iter().filter(|engine| engine.version < version && !engine.doubtful);
+    let mut time_left_ms: Vec<u64> = behind.map(|engine| engine.time_left_ms).collect();
+    time_left_ms.sort_unstable();
+    // Engines with older weights have less time left.
+    let needed = time_left_ms.iter().enumerate().map(|(earlier, time_left_ms)| {
+        let rounds = usize::try_from(time_left_ms / LOAD_DURATION_MS).unwrap_or(usize::MAX).max(1);
+        (earlier + 1).div_ceil(rounds)
     });
     let needed = needed.max().unwrap_or_default();
-    needed.clamp(usual, half)
+    needed.clamp(usual_loads, max_loads)
 }
 
-/// An engine, as the roll-out sees it.
+/// State of an engine, as far as the roll-out needs it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutCandidate {
-    /// Id.
     pub id: String,
-    /// Version that it has.
+    /// Weight version that it has now.
     pub version: u64,
-    /// Time left until it must have a newer one.
+    /// Time left until it must have a newer version.
     pub time_left_ms: u64,
-    /// Whether it is being brought to the newest version.
+    /// Whether its load is scheduled or in progress.
     pub is_updating: bool,
-    /// Whether the leader may order it now.
+    /// Whether the leader may order it to load now.
     pub may_be_ordered: bool,
-    /// Orders that it did not answer or carry out, one after the other.
+    /// Consecutive orders that it did not answer or carry out.
     pub failed_orders: u32,
-    /// Requests that it runs.
+    /// Number of running requests.
     pub requests: u32,
-    /// Whether it failed or fell silent lately.
+    /// Whether it has recently failed, been silent or turned requests away.
     pub doubtful: bool,
 }
 
-/// The engines that are to get no more work, and then `version`.
+/// The engines that get no new requests from now on, and then load `version`.
 #[must_use]
 pub fn next_engines(candidates: &[RolloutCandidate], version: u64) -> Vec<String> {
-    // One engine at least carries the work, if there are two.
-    let most = candidates.len().saturating_sub(1).max(1);
-    let prepared = (max_concurrent_loads(candidates, version) + AHEAD).min(most);
-    let under_way = candidates.iter().filter(|one| one.is_updating && !one.doubtful).count();
-    // An engine gets no more work only once its order may follow.
-    let is_next =
-        |one: &&RolloutCandidate| one.version < version && !one.is_updating && one.may_be_ordered;
+    // With two or more engines, at least one stays in service.
+    let max_out_of_service = candidates.len().saturating_sub(1).max(1);
+    let max_updating =
+        (max_concurrent_loads(candidates, version) + PREPARED_AHEAD).min(max_out_of_service);
+    let updating =
+        candidates.iter().filter(|engine| engine.is_updating && !engine.doubtful).count();
+    // An engine keeps getting requests until the leader may order it.
+    let is_next = |engine: &&RolloutCandidate| {
+        engine.version < version && !engine.is_updating && engine.may_be_ordered
+    };
     let mut behind: Vec<&RolloutCandidate> = candidates.iter().filter(is_next).collect();
-    // The oldest version first: its time is over first. Of these one that failed has no requests,
-    // and would always go before those that were never ordered: on a day on which all orders were
-    // late, five of nine engines got all of them until the time of the others was over.
-    behind.sort_by_key(|one| {
-        (one.doubtful, one.version, one.failed_orders, one.requests, one.id.clone())
+    // Engines with the oldest version go first, because their time limit is the closest. Failed
+    // orders count before the number of requests: an engine whose order failed has no requests,
+    // and would otherwise always go before those never ordered. When all orders were late, five
+    // of nine engines would get all of them until the others were past their limit.
+    behind.sort_by_key(|engine| {
+        (engine.doubtful, engine.version, engine.failed_orders, engine.requests, engine.id.clone())
     });
-    let free = prepared.saturating_sub(under_way);
-    // Doubtful ones are in use elsewhere, if it is only this box that does not reach them.
-    let out_of_use = candidates.iter().filter(|one| one.is_updating).count();
-    let half = (candidates.len() / ENGINES_FOR_ONE_HURRIED).max(1);
-    let mut doubtful_left = half.saturating_sub(out_of_use);
-    behind.retain(|one| {
-        let is_next = !one.doubtful || doubtful_left > 0;
-        doubtful_left = doubtful_left.saturating_sub(1);
+    let remaining = max_updating.saturating_sub(updating);
+    // Limits how many doubtful engines are taken out of service: if only this box cannot reach
+    // them, other boxes still use them.
+    let out_of_use = candidates.iter().filter(|engine| engine.is_updating).count();
+    let max_out_of_use = (candidates.len() / ENGINES_PER_URGENT_LOAD).max(1);
+    let mut doubtful_allowed = max_out_of_use.saturating_sub(out_of_use);
+    behind.retain(|engine| {
+        let is_next = !engine.doubtful || doubtful_allowed > 0;
+        doubtful_allowed = doubtful_allowed.saturating_sub(1);
         is_next
     });
-    behind.into_iter().take(free).map(|one| one.id.clone()).collect()
+    behind.into_iter().take(remaining).map(|engine| engine.id.clone()).collect()
 }
--- a/src/gateway/decisions/weights.rs
+++ b/src/gateway/decisions/weights.rs
@@ -1,123 +1,126 @@
-//! The weight versions that operators have named for a model, and since when
-//! an engine with an older one is behind.
+//! The weight versions that operators have named for a model, that is, declared as the version
+//! that all engines must load, and since when an engine with an older version is behind.
 //!
-//! When a version was named is a fact of the fleet. A box that has just started finds only
-//! the newest version in the metadata store, and not since when; it hears that from
-//! the boxes that were there. What nobody tells is taken for long ago: taken for new, it
-//! kept engines in use for the whole bound after each start of a box.
+//! The time at which a version was named is the same for the whole fleet. A box that has just
+//! started finds only the newest version in the metadata store and not its time, which it learns
+//! from boxes that were running then. Without such a report the time counts as long past. If it
+//! counted as the present, engines with old weights would stay in use for the whole time limit
+//! after each start of a box.
 
 use serde::{Deserialize, Serialize};
 
-/// Versions that are remembered.
-const REMEMBERED: usize = 16;
-/// All streams make way for a load that is late by this part of its time: an engine must
-/// not have old weights for one and a half of it, and the load itself takes a second.
-const MAKE_WAY_PART: u64 = 4;
-/// Stands for a time that is not known: before all others.
+/// Number of versions that are remembered.
+const MAX_VERSIONS: usize = 16;
+/// Part of the time limit by which a load may be late before all streams at the engine have to
+/// move away. An engine must not have old weights for one and a half times the limit, and the
+/// load itself takes a second.
+const LATE_LOAD_DIVISOR: u64 = 4;
+/// Stands for an unknown time; sorts before all known times.
 pub const UNKNOWN_TIME_MS: u64 = 0;
 
-/// A version that was named.
+/// A version that operators have named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedVersion {
-    /// The version.
     pub version: u64,
-    /// The one that it replaced, 0 for none: no other was named between them.
+    /// The version named directly before this one; 0 for none.
     pub previous: u64,
     /// When the first box learned of it.
     pub named_at_ms: u64,
 }
 
-/// A version that was named, as this box knows of it.
+/// A named version as far as this box knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Known {
-    naming: NamedVersion,
-    /// Whether its time is only the latest before which it was not named.
+struct KnownVersion {
+    named: NamedVersion,
+    /// Whether the time is only a lower bound: the version was named at some later time.
     estimated: bool,
 }
 
 /// The weight versions named for one model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NamedVersions {
-    /// Rising, by version.
-    named: Vec<Known>,
+    /// Sorted by version.
+    versions: Vec<KnownVersion>,
 }
 
 impl NamedVersions {
-    /// Takes a version that has just been named; false when it is not newer than all before.
+    /// Adds a version that has just been named. Returns false if it is not newer than all others.
     pub fn add_named_at(&mut self, at_ms: u64, version: u64) -> bool {
         self.add(version, at_ms, false)
     }
 
-    /// Takes a version that was named at some time after `after_ms`, which may be
-    /// [`LONG_AGO_MS`].
+    /// Adds a version that was named at an unknown time after `after_ms`, which may be
+    /// [`UNKNOWN_TIME_MS`].
     pub fn add_named_after(&mut self, after_ms: u64, version: u64) -> bool {
         self.add(version, after_ms, true)
     }
 
     fn add(&mut self, version: u64, at_ms: u64, estimated: bool) -> bool {
-        let replaced = self.newest();
-        if version <= replaced {
+        let previous = self.newest();
+        if version <= previous {
             return false;
         }
-        self.named.push(Known {
-            naming: NamedVersion { version, previous: replaced, named_at_ms: at_ms },
+        self.versions.push(KnownVersion {
+            named: NamedVersion { version, previous, named_at_ms: at_ms },
             estimated,
         });
-        if self.named.len() > REMEMBERED {
-            self.named.remove(0);
+        if self.versions.len() > MAX_VERSIONS {
+            self.versions.remove(0);
         }
         true
     }
 
-    /// Takes what a peer tells of a version. The newest comes from the metadata store alone.
-    pub fn merge(&mut self, told: NamedVersion) {
-        if told.version > self.newest() {
+    /// Takes over what a peer reports of a version. New versions come from the metadata store
+    /// only.
+    pub fn merge(&mut self, reported: NamedVersion) {
+        if reported.version > self.newest() {
             return;
         }
-        match self.named.binary_search_by_key(&told.version, |one| one.naming.version) {
-            Ok(known) if self.named[known].estimated => {
-                self.named[known] = Known { naming: told, estimated: false };
+        match self.versions.binary_search_by_key(&reported.version, |known| known.named.version) {
+            Ok(known) if self.versions[known].estimated => {
+                self.versions[known] = KnownVersion { named: reported, estimated: false };
             }
             Ok(known) => {
-                let known = &mut self.named[known].naming;
-                known.named_at_ms = known.named_at_ms.min(told.named_at_ms);
-                known.previous = known.previous.max(told.previous);
+                let known = &mut self.versions[known].named;
+                known.named_at_ms = known.named_at_ms.min(reported.named_at_ms);
+                known.previous = known.previous.max(reported.previous);
             }
-            Err(place) if self.named.len() < REMEMBERED => {
-                self.named.insert(place, Known { naming: told, estimated: false });
+            Err(index) if self.versions.len() < MAX_VERSIONS => {
+                self.versions.insert(index, KnownVersion { named: reported, estimated: false });
             }
             Err(_) => {}
         }
     }
 
-    /// The versions that were named after a time, as far as a box that was there knows it: an
-    /// estimate that spread would count for all.
+    /// The versions that were named after `at_ms`. Estimated times are left out: other boxes
+    /// would take them for exact.
     pub fn named_after(&self, at_ms: u64) -> impl Iterator<Item = NamedVersion> {
-        let known = self.named.iter().filter(|one| !one.estimated).map(|one| one.naming);
-        known.filter(move |one| one.named_at_ms > at_ms)
+        let known = self.versions.iter().filter(|known| !known.estimated).map(|known| known.named);
+        known.filter(move |named| named.named_at_ms > at_ms)
     }
 
-    /// The newest version; 0 when none was named.
+    /// The newest version; 0 if none was named.
     #[must_use]
     pub fn newest(&self) -> u64 {
-        self.named.last().map_or(0, |newest| newest.naming.version)
+        self.versions.last().map_or(0, |newest| newest.named.version)
     }
 
-    /// Since when an engine with `version` is behind; `None` when it is not.
+    /// Since when an engine with `version` is behind; `None` if it is not.
     #[must_use]
     pub fn behind_since_ms(&self, version: u64) -> Option<u64> {
-        let newer = self.named.iter().map(|one| one.naming).find(|one| one.version > version)?;
-        // Else another may have been named before that one.
+        let newer =
+            self.versions.iter().map(|known| known.named).find(|named| named.version > version)?;
+        // Unless `newer` directly follows `version`, an unknown version may have been named between.
         let is_next = newer.previous <= version;
         Some(if is_next { newer.named_at_ms } else { UNKNOWN_TIME_MS })
     }
 
-    /// Whether an engine with `version` is held up by what runs there: it is behind for
-    /// longer than `apply_ms`, in which it should have had newer weights, and a part of it.
+    /// Whether requests that run at an engine with `version` have held up its load for too long:
+    /// `apply_ms`, the time limit for newer weights, and a part of it have passed.
     #[must_use]
     pub fn is_load_overdue(&self, now_ms: u64, version: u64, apply_ms: u64) -> bool {
         let behind_since_ms = self.behind_since_ms(version);
         behind_since_ms
-            .is_some_and(|since_ms| now_ms >= since_ms + apply_ms + apply_ms / MAKE_WAY_PART)
+            .is_some_and(|since_ms| now_ms >= since_ms + apply_ms + apply_ms / LATE_LOAD_DIVISOR)
     }
 }
