--- a/src/gateway/decisions/orders.rs
+++ b/src/gateway/decisions/orders.rs
@@ -1,45 +1,44 @@
-//! Orders to model engines, and what engines report of them.
+//! Orders to model engines to load weights, and the reports of the engines.
 
-/// An engine's report, as of some hundred milliseconds earlier.
+/// Report of an engine, some hundred milliseconds old.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
     /// Models with the versions of their weights.
     pub models: Vec<(String, u64)>,
-    /// Whether an order is under way.
+    /// Whether an order is being carried out.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted since the engine's start.
     pub orders_taken: u64,
-    /// Start of the engine's run, if it is told.
+    /// Start time of the engine's incarnation, if the engine reports it.
     pub started_at_ms: Option<u64>,
 }
 
-/// An order to bring a model to a weight version.
+/// An order to load a weight version of a model.
 #[derive(Clone, Debug)]
 pub struct WeightsOrder<'a> {
-    /// The only engine that may carry it out.
+    /// The only engine that may carry out the order.
     pub engine_id: &'a str,
-    /// Model.
     pub model: &'a str,
-    /// Version to load.
     pub version: u64,
-    /// Box that gives it.
+    /// Name of the leader's box.
     pub leader: &'a str,
-    /// Fencing token of the lease under which it is given.
+    /// Fencing token of the leader's lease.
     pub fence: u64,
-    /// Orders that the engine has taken so far; the order is void otherwise.
+    /// Number of orders that the engine has accepted so far. With any other number, the engine
+    /// refuses the order.
     pub orders_taken: u64,
 }
 
-/// What became of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// It is under way.
+    /// The engine is carrying it out.
     Accepted,
     /// The engine already has that version.
     AlreadyLoaded,
-    /// Another order is under way, or has come in between.
+    /// Another order is being carried out, or was accepted in the meantime.
     Conflict,
-    /// A newer holder has given orders.
+    /// The engine has accepted an order of a newer leader.
     Fenced,
     /// Another engine has the address.
     WrongEngine,
