--- a/src/gateway/decisions/cache_contents.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -1,4 +1,5 @@
-//! What one engine or store is believed to keep.
+//! The parts of prompts whose context an engine or a store (a holder) is believed to keep in its
+//! cache.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,13 +7,12 @@
 
 use crate::gateway::decisions::cache_reports::{CacheChange, CacheChanges, CacheListing};
 
-/// Names a part under a scope, the same in every box. Should two parts have the
-/// same name, one is believed to be where the other is, and missed there.
+/// Hash that identifies a part within a scope, the same in every box. If the hashes of two parts
+/// collide, a box expects one part where only the other is kept, and finds it missing there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PartKey(u64);
 
 impl PartKey {
-    /// The name of a part.
     #[must_use]
     pub fn new(scope: &str, part: &str) -> Self {
         let mut bytes = [0; 8];
@@ -22,7 +22,7 @@
         Self(u64::from_le_bytes(bytes))
     }
 
-    /// A number above 0 and up to 1 that depends on the part and `seed` only.
+    /// A number above 0 and up to 1 that depends only on the part and `seed`.
     #[must_use]
     pub fn hash_fraction(self, seed: u32) -> f64 {
         // The finalizer of splitmix64 spreads each bit over all others.
@@ -35,44 +35,44 @@
     }
 }
 
-/// Changes that a log keeps: those of some seconds.
-const LOGGED_CHANGES: usize = 2048;
+/// Number of changes that a log keeps, enough for some seconds.
+const CHANGE_LOG_CAPACITY: usize = 2048;
 
-/// What is told of a holder to another box.
+/// Update of the contents of one holder, sent to other boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheUpdate {
-    /// Nothing is known of it now.
+    /// The contents are unknown at the moment.
     Unknown,
-    /// All that it keeps.
+    /// The complete contents.
     Full(Vec<(PartKey, u32)>),
-    /// What has changed, in order.
+    /// The changes since the last update, in order.
     Delta(Vec<(PartKey, u32)>),
 }
 
-/// Changes of a holder, kept to be told to other boxes.
+/// Recent changes of the contents, kept for updates to other boxes.
 #[derive(Debug, Default)]
 struct ChangeLog {
     changes: VecDeque<(PartKey, u32)>,
-    /// Number of the first of them.
-    from: u64,
+    /// Number of the first change in the log.
+    first_number: u64,
 }
 
 impl ChangeLog {
-    fn next(&self) -> u64 {
-        self.from + u64::try_from(self.changes.len()).unwrap_or_default()
+    fn next_number(&self) -> u64 {
+        self.first_number + u64::try_from(self.changes.len()).unwrap_or_default()
     }
 
     fn push(&mut self, part: PartKey, tokens: u32) {
         self.changes.push_back((part, tokens));
-        if self.changes.len() > LOGGED_CHANGES {
+        if self.changes.len() > CHANGE_LOG_CAPACITY {
             self.changes.pop_front();
-            self.from += 1;
+            self.first_number += 1;
         }
     }
 
-    /// Forgets all; whoever was told before must be told everything.
-    fn restart(&mut self) {
-        self.from = self.next() + 1;
+    /// Clears the log and skips a number, so that all other boxes need a complete update.
+    fn reset(&mut self) {
+        self.first_number = self.next_number() + 1;
         self.changes.clear();
     }
 }
@@ -81,51 +81,51 @@
 #[derive(Debug, Default)]
 pub struct CacheContents {
     boot: u64,
-    next: u64,
+    next_change: u64,
     known: bool,
-    tokens: HashMap<PartKey, u32>,
-    held_tokens: u64,
-    /// Changes to be told, when other boxes learn from this one.
+    tokens_by_part: HashMap<PartKey, u32>,
+    total_tokens: u64,
+    /// Present if other boxes get updates from this one.
     log: Option<ChangeLog>,
 }
 
 impl CacheContents {
-    /// A holder whose changes are kept to be told.
+    /// Unknown contents, with a log of changes for updates to other boxes.
     #[must_use]
     pub fn with_log() -> Self {
         Self { log: Some(ChangeLog::default()), ..Self::default() }
     }
 
-    /// What has changed since the change with a number, if anything, and the
-    /// number to go on from.
+    /// The update for a box that has all changes before number `after`, if it needs one, and the
+    /// number from which the next update continues.
     #[must_use]
     pub fn update_since(&self, after: Option<u64>) -> (Option<CacheUpdate>, u64) {
         let Some(log) = &self.log else {
             return (None, 0);
         };
-        let next = log.next();
+        let next = log.next_number();
         let update = match after {
             Some(after) if after == next => None,
             _ if !self.known => Some(CacheUpdate::Unknown),
-            Some(after) if (log.from..next).contains(&after) => {
-                let skip = usize::try_from(after - log.from).unwrap_or_default();
+            Some(after) if (log.first_number..next).contains(&after) => {
+                let skip = usize::try_from(after - log.first_number).unwrap_or_default();
                 Some(CacheUpdate::Delta(log.changes.iter().skip(skip).copied().collect()))
             }
             _ => Some(CacheUpdate::Full(
-                self.tokens.iter().map(|(key, held)| (*key, *held)).collect(),
+                self.tokens_by_part.iter().map(|(part, tokens)| (*part, *tokens)).collect(),
             )),
         };
         (update, next)
     }
 
-    /// Takes what another box tells.
+    /// Applies an update from another box.
     pub fn apply_update(&mut self, update: CacheUpdate) {
         let changes = match update {
             CacheUpdate::Unknown => return self.mark_unknown(),
-            CacheUpdate::Full(all) => {
+            CacheUpdate::Full(contents) => {
                 self.mark_unknown();
                 self.set_known(true);
-                all
+                contents
             }
             CacheUpdate::Delta(changes) => changes,
         };
@@ -134,91 +134,94 @@
         }
     }
 
-    /// Forgets all that is known of it.
+    /// Forgets the contents and marks them as unknown.
     pub fn mark_unknown(&mut self) {
         self.clear();
         self.set_known(false);
     }
 
-    /// Place from which to ask for changes.
+    /// Position from which to ask the holder for further changes.
     #[must_use]
     pub fn next_change(&self) -> u64 {
-        self.next
+        self.next_change
     }
 
-    /// Whether its content has been heard of.
+    /// Whether the contents are known.
     #[must_use]
     pub fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Tokens of a part that it keeps.
+    /// Tokens of a part that are kept; 0 if there are none.
     #[must_use]
     pub fn tokens(&self, part: PartKey) -> u32 {
-        self.tokens.get(&part).copied().unwrap_or_default()
+        self.tokens_by_part.get(&part).copied().unwrap_or_default()
     }
 
-    /// Tokens that it keeps in all.
+    /// Tokens that are kept in total.
     #[must_use]
     pub fn total_tokens(&self) -> u64 {
-        self.held_tokens
+        self.total_tokens
     }
 
-    /// Takes in changes; true when a listing is needed to know all.
+    /// Applies changes from the holder. Returns true if some are missing and a listing is needed.
     pub fn apply_changes(&mut self, changes: &CacheChanges) -> bool {
         if self.known && self.boot != changes.boot_epoch {
             self.clear();
         }
         self.boot = changes.boot_epoch;
-        self.next = changes.next_position;
+        self.next_change = changes.next_position;
         self.set_known(true);
         for change in &changes.changes {
-            self.set(change);
+            self.apply_change(change);
         }
         changes.gap
     }
 
-    /// Takes in a listing, which is the whole truth.
+    /// Replaces the contents by a complete listing from the holder.
     pub fn apply_listing(&mut self, listing: &CacheListing) {
         self.clear();
         self.boot = listing.boot_epoch;
-        self.next = listing.next_position;
+        self.next_change = listing.next_position;
         self.set_known(true);
         for held in &listing.complete {
-            self.set(held);
+            self.apply_change(held);
         }
     }
 
-    /// Notes what it keeps of a part.
+    /// Sets the number of tokens that are kept of a part.
     pub fn set_tokens(&mut self, part: PartKey, tokens: u32) {
-        let before =
-            if tokens == 0 { self.tokens.remove(&part) } else { self.tokens.insert(part, tokens) };
+        let before = if tokens == 0 {
+            self.tokens_by_part.remove(&part)
+        } else {
+            self.tokens_by_part.insert(part, tokens)
+        };
         if let Some(log) = &mut self.log {
             log.push(part, tokens);
         }
-        self.held_tokens += u64::from(tokens);
-        self.held_tokens -= u64::from(before.unwrap_or_default());
+        self.total_tokens += u64::from(tokens);
+        self.total_tokens -= u64::from(before.unwrap_or_default());
     }
 
-    /// Forgets all that it kept.
+    /// Forgets the contents, as after a restart of the holder.
     pub fn clear(&mut self) {
         if let Some(log) = &mut self.log {
-            log.restart();
+            log.reset();
         }
-        self.tokens.clear();
-        self.held_tokens = 0;
+        self.tokens_by_part.clear();
+        self.total_tokens = 0;
     }
 
-    /// Whoever was told before must be told when this changes.
+    /// Other boxes need a complete update whenever this changes.
     fn set_known(&mut self, known: bool) {
         if std::mem::replace(&mut self.known, known) != known
             && let Some(log) = &mut self.log
         {
-            log.restart();
+            log.reset();
         }
     }
 
-    fn set(&mut self, change: &CacheChange) {
+    fn apply_change(&mut self, change: &CacheChange) {
         self.set_tokens(PartKey::new(&change.part.scope, &change.part.part_id), change.tokens);
     }
 }
--- a/src/gateway/decisions/release.rs
+++ b/src/gateway/decisions/release.rs
@@ -1,78 +1,80 @@
-//! When the context of old weights may be freed from the stores, before every engine has
-//! the new ones.
+//! Decides when the context of old weights may be freed from the stores before every engine has
+//! the new weights.
 //!
-//! Two versions of what is kept do not fit the stores, so that nothing of the new version
-//! is saved as long as the old one stays: for the whole of a roll-out and some seconds
-//! more. Boxes read old context from stores for a while only after they learned of the new
-//! version. Once each box that may be there is known to have learned, and that while has
-//! passed with the longest transfer, nothing that is freed can be read any more. A box
-//! that says nothing may read on: as long as there is one, all engines must be newer.
+//! The stores have no room for the context of two weight versions. As long as the old context
+//! stays, which would be for the whole roll-out and some seconds more, no context of the new
+//! version can be saved. A box reads old context from stores only for a limited time after it
+//! learned of the new version. Once every box that may still run is known to have learned of it,
+//! and that time and the longest transfer have passed, nobody can read the freed context any
+//! more. A box that does not respond may still read: as long as there is one, all engines must
+//! have newer weights first.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::IpAddr;
 
 use crate::gateway::decisions::context::OLD_CONTEXT_READ_MS;
 
-/// Time that any transfer named under old weights takes at most, and more.
+/// Upper bound, with a margin, of the duration of a transfer that was started under old weights.
 pub const MAX_TRANSFER_MS: u64 = 2600;
-/// Time for which a box that says nothing any more may still be there: far over the
-/// longest cut.
-const ABSENT_MS: u64 = 600_000;
+/// Time for which a silent box may still be running: far longer than the longest network
+/// partition.
+const MAX_ABSENCE_MS: u64 = 600_000;
 
-/// The boxes that may be there, with when each was heard of last.
+/// The boxes that may still be running, with the time when each was last heard of.
 #[derive(Debug, Default)]
 pub struct KnownBoxes {
-    heard_of_at_ms: HashMap<IpAddr, u64>,
+    last_heard_at_ms: HashMap<IpAddr, u64>,
 }
 
 impl KnownBoxes {
     /// Notes boxes that are heard or listed now.
     pub fn note(&mut self, now_ms: u64, boxes: impl IntoIterator<Item = IpAddr>) {
         for address in boxes {
-            self.heard_of_at_ms.insert(address, now_ms);
+            self.last_heard_at_ms.insert(address, now_ms);
         }
-        self.heard_of_at_ms.retain(|_, heard_of_at_ms| now_ms < *heard_of_at_ms + ABSENT_MS);
+        self.last_heard_at_ms
+            .retain(|_, last_heard_at_ms| now_ms < *last_heard_at_ms + MAX_ABSENCE_MS);
     }
 
     fn all(&self) -> BTreeSet<IpAddr> {
-        self.heard_of_at_ms.keys().copied().collect()
+        self.last_heard_at_ms.keys().copied().collect()
     }
 }
 
-/// A weight version that was named, and who knows of it.
+/// The pending release of the context of all versions before a newly named one, with the boxes
+/// that do not know that version yet.
 #[derive(Debug)]
 pub struct ContextRelease {
-    /// Model.
     pub model: String,
-    /// Version; the context of all before it is old.
+    /// The new version; the context of all earlier ones is old.
     pub version: u64,
-    /// Revision of the metadata store from which on it is known.
+    /// Revision of the metadata store at which the version was named.
     pub revision: u64,
-    unaware: BTreeSet<IpAddr>,
-    known_to_all_at_ms: Option<u64>,
+    uninformed: BTreeSet<IpAddr>,
+    all_informed_at_ms: Option<u64>,
 }
 
 impl ContextRelease {
-    /// A version that all `boxes` have to learn of.
+    /// A release that has to wait until all `boxes` know of `version`.
     #[must_use]
     pub fn new(model: &str, version: u64, revision: u64, boxes: &KnownBoxes) -> Self {
-        let unaware = boxes.all();
-        Self { model: model.to_owned(), version, revision, unaware, known_to_all_at_ms: None }
+        let uninformed = boxes.all();
+        Self { model: model.to_owned(), version, revision, uninformed, all_informed_at_ms: None }
     }
 
-    /// Takes out the boxes that know of it: what a box knows, it does not forget, and one
-    /// that starts again learns of it before it serves.
+    /// Removes the boxes that know of the version. A box does not forget it, and one that
+    /// restarts learns of it before it serves requests.
     pub fn note_informed(&mut self, now_ms: u64, knows: impl Fn(IpAddr) -> bool) {
-        self.unaware.retain(|address| !knows(*address));
-        if self.unaware.is_empty() {
-            self.known_to_all_at_ms.get_or_insert(now_ms);
+        self.uninformed.retain(|address| !knows(*address));
+        if self.uninformed.is_empty() {
+            self.all_informed_at_ms.get_or_insert(now_ms);
         }
     }
 
-    /// Whether nobody can read older context from a store any more.
+    /// Whether no box can read the old context from a store any more.
     #[must_use]
     pub fn is_safe(&self, now_ms: u64) -> bool {
-        let over_at_ms = self.known_to_all_at_ms.map(|at_ms| at_ms + OLD_CONTEXT_READ_MS);
-        over_at_ms.is_some_and(|at_ms| now_ms >= at_ms + MAX_TRANSFER_MS)
+        let stores_unused_at_ms = self.all_informed_at_ms.map(|at_ms| at_ms + OLD_CONTEXT_READ_MS);
+        stores_unused_at_ms.is_some_and(|at_ms| now_ms >= at_ms + MAX_TRANSFER_MS)
     }
 }
