--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other, a few times a second and by datagram.
+//! Messages that boxes send each other by datagram several times a second.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -9,62 +9,59 @@
 use crate::gateway::decisions::view::ViewDigest;
 use crate::quarantine::{ToldAnswer, ToldCrash};
 
-/// Upstreams whose load is told in one message.
-const NAMED_LOADS: usize = 80;
+/// Most upstreams whose load is reported in one message, so that it fits a datagram.
+const MAX_LOADS: usize = 80;
 
-/// What a box tells the others.
+/// State of a box, sent to other boxes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Gossip {
-    /// Start of the process; rises with each.
+    /// Start of the sender's process; a later start has a higher value.
     pub incarnation: u64,
-    /// Number of its data hall.
     pub hall: u32,
-    /// Processor share that it has, in thousandths of a core.
+    /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
-    /// What it knows of the metadata store.
+    /// Digest of the sender's view of the metadata store.
     pub view_digest: ViewDigest,
-    /// Version of the configuration that is in force there.
+    /// Version of the configuration that is in force at the box.
     pub site_version: u64,
-    /// Whether the metadata store answers it.
     pub metadata_store: MetadataStoreStatus,
-    /// Whether it follows the stores of context.
+    /// Whether the box follows the context stores itself.
     pub follows_caches: bool,
-    /// Other boxes that it has heard of lately.
+    /// Other boxes that the sender has recently heard from.
     pub peers: Vec<IpAddr>,
-    /// Load that it puts on upstreams.
+    /// Load of the sender's requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that it fetches from stores, by their numbers.
+    /// Tokens that the sender fetches from stores: number of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
-    /// Limits of admission that it has found, in thousandths, by the numbers of
-    /// services.
+    /// Admission limits that the box has found, in thousandths, by the number of the service.
     pub limits: Vec<(u32, u16)>,
-    /// Engines that load weights, by their numbers, and for how long still.
+    /// Engines that load weights, by their numbers, with the remaining time in milliseconds.
     pub loading_engines: Vec<(u32, u16)>,
-    /// Upstreams whose address another incarnation has, by their numbers.
+    /// Upstreams whose address now belongs to another incarnation, by their numbers.
     pub superseded: Vec<u32>,
-    /// Upstreams that say that they leave, by their numbers.
+    /// Upstreams that announced that they are about to leave, by their numbers.
     pub leaving: Vec<u32>,
-    /// Upstreams that the box leaves alone, since they turned it away, by their numbers, and
-    /// for how long still.
+    /// Upstreams to which the sender sends no requests for a while because they turned it away:
+    /// number of the upstream and remaining time in milliseconds.
     pub resting: Vec<(u32, u16)>,
-    /// The upstreams' clock as the message left, once the box was told.
+    /// The upstreams' clock at the time of sending, if the sender knows it.
     pub upstream_clock_ms: Option<u64>,
-    /// Weight versions that engines have reached: engine, model, version.
+    /// Weight versions that engines have loaded: engine, model, version.
     pub engine_versions: Vec<(u32, u32, u64)>,
-    /// Weight versions that were named lately.
+    /// Weight versions that were named recently.
     pub named_versions: Vec<NamedVersionReport>,
-    /// Revisions of the metadata store before which all leaders are over, each with the
-    /// time since that is known, in milliseconds.
+    /// Revisions of the metadata store by which the terms of all earlier leaders have ended, with
+    /// the time since this is known, in milliseconds.
     pub leader_terms: Vec<(u64, u32)>,
-    /// Upstreams that crashed, with the requests that they had.
+    /// Upstreams that crashed, with the requests that they were running.
     pub crashes: Vec<ToldCrash>,
-    /// Requests that were answered though upstreams had crashed under them.
+    /// Requests that were answered although upstreams had crashed while running them.
     pub answers: Vec<ToldAnswer>,
 }
 
 impl Gossip {
-    /// What boxes of other halls hear in turn: who the box is and what it knows, and not what
-    /// it does, which bridges tell of whole halls.
+    /// The part that boxes of other halls receive in turn: identity and knowledge of the box,
+    /// without its load. Bridges report the load of whole halls.
     #[must_use]
     pub fn abridged(&self) -> Self {
         Self {
@@ -82,86 +79,85 @@
         }
     }
 
-    /// Puts newer loads in the place of those that were told before.
+    /// Replaces or adds the load of each upstream in `changed`.
     pub fn change_loads(&mut self, changed: &[LoadReport]) {
-        for told in changed {
-            match self.loads.iter_mut().find(|known| known.upstream == told.upstream) {
-                Some(known) => *known = *told,
-                None => self.loads.push(*told),
+        for report in changed {
+            match self.loads.iter_mut().find(|known| known.upstream == report.upstream) {
+                Some(known) => *known = *report,
+                None => self.loads.push(*report),
             }
         }
     }
 }
 
-/// The loads that have changed since a box told of them last.
+/// Loads that have changed since the sender's last message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadChanges {
-    /// Start of the process that tells.
+    /// See [`Gossip::incarnation`].
     pub incarnation: u64,
-    /// The loads as they are now.
+    /// The current loads.
     pub loads: Vec<LoadReport>,
-    /// Upstreams whose address another incarnation has, by their numbers.
+    /// See [`Gossip::superseded`].
     pub superseded: Vec<u32>,
-    /// Upstreams that the box leaves alone, as in its gossip.
+    /// See [`Gossip::resting`].
     pub resting: Vec<(u32, u16)>,
 }
 
-/// What a box has to do with one upstream.
+/// Load of one box or hall on an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Number of the upstream.
     pub upstream: u32,
-    /// The load that it puts on it.
     pub load: Load,
-    /// Time since bytes came from it, in milliseconds.
+    /// Time since the sender last received bytes from the upstream, in milliseconds.
     pub heard_age_ms: u16,
 }
 
 /// A weight version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedVersionReport {
-    /// Number of the model.
     pub model: u32,
-    /// The version.
     pub version: u64,
-    /// The one that it replaced, 0 for none.
+    /// The version named directly before this one; 0 for none.
     pub previous: u64,
-    /// Time since it was named, in milliseconds: clocks of boxes may differ.
+    /// Time since the version was named, in milliseconds. It is relative because the clocks of
+    /// boxes may differ.
     pub age_ms: u32,
 }
 
-/// How the metadata store answers a box.
+/// Availability of the metadata store to a box.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MetadataStoreStatus {
-    /// The box does not ask.
+    /// The box does not call the metadata store.
     #[default]
     NotUsed,
-    /// It answers.
+    /// The last call was answered.
     Available,
-    /// It does not answer as it should.
+    /// The last call failed.
     Failing,
 }
 
-/// Those of `now` that differ from what was told last, also where no load is left.
+/// Loads in `now` that differ from the last reported ones, including those that dropped to zero.
 #[must_use]
 pub fn changed_loads(
     last: &[LoadReport],
     now: impl Iterator<Item = LoadReport>,
 ) -> Vec<LoadReport> {
-    let last: HashMap<u32, Load> = last.iter().map(|told| (told.upstream, told.load)).collect();
+    let last: HashMap<u32, Load> =
+        last.iter().map(|report| (report.upstream, report.load)).collect();
     let changed =
-        now.filter(|one| last.get(&one.upstream).copied().unwrap_or_default() != one.load);
-    changed.take(NAMED_LOADS).collect()
+        now.filter(|report| last.get(&report.upstream).copied().unwrap_or_default() != report.load);
+    changed.take(MAX_LOADS).collect()
 }
 
-/// The loads that fit one message, the largest first. An upstream without any is told of if
-/// it was heard lately, which shows others that it is not silent.
+/// The loads that fit into one message, the largest first. An upstream without load is included
+/// if it was heard from recently, so that other boxes do not consider it silent.
 #[must_use]
 pub fn reported_loads(loads: impl Iterator<Item = LoadReport>) -> Vec<LoadReport> {
-    let is_told =
-        |one: &LoadReport| one.load.requests > 0 || u64::from(one.heard_age_ms) < SILENT_MS;
-    let mut told: Vec<LoadReport> = loads.filter(is_told).collect();
-    told.sort_by_key(|one| std::cmp::Reverse(one.load.requests));
-    told.truncate(NAMED_LOADS);
-    told
+    let is_included = |report: &LoadReport| {
+        report.load.requests > 0 || u64::from(report.heard_age_ms) < SILENT_MS
+    };
+    let mut reports: Vec<LoadReport> = loads.filter(is_included).collect();
+    reports.sort_by_key(|report| std::cmp::Reverse(report.load.requests));
+    reports.truncate(MAX_LOADS);
+    reports
 }
--- a/src/gateway/decisions/hall_summary.rs
+++ b/src/gateway/decisions/hall_summary.rs
@@ -1,5 +1,6 @@
-//! What bridges tell each other and their halls, in a fleet too large for every box to hear
-//! every other.
+//! Summaries that bridges send to each other and to their own halls, in fleets too large for
+//! every box to hear from every other. A bridge is a box that passes messages on between its hall
+//! and the others.
 
 use std::net::IpAddr;
 
@@ -7,24 +8,23 @@
 
 use crate::gateway::decisions::gossip_message::LoadReport;
 
-/// What the boxes of one hall do and know, told to the bridges of other halls.
+/// Summary of all boxes of one hall, sent to the bridges of the other halls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallSummary {
-    /// Number of the hall.
     pub hall: u32,
-    /// Load that the hall puts on upstreams.
+    /// Load of the hall's requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that it fetches from stores, by their numbers.
+    /// Tokens that the hall fetches from stores: number of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
-    /// Revision of the metadata store that each of its boxes knows.
+    /// Revision of the metadata store that each box of the hall has reached.
     pub revisions: Vec<(IpAddr, u64)>,
 }
 
-/// What all other halls do, told to the boxes of a hall by its bridges.
+/// Summary of all other halls, sent to the boxes of a hall by its bridges.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OtherHallsSummary {
-    /// Load that they put on upstreams.
+    /// Load of the other halls' requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that they fetch from stores, by their numbers.
+    /// Tokens that the other halls fetch from stores: number of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
 }
