--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -1,9 +1,9 @@
-//! The other boxes: who they are, what load they put on upstreams, and whether
-//! they know more than this one.
+//! The other boxes (peers): which ones are running, what load they put on upstreams, and whether
+//! their view of the metadata store is newer.
 //!
-//! Each box tells some others, a few times a second and by datagram, what it
-//! knows and does. A lost datagram is made up for by the next. What needs
-//! more room than a datagram is fetched by TCP from the peer that has it.
+//! Each box sends its state to some others several times a second by datagram. The next datagram
+//! makes up for a lost one. What does not fit into a datagram is fetched by TCP from the peer
+//! that has it.
 
 mod halls;
 mod roles;
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr};
 
 use crate::gateway::decisions::gossip_message::{Gossip, LoadChanges, MetadataStoreStatus};
-use crate::gateway::decisions::peers::halls::Halls;
+use crate::gateway::decisions::peers::halls::HallTotals;
 use crate::gateway::decisions::peers::sums::Sums;
 pub use crate::gateway::decisions::peers::targets::{Audience, GossipScope, Targets};
 use crate::gateway::decisions::view::ViewDigest;
@@ -22,39 +22,39 @@
 
 /// Time between two messages to the same peers.
 pub const GOSSIP_PERIOD_MS: u64 = 250;
-/// Peers up to which all are told at once, whatever their hall.
+/// Most peers of a small fleet, in which every message goes to all peers in all halls.
 const SMALL_FLEET: usize = 12;
-/// Peers of other halls that a box of a larger fleet introduces itself to at once, in turn.
+/// Peers of other halls that get a message in each period in a larger fleet, in turn.
 const OTHER_HALLS_FANOUT: usize = 4;
-/// Time after which a peer that says nothing is not counted.
-const ALIVE_MS: u64 = 1500;
-/// Messages of a peer of another hall that may be lost in a row.
-const LOST_MESSAGES: u64 = 3;
-/// Time after which a peer that says nothing is forgotten.
+/// Silence after which a peer of the own hall is no longer counted as live.
+const PEER_TIMEOUT_MS: u64 = 1500;
+/// Number of consecutive messages from a peer of another hall that may be lost.
+const MAX_LOST_MESSAGES: u64 = 3;
+/// Silence after which a peer is forgotten.
 pub const PEER_RETENTION_MS: u64 = 30_000;
-/// Peers named in one message.
-const NAMED_PEERS: usize = 24;
-/// Time for which a peer must have known more before it is asked: the store's
-/// own change is usually on its way.
-const BEHIND_MS: u64 = 300;
-/// Time for which a peer that was asked and did not answer is asked only when there is
-/// no other: the rest of it would pass with asking the same one again.
-const UNANSWERED_MS: u64 = 2000;
-/// Time in which the peers that a first one names answer, and name others.
-const LEARN_MS: u64 = 200;
-/// Peers that are asked at once to renew a lease: one may be gone by now.
-const DELEGATES: usize = 2;
+/// Most peer addresses in one message.
+const MAX_SHARED_ADDRESSES: usize = 24;
+/// Time for which a peer's view must have been newer before this box asks for an update: the
+/// store usually delivers the change itself meanwhile.
+const LAG_TOLERANCE_MS: u64 = 300;
+/// Time for which a peer that did not answer is asked only if there is no other. Without it, all
+/// the time left could go into asking the same peer again.
+const UNANSWERED_BACKOFF_MS: u64 = 2000;
+/// Time for which to wait, after the first peer was heard, for the peers that it names and those
+/// that they name.
+const DISCOVERY_MS: u64 = 200;
+/// Peers that are asked at once to renew a lease, since one may have stopped meanwhile.
+const DELEGATES_AT_ONCE: usize = 2;
 
-/// What a box tells of itself in every message.
+/// What this box reports of itself in every message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalBox {
-    /// Number of the box, from its address.
+    /// Number of the box, derived from its address.
     pub number: u32,
-    /// Where peers reach it.
+    /// Address at which peers reach it.
     pub address: SocketAddr,
-    /// Number of its data hall.
     pub hall: u32,
-    /// Processor share that it has, in thousandths of a core.
+    /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
 }
 
@@ -63,79 +63,81 @@
     heard_at_ms: u64,
     gossip: Gossip,
     ahead_since_ms: Option<u64>,
-    /// Until when others are asked first.
-    asked_last_until_ms: u64,
-    /// Whether it was told of this box at least once.
-    told: bool,
-    /// Whether what it told is in the sums.
-    counted: bool,
-    /// Revision of the metadata store that it knows, by the word of its hall's bridge.
+    /// Until when other peers are preferred, because this one did not answer.
+    avoid_asking_until_ms: u64,
+    /// Whether this box has introduced itself to the peer since the peer last started.
+    knows_this_box: bool,
+    /// Whether the peer's gossip is included in the sums.
+    in_sums: bool,
+    /// Revision of the metadata store that the peer has reached, as reported by the bridge of its
+    /// hall.
     bridged_revision: u64,
-    /// Orders those that this box may learn from; another number in each box.
-    distance: u32,
+    /// Order in which this box prefers peers to learn from; differs from box to box.
+    preference: u32,
 }
 
 impl Peer {
-    /// One that was not heard yet.
+    /// A peer from which nothing has been received yet.
     fn new(own_address: IpAddr, address: IpAddr) -> Self {
-        Self { distance: number(&format!("{address} {own_address}")), ..Self::default() }
+        Self { preference: number(&format!("{address} {own_address}")), ..Self::default() }
     }
 
-    /// Whether nothing speaks against asking it.
-    fn answers_at(&self, now_ms: u64) -> bool {
-        now_ms >= self.asked_last_until_ms
+    /// Whether the peer may be asked, because it has not recently failed to answer.
+    fn may_be_asked(&self, now_ms: u64) -> bool {
+        now_ms >= self.avoid_asking_until_ms
     }
 }
 
 /// The other boxes.
 #[derive(Debug)]
 pub struct Peers {
-    own: LocalBox,
+    local: LocalBox,
     seeds: Vec<IpAddr>,
     known: BTreeMap<IpAddr, Peer>,
-    turn: usize,
-    /// When all are told next, however often the own hall is told before.
-    all_due_at_ms: u64,
-    delegate_turn: usize,
+    rotation: usize,
+    /// When the next message to all halls is due, however often the own hall gets one before.
+    all_halls_due_at_ms: u64,
+    delegate_rotation: usize,
     first_heard_at_ms: Option<u64>,
-    /// Whether some peer was not told of this box yet.
-    has_untold: bool,
-    /// When the next news of whole halls is due.
-    halls_due_at_ms: u64,
-    /// What the peers that count told, put together.
+    /// Whether this box still has to introduce itself to some peer.
+    has_uninformed_peer: bool,
+    /// When the next hall summaries are due.
+    summaries_due_at_ms: u64,
+    /// Sums over the gossip of all live peers.
     sums: Sums,
-    /// What bridges told of whole halls.
-    halls: Halls,
+    /// Summaries of other halls, received from bridges.
+    halls: HallTotals,
 }
 
 impl Peers {
-    /// Knows only the seeds.
+    /// Creates a list that knows no peers yet, only the addresses of `seeds` to contact first.
     #[must_use]
-    pub fn new(own: LocalBox, seeds: &[IpAddr]) -> Self {
-        let seeds = seeds.iter().copied().filter(|seed| *seed != own.address.ip()).collect();
+    pub fn new(local: LocalBox, seeds: &[IpAddr]) -> Self {
+        let seeds = seeds.iter().copied().filter(|seed| *seed != local.address.ip()).collect();
         let known = BTreeMap::new();
         Self {
-            own,
+            local,
             seeds,
             known,
-            turn: 0,
-            all_due_at_ms: 0,
-            delegate_turn: 0,
+            rotation: 0,
+            all_halls_due_at_ms: 0,
+            delegate_rotation: 0,
             first_heard_at_ms: None,
-            has_untold: false,
-            halls_due_at_ms: 0,
+            has_uninformed_peer: false,
+            summaries_due_at_ms: 0,
             sums: Sums::default(),
-            halls: Halls::default(),
+            halls: HallTotals::default(),
         }
     }
 
-    /// What this box tells of itself.
+    /// What this box reports of itself.
     #[must_use]
     pub fn local(&self) -> LocalBox {
-        self.own
+        self.local
     }
 
-    /// Takes gossip; true when a box is known now that was not told of this one.
+    /// Takes over gossip from a peer. Returns true if this box still has to introduce itself to
+    /// some peer.
     pub fn receive_gossip(
         &mut self,
         now_ms: u64,
@@ -146,15 +148,15 @@
         for address in &gossip.peers {
             self.add_address(now_ms, *address);
         }
-        let own_address = self.own.address.ip();
+        let own_address = self.local.address.ip();
         let is_small = self.is_small_fleet();
         let peer = self.known.entry(from).or_insert_with(|| Peer::new(own_address, from));
         if gossip.incarnation < peer.gossip.incarnation {
             return false;
         }
-        // Another incarnation at the same address knows nothing of this box.
-        peer.told &= gossip.incarnation == peer.gossip.incarnation;
-        self.has_untold |= !peer.told;
+        // A restarted peer knows nothing of this box.
+        peer.knows_this_box &= gossip.incarnation == peer.gossip.incarnation;
+        self.has_uninformed_peer |= !peer.knows_this_box;
         peer.heard_at_ms = now_ms;
         self.first_heard_at_ms.get_or_insert(now_ms);
         if is_ahead(gossip.view_digest, own) {
@@ -162,51 +164,52 @@
         } else {
             peer.ahead_since_ms = None;
         }
-        if peer.counted {
+        if peer.in_sums {
             self.sums.subtract(&peer.gossip);
         }
-        // Bridges tell what other halls do together.
-        peer.counted = is_small || gossip.hall == self.own.hall;
-        if peer.counted {
+        // The load of other halls comes with the summaries from bridges.
+        peer.in_sums = is_small || gossip.hall == self.local.hall;
+        if peer.in_sums {
             self.sums.add(&gossip);
-            self.sums.heard(now_ms, &gossip.loads);
+            self.sums.note_heard(now_ms, &gossip.loads);
         }
         peer.gossip = gossip;
-        self.has_untold
+        self.has_uninformed_peer
     }
 
-    /// Takes the loads that a peer has changed since its last gossip. Those of a box that has
-    /// not introduced itself wait for its gossip.
+    /// Takes over the loads that changed since the peer's last gossip. They are ignored if no
+    /// gossip of this incarnation has been received yet.
     pub fn receive_load_changes(&mut self, now_ms: u64, from: IpAddr, changes: &LoadChanges) {
         let Some(peer) = self.known.get_mut(&from) else { return };
         if changes.incarnation != peer.gossip.incarnation {
             return;
         }
         peer.heard_at_ms = now_ms;
-        if peer.gossip.hall != self.own.hall {
+        if peer.gossip.hall != self.local.hall {
             return;
         }
-        if peer.counted {
+        if peer.in_sums {
             self.sums.subtract(&peer.gossip);
         }
         peer.gossip.change_loads(&changes.loads);
         self.sums.add(&peer.gossip);
-        self.sums.heard(now_ms, &changes.loads);
-        peer.counted = true;
+        self.sums.note_heard(now_ms, &changes.loads);
+        peer.in_sums = true;
     }
 
-    /// Learns of a box that may be there.
+    /// Adds the address of a box that may be running.
     pub fn add_address(&mut self, now_ms: u64, address: IpAddr) {
-        let own_address = self.own.address.ip();
+        let own_address = self.local.address.ip();
         if address != own_address && !self.known.contains_key(&address) {
-            let heard_at_ms = now_ms.saturating_sub(ALIVE_MS);
+            let heard_at_ms = now_ms.saturating_sub(PEER_TIMEOUT_MS);
             let peer = Peer { heard_at_ms, ..Peer::new(own_address, address) };
             self.known.insert(address, peer);
-            self.has_untold = true;
+            self.has_uninformed_peer = true;
         }
     }
 
-    /// Whether a peer knows something of the metadata store that this box does not.
+    /// Whether the peer's view of the metadata store is newer than that of this box, or differs
+    /// at the same revision.
     #[must_use]
     pub fn has_different_view(&self, address: IpAddr, own: ViewDigest) -> bool {
         self.known.get(&address).is_some_and(|peer| {
@@ -217,100 +220,104 @@
         })
     }
 
-    /// A peer that has known more than this box for a while. A box that does
-    /// not follow the store itself believes its publisher at once, and keeps to
-    /// it when two followers differ: removals in doubt end at different times.
+    /// The peer from which to fetch an update of the metadata view, if one has been ahead for
+    /// long enough. A box that does not follow the metadata store itself asks its publisher at
+    /// once. At equal revisions it goes by its publisher only: followers can differ for a while,
+    /// because they end the deferral of removals at different times.
     #[must_use]
     pub fn catch_up_source(
         &self,
         now_ms: u64,
         own: ViewDigest,
-        link: MetadataStoreStatus,
+        metadata_store: MetadataStoreStatus,
     ) -> Option<SocketAddr> {
-        let publisher = self.publisher(now_ms).filter(|_| link == MetadataStoreStatus::NotUsed);
-        let ahead = self.alive(now_ms).filter(|(address, peer)| {
+        let publisher =
+            self.publisher(now_ms).filter(|_| metadata_store == MetadataStoreStatus::NotUsed);
+        let ahead = self.live_peers(now_ms).filter(|(address, peer)| {
             let view_digest = peer.gossip.view_digest;
-            let believed = publisher.is_some_and(|publisher| publisher.ip() == **address);
-            if believed && view_digest.last_change_revision == own.last_change_revision {
+            let is_publisher = publisher.is_some_and(|publisher| publisher.ip() == **address);
+            if is_publisher && view_digest.last_change_revision == own.last_change_revision {
                 return view_digest.checksum != own.checksum;
             }
-            let at_once = believed || link == MetadataStoreStatus::Failing;
-            let least_ms = if at_once { 0 } else { BEHIND_MS };
+            let at_once = is_publisher || metadata_store == MetadataStoreStatus::Failing;
+            let min_ms = if at_once { 0 } else { LAG_TOLERANCE_MS };
             let since_ms = peer.ahead_since_ms.filter(|_| is_ahead(view_digest, own));
-            since_ms.is_some_and(|since_ms| now_ms >= since_ms + least_ms)
+            since_ms.is_some_and(|since_ms| now_ms >= since_ms + min_ms)
         });
         let (address, _) = ahead.max_by_key(|(_, peer)| {
             (
-                peer.answers_at(now_ms),
-                peer.gossip.hall == self.own.hall,
+                peer.may_be_asked(now_ms),
+                peer.gossip.hall == self.local.hall,
                 peer.gossip.view_digest.last_change_revision,
             )
         })?;
-        Some(SocketAddr::new(*address, self.own.address.port()))
+        Some(SocketAddr::new(*address, self.local.address.port()))
     }
 
-    /// Notes that a peer was asked and did not answer: its gossip may still arrive.
+    /// Notes that a peer did not answer a request. Its gossip may still arrive.
     pub fn note_unanswered(&mut self, now_ms: u64, address: IpAddr) {
         if let Some(peer) = self.known.get_mut(&address) {
-            peer.asked_last_until_ms = now_ms + UNANSWERED_MS;
+            peer.avoid_asking_until_ms = now_ms + UNANSWERED_BACKOFF_MS;
         }
     }
 
-    /// Whether the size of the fleet can be told by the peers that are known.
+    /// Whether enough peers have been heard to tell the size of the fleet.
     #[must_use]
     pub fn is_fleet_known(&self, now_ms: u64) -> bool {
         self.seeds.is_empty()
-            || self.first_heard_at_ms.is_some_and(|heard_at_ms| now_ms >= heard_at_ms + LEARN_MS)
+            || self
+                .first_heard_at_ms
+                .is_some_and(|heard_at_ms| now_ms >= heard_at_ms + DISCOVERY_MS)
     }
 
-    /// Number of boxes that serve, this one included.
+    /// Number of live boxes, including this one.
     #[must_use]
     pub fn live_boxes(&self, now_ms: u64) -> usize {
-        1 + self.alive(now_ms).count()
+        1 + self.live_peers(now_ms).count()
     }
 
-    /// Forgets peers that have said nothing for long.
-    fn forget(&mut self, now_ms: u64) {
+    /// Forgets peers that have been silent for too long.
+    fn forget_silent(&mut self, now_ms: u64) {
         let sums = &mut self.sums;
         self.known.retain(|_, peer| {
-            let stays = now_ms < peer.heard_at_ms + PEER_RETENTION_MS;
-            if !stays && peer.counted {
+            let is_kept = now_ms < peer.heard_at_ms + PEER_RETENTION_MS;
+            if !is_kept && peer.in_sums {
                 sums.subtract(&peer.gossip);
             }
-            stays
+            is_kept
         });
     }
 
-    /// Peers that the metadata store answers, other ones each time.
+    /// Some peers to which the metadata store is available, in turn.
     pub fn next_delegates(&mut self, now_ms: u64) -> Vec<SocketAddr> {
-        let mut able: Vec<IpAddr> = self
-            .alive(now_ms)
+        let mut delegates: Vec<IpAddr> = self
+            .live_peers(now_ms)
             .filter(|(_, peer)| peer.gossip.metadata_store == MetadataStoreStatus::Available)
             .map(|(address, _)| *address)
             .collect();
-        if !able.is_empty() {
-            let start = self.delegate_turn % able.len();
-            able.rotate_left(start);
+        if !delegates.is_empty() {
+            let start = self.delegate_rotation % delegates.len();
+            delegates.rotate_left(start);
         }
-        self.delegate_turn = self.delegate_turn.wrapping_add(DELEGATES);
-        able.truncate(DELEGATES);
-        self.at_peer_port(able)
+        self.delegate_rotation = self.delegate_rotation.wrapping_add(DELEGATES_AT_ONCE);
+        delegates.truncate(DELEGATES_AT_ONCE);
+        self.at_peer_port(delegates)
     }
 
-    /// Every box that was heard and not forgotten, this one included.
+    /// All boxes from which gossip was received and that are not forgotten, including this one.
     #[must_use]
     pub fn heard_boxes(&self) -> BTreeSet<IpAddr> {
         let heard = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
-        heard.map(|(address, _)| *address).chain([self.own.address.ip()]).collect()
+        heard.map(|(address, _)| *address).chain([self.local.address.ip()]).collect()
     }
 
-    /// Every box that may be there, whether or not it was heard; not this one.
+    /// All peers that may be running, including those from which nothing was received.
     #[must_use]
     pub fn addresses(&self) -> Vec<IpAddr> {
         self.known.keys().copied().collect()
     }
 
-    /// Whether a box has told that it knows what a revision of the metadata store brought.
+    /// Whether a peer is known to have reached a revision of the metadata store.
     #[must_use]
     pub fn has_reached_revision(&self, address: IpAddr, revision: u64) -> bool {
         let peer = self.known.get(&address).filter(|peer| peer.gossip.incarnation > 0);
@@ -319,44 +326,44 @@
         })
     }
 
-    /// Some boxes that were heard lately, to be named to others.
+    /// Some live peers whose addresses are sent to other boxes, in turn.
     #[must_use]
     pub fn addresses_to_share(&self, now_ms: u64) -> Vec<IpAddr> {
-        let skip = self.turn % self.known.len().max(1);
-        self.alive(now_ms)
+        let skip = self.rotation % self.known.len().max(1);
+        self.live_peers(now_ms)
             .map(|(address, _)| *address)
             .cycle()
             .skip(skip)
-            .take(self.alive(now_ms).count().min(NAMED_PEERS))
+            .take(self.live_peers(now_ms).count().min(MAX_SHARED_ADDRESSES))
             .collect()
     }
 
-    fn alive(&self, now_ms: u64) -> impl Iterator<Item = (&IpAddr, &Peer)> + Clone {
-        let bounds = self.silence_bounds();
+    fn live_peers(&self, now_ms: u64) -> impl Iterator<Item = (&IpAddr, &Peer)> + Clone {
+        let silence_limits = self.silence_limits();
         let heard = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
-        heard.filter(move |(_, peer)| bounds.is_alive(now_ms, peer))
+        heard.filter(move |(_, peer)| silence_limits.is_live(now_ms, peer))
     }
 
-    fn silence_bounds(&self) -> SilenceBounds {
-        let turns = (self.known.len() / OTHER_HALLS_FANOUT) as u64;
-        let turns_ms = LOST_MESSAGES * turns * GOSSIP_PERIOD_MS;
-        let other_hall_ms = ALIVE_MS + if self.is_small_fleet() { 0 } else { turns_ms };
-        SilenceBounds { own_hall: self.own.hall, other_hall_ms }
+    fn silence_limits(&self) -> SilenceLimits {
+        let rounds = (self.known.len() / OTHER_HALLS_FANOUT) as u64;
+        let rounds_ms = MAX_LOST_MESSAGES * rounds * GOSSIP_PERIOD_MS;
+        let other_hall_ms = PEER_TIMEOUT_MS + if self.is_small_fleet() { 0 } else { rounds_ms };
+        SilenceLimits { own_hall: self.local.hall, other_hall_ms }
     }
 }
 
-/// For how long peers may be silent and still count.
+/// Longest silence after which a peer still counts as live.
 #[derive(Clone, Copy, Debug)]
-struct SilenceBounds {
+struct SilenceLimits {
     own_hall: u32,
-    /// Longest silence of a peer of another hall, which tells this box in turn with others.
+    /// For peers of other halls, which send messages to this box only in turn with others.
     other_hall_ms: u64,
 }
 
-impl SilenceBounds {
-    fn is_alive(&self, now_ms: u64, peer: &Peer) -> bool {
-        let is_near = peer.gossip.hall == self.own_hall;
-        now_ms < peer.heard_at_ms + if is_near { ALIVE_MS } else { self.other_hall_ms }
+impl SilenceLimits {
+    fn is_live(&self, now_ms: u64, peer: &Peer) -> bool {
+        let is_own_hall = peer.gossip.hall == self.own_hall;
+        now_ms < peer.heard_at_ms + if is_own_hall { PEER_TIMEOUT_MS } else { self.other_hall_ms }
     }
 }
 
--- a/src/gateway/decisions/peers/roles.rs
+++ b/src/gateway/decisions/peers/roles.rs
@@ -1,93 +1,98 @@
-//! Who follows the stores itself, and from whom the other boxes learn.
+//! Decides which boxes follow the metadata store and the context stores themselves, and from
+//! which box (the publisher) the others receive the changes.
 
 use std::net::{IpAddr, SocketAddr};
 
 use crate::gateway::decisions::gossip_message::{Gossip, MetadataStoreStatus};
 use crate::gateway::decisions::peers::{Peer, Peers, SMALL_FLEET};
 
-/// Boxes of a hall that follow the metadata store in a larger fleet; the others learn from
-/// them. Should one fail, its hall's bridges hear of changes from those of other halls.
+/// Boxes of a hall that follow the metadata store in a larger fleet and publish its changes to
+/// the others. If one fails, the bridges of its hall learn of changes from those of other halls.
 const FOLLOWERS: usize = 1;
-/// Boxes of a hall that follow the stores of context, and pass on between halls. One may
-/// fail.
+/// Boxes of a hall that follow the context stores and pass messages on between halls. One of them
+/// may fail.
 pub(super) const BRIDGES: usize = 2;
 
 impl Peers {
-    /// Whether all boxes tell each other everything.
+    /// Whether the fleet is small enough for all boxes to send each other everything.
     #[must_use]
     pub fn is_small_fleet(&self) -> bool {
         self.known.len() <= SMALL_FLEET
     }
 
-    /// Whether this box is to follow the metadata store itself: all do in a
-    /// small fleet, the strongest that the store answers in each hall of a
-    /// large one.
+    /// Whether this box has to follow the metadata store itself. In a small fleet all boxes do;
+    /// in a large one, the highest-ranked box of each hall to which the store is available.
     #[must_use]
     pub fn is_follower(&self, now_ms: u64) -> bool {
         if self.is_small_fleet() {
             return true;
         }
-        let stronger = self
-            .stronger(now_ms)
+        let higher_ranked = self
+            .higher_ranked(now_ms)
             .filter(|(_, peer)| peer.gossip.metadata_store != MetadataStoreStatus::Failing);
-        // Those that are to follow may not have begun to.
-        let following = self.alive(now_ms).filter(|(_, peer)| {
-            peer.gossip.hall == self.own.hall
+        // The boxes that rank higher may not have started to follow yet.
+        let following = self.live_peers(now_ms).filter(|(_, peer)| {
+            peer.gossip.hall == self.local.hall
                 && peer.gossip.metadata_store == MetadataStoreStatus::Available
         });
-        stronger.count() < FOLLOWERS || following.count() == 0
+        higher_ranked.count() < FOLLOWERS || following.count() == 0
     }
 
-    /// Whether this box is to follow the stores of context itself: all do in a
-    /// small fleet, the strongest of each hall in a large one, also while the
-    /// metadata store answers nobody.
+    /// Whether this box has to follow the context stores itself. In a small fleet all boxes do;
+    /// in a large one, the highest-ranked of each hall, even while the metadata store is
+    /// available to no box.
     #[must_use]
     pub fn is_cache_follower(&self, now_ms: u64) -> bool {
-        self.is_small_fleet() || self.stronger(now_ms).count() < BRIDGES
+        self.is_small_fleet() || self.higher_ranked(now_ms).count() < BRIDGES
     }
 
-    /// Boxes of the own hall that go before this one.
-    fn stronger(&self, now_ms: u64) -> impl Iterator<Item = (&IpAddr, &Peer)> {
+    /// Boxes of the own hall that rank higher than this one: first by processor share, then by
+    /// address.
+    fn higher_ranked(&self, now_ms: u64) -> impl Iterator<Item = (&IpAddr, &Peer)> {
         let rank = |millicores: u32, address: IpAddr| (std::cmp::Reverse(millicores), address);
-        let own_rank = rank(self.own.millicores, self.own.address.ip());
-        self.alive(now_ms).filter(move |(address, peer)| {
-            peer.gossip.hall == self.own.hall && rank(peer.gossip.millicores, **address) < own_rank
+        let own_rank = rank(self.local.millicores, self.local.address.ip());
+        self.live_peers(now_ms).filter(move |(address, peer)| {
+            peer.gossip.hall == self.local.hall
+                && rank(peer.gossip.millicores, **address) < own_rank
         })
     }
 
-    /// The peer from which this box learns of the metadata store: one of its hall
-    /// that the store answers, other boxes another. It is the same one whether or not it
-    /// answers this box: another, which holds a removal in doubt still, would bring back
-    /// what is gone. Newer changes are fetched from any peer.
+    /// The peer from which this box receives the changes of the metadata store: one of its own
+    /// hall to which the store is available, and not the same for all boxes. It stays the same
+    /// even if it does not answer this box. A different publisher that still defers a removal
+    /// would bring back an item that is already gone. Newer changes are fetched from any peer.
     #[must_use]
     pub fn publisher(&self, now_ms: u64) -> Option<SocketAddr> {
-        let answers = |gossip: &Gossip| gossip.metadata_store == MetadataStoreStatus::Available;
-        self.nearest(self.of_hall(now_ms, answers), |_| true)
+        let has_store = |gossip: &Gossip| gossip.metadata_store == MetadataStoreStatus::Available;
+        self.preferred(self.live_in_own_hall(now_ms, has_store), |_| true)
     }
 
-    /// The peer from which this box learns what stores of context keep.
+    /// The peer from which this box receives the contents of context stores.
     #[must_use]
     pub fn cache_publisher(&self, now_ms: u64) -> Option<SocketAddr> {
-        let follows = |gossip: &Gossip| gossip.follows_caches;
-        self.nearest(self.of_hall(now_ms, follows), |peer| peer.answers_at(now_ms))
+        let follows_caches = |gossip: &Gossip| gossip.follows_caches;
+        self.preferred(self.live_in_own_hall(now_ms, follows_caches), |peer| {
+            peer.may_be_asked(now_ms)
+        })
     }
 
-    fn of_hall(
+    fn live_in_own_hall(
         &self,
         now_ms: u64,
-        able: impl Fn(&Gossip) -> bool,
+        matches: impl Fn(&Gossip) -> bool,
     ) -> impl Iterator<Item = (&IpAddr, &Peer)> {
-        self.alive(now_ms)
-            .filter(move |(_, peer)| peer.gossip.hall == self.own.hall && able(&peer.gossip))
+        self.live_peers(now_ms)
+            .filter(move |(_, peer)| peer.gossip.hall == self.local.hall && matches(&peer.gossip))
     }
 
-    /// One of some peers, for each box another; those go first that `answers` accepts.
-    fn nearest<'a>(
+    /// The preferred one of `peers`, which differs from box to box. Peers that `may_be_asked`
+    /// accepts come first.
+    fn preferred<'a>(
         &self,
         peers: impl Iterator<Item = (&'a IpAddr, &'a Peer)>,
-        answers: impl Fn(&Peer) -> bool,
+        may_be_asked: impl Fn(&Peer) -> bool,
     ) -> Option<SocketAddr> {
-        let (address, _) = peers.min_by_key(|(_, peer)| (!answers(peer), peer.distance))?;
-        Some(SocketAddr::new(*address, self.own.address.port()))
+        let (address, _) = peers.min_by_key(|(_, peer)| (!may_be_asked(peer), peer.preference))?;
+        Some(SocketAddr::new(*address, self.local.address.port()))
     }
 }
--- a/src/gateway/decisions/peers/sums.rs
+++ b/src/gateway/decisions/peers/sums.rs
@@ -1,7 +1,7 @@
-//! What all other boxes told of upstreams, stores and services, put together.
+//! Sums over what the peers report of upstreams, stores and services.
 //!
-//! The sums are kept by difference, as news comes and lapses. Summed anew for each message,
-//! they cost a box the square of the fleet.
+//! The sums are updated by the difference whenever a report arrives or expires. Summing up again
+//! for each message would cost each box time proportional to the square of the fleet size.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -10,35 +10,35 @@
 use crate::gateway::decisions::peers::{PEER_RETENTION_MS, Peers};
 use crate::gateway::decisions::upstream::Load;
 
-/// Sums over the peers that count.
+/// Sums over the reports of live peers.
 #[derive(Debug, Default)]
 pub(super) struct Sums {
-    /// Load on upstreams, by their numbers.
+    /// Load on upstreams, by the number of the upstream.
     loads: HashMap<u32, Load>,
-    /// Tokens that are fetched from stores, by their numbers.
+    /// Tokens fetched from stores, by the number of the store.
     fetch_tokens: HashMap<u32, u64>,
-    /// When any peer heard an upstream last, by its number.
+    /// When any peer last heard from an upstream, by the number of the upstream.
     heard_at_ms: HashMap<u32, u64>,
 }
 
 impl Sums {
-    /// Counts what a peer tells.
+    /// Adds a peer's report.
     pub(super) fn add(&mut self, gossip: &Gossip) {
-        for told in &gossip.loads {
-            self.loads.entry(told.upstream).or_default().add(told.load);
+        for report in &gossip.loads {
+            self.loads.entry(report.upstream).or_default().add(report.load);
         }
         for (store, tokens) in &gossip.fetches {
             *self.fetch_tokens.entry(*store).or_default() += u64::from(*tokens);
         }
     }
 
-    /// Takes out what a peer told before.
+    /// Subtracts a peer's earlier report.
     pub(super) fn subtract(&mut self, gossip: &Gossip) {
-        for told in &gossip.loads {
-            let Some(load) = self.loads.get_mut(&told.upstream) else { continue };
-            load.subtract(told.load);
+        for report in &gossip.loads {
+            let Some(load) = self.loads.get_mut(&report.upstream) else { continue };
+            load.subtract(report.load);
             if *load == Load::default() {
-                self.loads.remove(&told.upstream);
+                self.loads.remove(&report.upstream);
             }
         }
         for (store, tokens) in &gossip.fetches {
@@ -50,46 +50,47 @@
         }
     }
 
-    /// Load by the numbers of upstreams.
+    /// Load on upstreams, by the number of the upstream.
     pub(super) fn loads(&self) -> &HashMap<u32, Load> {
         &self.loads
     }
 
-    /// Tokens that are fetched, by the numbers of stores.
-    pub(super) fn all_fetch_tokens(&self) -> &HashMap<u32, u64> {
+    /// Tokens fetched from stores, by the number of the store.
+    pub(super) fn fetch_tokens(&self) -> &HashMap<u32, u64> {
         &self.fetch_tokens
     }
 
-    /// Notes when a peer heard upstreams. That stays true, whatever becomes of the peer.
-    pub(super) fn heard(&mut self, now_ms: u64, loads: &[LoadReport]) {
-        for told in loads {
-            let at_ms = now_ms.saturating_sub(told.heard_age_ms.into());
-            let last_ms = self.heard_at_ms.entry(told.upstream).or_default();
-            *last_ms = at_ms.max(*last_ms);
+    /// Notes when a peer last heard from upstreams. This stays valid if the peer itself falls
+    /// silent.
+    pub(super) fn note_heard(&mut self, now_ms: u64, loads: &[LoadReport]) {
+        for report in loads {
+            let at_ms = now_ms.saturating_sub(report.heard_age_ms.into());
+            let last_heard_at_ms = self.heard_at_ms.entry(report.upstream).or_default();
+            *last_heard_at_ms = at_ms.max(*last_heard_at_ms);
         }
     }
 
-    /// Forgets upstreams that nobody has heard for long.
-    fn forget(&mut self, now_ms: u64) {
+    /// Forgets upstreams from which no peer has heard for a long time.
+    fn forget_unheard(&mut self, now_ms: u64) {
         self.heard_at_ms.retain(|_, at_ms| now_ms < *at_ms + PEER_RETENTION_MS);
     }
 }
 
 impl Peers {
-    /// Takes peers out of the sums that say nothing any more.
+    /// Takes the reports of silent peers out of the sums.
     pub fn expire(&mut self, now_ms: u64) {
-        let bounds = self.silence_bounds();
+        let silence_limits = self.silence_limits();
         for peer in self.known.values_mut() {
-            if peer.counted && !bounds.is_alive(now_ms, peer) {
-                peer.counted = false;
+            if peer.in_sums && !silence_limits.is_live(now_ms, peer) {
+                peer.in_sums = false;
                 self.sums.subtract(&peer.gossip);
             }
         }
-        self.sums.forget(now_ms);
-        self.halls.lapse(now_ms);
+        self.sums.forget_unheard(now_ms);
+        self.halls.expire(now_ms);
     }
 
-    /// Load that all other boxes put on an upstream.
+    /// Load of all other boxes on an upstream.
     #[must_use]
     pub fn load(&self, upstream: u32) -> Load {
         let mut load = self.halls.load(upstream);
@@ -97,7 +98,7 @@
         load
     }
 
-    /// When any other box heard an upstream last; 0 when none did lately.
+    /// When any other box last heard from an upstream; 0 if none did recently.
     #[must_use]
     pub fn heard_at_ms(&self, upstream: u32) -> u64 {
         self.sums.heard_at_ms.get(&upstream).copied().unwrap_or_default()
@@ -110,19 +111,19 @@
         own_hall + self.halls.fetch_tokens(store)
     }
 
-    /// Upstreams of whose load a peer told last.
+    /// Upstreams whose load a peer reported last.
     #[must_use]
     pub fn upstreams_reported_by(&self, address: IpAddr) -> Vec<u32> {
-        let peer = self.known.get(&address).filter(|peer| peer.counted);
+        let peer = self.known.get(&address).filter(|peer| peer.in_sums);
         peer.map_or_else(Vec::new, |peer| {
-            peer.gossip.loads.iter().map(|told| told.upstream).collect()
+            peer.gossip.loads.iter().map(|report| report.upstream).collect()
         })
     }
 
-    /// Limits of admission that all other boxes have found, in thousandths, by the
-    /// numbers of services.
+    /// Admission limits that all other boxes have found, in thousandths, by the number of the
+    /// service.
     #[must_use]
     pub fn limits(&self, now_ms: u64) -> Vec<(u32, u16)> {
-        self.alive(now_ms).flat_map(|(_, peer)| peer.gossip.limits.iter().copied()).collect()
+        self.live_peers(now_ms).flat_map(|(_, peer)| peer.gossip.limits.iter().copied()).collect()
     }
 }
--- a/src/gateway/decisions/peers/targets.rs
+++ b/src/gateway/decisions/peers/targets.rs
@@ -1,121 +1,127 @@
-//! Whom a box tells what it knows.
+//! Decides to which boxes a message is sent.
 //!
-//! In a small fleet everybody tells all others. In a large one a box tells its own hall, and
-//! shows itself to a few boxes of other halls in turn. The bridges of each hall, its
-//! strongest boxes, and whoever leads tell the bridges of other halls at once, which pass
-//! on what their hall must know: else news crosses halls as slowly as the turns go.
+//! In a small fleet each box sends its messages to all others. In a large one it sends them to
+//! its own hall, and an abridged form to a few boxes of other halls in turn. The bridges of each
+//! hall (its highest-ranked boxes) and the leader also send theirs directly to the bridges of
+//! other halls, which pass on what their hall needs. Otherwise news would cross halls only as
+//! fast as the boxes take turns.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
 use crate::gateway::decisions::peers::roles::BRIDGES;
 use crate::gateway::decisions::peers::{
-    ALIVE_MS, GOSSIP_PERIOD_MS, OTHER_HALLS_FANOUT, Peer, Peers, SMALL_FLEET,
+    GOSSIP_PERIOD_MS, OTHER_HALLS_FANOUT, PEER_TIMEOUT_MS, Peer, Peers, SMALL_FLEET,
 };
 
-/// Who is told.
+/// Boxes for which a message is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
-    /// All that are told at all.
+    /// All boxes that get messages from this one.
     All,
     /// The boxes of the own hall, which mostly use the same upstreams.
     OwnHall,
 }
 
-/// How far the word of a box reaches at once in a large fleet.
+/// How far the messages of a box go directly in a large fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GossipScope {
-    /// Its own hall.
+    /// To the own hall.
     OwnHall,
-    /// The bridges of all halls too: it is one, or it leads.
+    /// Also to the bridges of all halls, because the box is a bridge or the leader.
     AllBridges,
 }
 
-/// Whom a box tells next.
+/// Boxes to which the next messages go.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Targets {
-    /// Boxes that hear everything.
+    /// Boxes that get the full gossip.
     pub full: Vec<SocketAddr>,
-    /// Boxes of other halls that hear who this box is and what it knows.
+    /// Boxes of other halls that get the abridged gossip.
     pub abridged: Vec<SocketAddr>,
-    /// Bridges of other halls, when news of the own hall as a whole is due.
+    /// Bridges of other halls that get the summary of the own hall, if it is due.
     pub bridges: Vec<SocketAddr>,
-    /// Boxes of the own hall, when news of all other halls is due.
+    /// Boxes of the own hall that get the summary of all other halls, if it is due.
     pub own_hall: Vec<SocketAddr>,
 }
 
 impl Peers {
-    /// Who is to be told next, when `audience` has something to hear: all are in time, and
-    /// once some box was not told of this one.
+    /// The audience of the next message when `audience` has news: all boxes if their regular
+    /// message is due, or if this box has not introduced itself to some peer yet.
     #[must_use]
     pub fn due_audience(&self, now_ms: u64, audience: Audience) -> Audience {
-        if self.has_untold || now_ms >= self.all_due_at_ms { Audience::All } else { audience }
+        if self.has_uninformed_peer || now_ms >= self.all_halls_due_at_ms {
+            Audience::All
+        } else {
+            audience
+        }
     }
 
-    /// Whom this box tells next.
-    pub fn next_targets(&mut self, now_ms: u64, audience: Audience, reach: GossipScope) -> Targets {
-        self.forget(now_ms);
+    /// The boxes to which the next messages go.
+    pub fn next_targets(&mut self, now_ms: u64, audience: Audience, scope: GossipScope) -> Targets {
+        self.forget_silent(now_ms);
         match self.due_audience(now_ms, audience) {
             Audience::OwnHall => {
-                let whole = self.at_peer_port(self.in_own_hall());
-                Targets { full: whole, ..Targets::default() }
+                let full = self.at_peer_port(self.own_hall());
+                Targets { full, ..Targets::default() }
             }
             Audience::All => {
-                self.all_due_at_ms = now_ms + GOSSIP_PERIOD_MS;
-                self.all_targets(now_ms, reach)
+                self.all_halls_due_at_ms = now_ms + GOSSIP_PERIOD_MS;
+                self.all_targets(now_ms, scope)
             }
         }
     }
 
-    fn all_targets(&mut self, now_ms: u64, reach: GossipScope) -> Targets {
-        let small = self.known.len() <= SMALL_FLEET;
-        let hall = self.own.hall;
-        let is_near = |peer: &Peer| small || peer.gossip.hall == hall || !peer.told;
-        let (mut whole, mut others): (Vec<IpAddr>, Vec<IpAddr>) =
-            self.known.keys().copied().partition(|address| is_near(&self.known[address]));
-        for address in &whole {
-            self.known.entry(*address).and_modify(|peer| peer.told = true);
+    fn all_targets(&mut self, now_ms: u64, scope: GossipScope) -> Targets {
+        let is_small = self.known.len() <= SMALL_FLEET;
+        let hall = self.local.hall;
+        let gets_full = |peer: &Peer| is_small || peer.gossip.hall == hall || !peer.knows_this_box;
+        let (mut full, mut abridged): (Vec<IpAddr>, Vec<IpAddr>) =
+            self.known.keys().copied().partition(|address| gets_full(&self.known[address]));
+        for address in &full {
+            self.known.entry(*address).and_modify(|peer| peer.knows_this_box = true);
         }
-        self.has_untold = false;
+        self.has_uninformed_peer = false;
         let mut targets = Targets::default();
-        if reach == GossipScope::AllBridges && !small {
+        if scope == GossipScope::AllBridges && !is_small {
             let bridges = self.bridges(now_ms);
-            whole.extend(bridges.iter().filter(|bridge| others.contains(bridge)));
-            others.retain(|other| !bridges.contains(other));
-            if now_ms >= self.halls_due_at_ms {
-                self.halls_due_at_ms = now_ms + GOSSIP_PERIOD_MS;
+            full.extend(bridges.iter().filter(|bridge| abridged.contains(bridge)));
+            abridged.retain(|address| !bridges.contains(address));
+            if now_ms >= self.summaries_due_at_ms {
+                self.summaries_due_at_ms = now_ms + GOSSIP_PERIOD_MS;
                 targets.bridges = self.at_peer_port(bridges);
-                targets.own_hall = self.at_peer_port(self.in_own_hall());
+                targets.own_hall = self.at_peer_port(self.own_hall());
             }
         }
-        if !others.is_empty() {
-            let start = self.turn % others.len();
-            others.rotate_left(start);
+        if !abridged.is_empty() {
+            let start = self.rotation % abridged.len();
+            abridged.rotate_left(start);
         }
-        self.turn = self.turn.wrapping_add(OTHER_HALLS_FANOUT);
-        others.truncate(OTHER_HALLS_FANOUT);
+        self.rotation = self.rotation.wrapping_add(OTHER_HALLS_FANOUT);
+        abridged.truncate(OTHER_HALLS_FANOUT);
         if !self.seeds.is_empty() {
-            let seed = self.seeds[self.turn % self.seeds.len()];
-            if !whole.contains(&seed) && !others.contains(&seed) {
-                whole.push(seed);
+            let seed = self.seeds[self.rotation % self.seeds.len()];
+            if !full.contains(&seed) && !abridged.contains(&seed) {
+                full.push(seed);
             }
         }
-        targets.full = self.at_peer_port(whole);
-        targets.abridged = self.at_peer_port(others);
+        targets.full = self.at_peer_port(full);
+        targets.abridged = self.at_peer_port(abridged);
         targets
     }
 
-    /// The bridges of other halls, by the rank that their own boxes go by. One that says that
-    /// it follows the stores of context is one as well, as it may know better.
+    /// The bridges of other halls, found by the same ranking as their own halls use. A box that
+    /// reports that it follows the context stores is included too, because it may know its rank
+    /// better.
     fn bridges(&self, now_ms: u64) -> Vec<IpAddr> {
         let mut by_hall: BTreeMap<u32, Vec<_>> = BTreeMap::new();
         let mut bridges = Vec::new();
         for (address, peer) in
-            self.alive(now_ms).filter(|(_, one)| one.gossip.hall != self.own.hall)
+            self.live_peers(now_ms).filter(|(_, peer)| peer.gossip.hall != self.local.hall)
         {
             let rank = (std::cmp::Reverse(peer.gossip.millicores), *address);
             by_hall.entry(peer.gossip.hall).or_default().push(rank);
-            if peer.gossip.follows_caches && now_ms < peer.heard_at_ms + ALIVE_MS {
+            if peer.gossip.follows_caches && now_ms < peer.heard_at_ms + PEER_TIMEOUT_MS {
                 bridges.push(*address);
             }
         }
@@ -128,13 +134,13 @@
         bridges
     }
 
-    fn in_own_hall(&self) -> Vec<IpAddr> {
-        let near = self.known.iter().filter(|(_, peer)| peer.gossip.hall == self.own.hall);
-        near.map(|(address, _)| *address).collect()
+    fn own_hall(&self) -> Vec<IpAddr> {
+        let own_hall = self.known.iter().filter(|(_, peer)| peer.gossip.hall == self.local.hall);
+        own_hall.map(|(address, _)| *address).collect()
     }
 
     pub(super) fn at_peer_port(&self, addresses: Vec<IpAddr>) -> Vec<SocketAddr> {
-        let port = self.own.address.port();
+        let port = self.local.address.port();
         addresses.into_iter().map(|address| SocketAddr::new(address, port)).collect()
     }
 }
