--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -94,7 +94,7 @@
 
 fn told(boxes: u32, upstream: u32, requests: u32) -> LoadReport {
     let load = Load { requests, pending_prefill_tokens: 4000, memory_tokens: 6000 };
-    LoadReport { upstream: upstream % engines(boxes), load, heard_age_ms: 40 }
+    LoadReport { upstream: upstream % engines(boxes), load, receive_age_ms: 40 }
 }
 
 fn engines(boxes: u32) -> u32 {
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -43,7 +43,7 @@
     pub leaving: Vec<u32>,
     /// Upstreams to which the sender sends no requests for a while because they turned it away:
     /// number of the upstream and remaining time in milliseconds.
-    pub resting: Vec<(u32, u16)>,
+    pub backoffs: Vec<(u32, u16)>,
     /// The upstreams' clock at the time of sending, if the sender knows it.
     pub upstream_clock_ms: Option<u64>,
     /// Weight versions that engines have loaded: engine, model, version.
@@ -99,8 +99,8 @@
     pub loads: Vec<LoadReport>,
     /// See [`Gossip::superseded`].
     pub superseded: Vec<u32>,
-    /// See [`Gossip::resting`].
-    pub resting: Vec<(u32, u16)>,
+    /// See [`Gossip::backoffs`].
+    pub backoffs: Vec<(u32, u16)>,
 }
 
 /// Load of one box or hall on an upstream.
@@ -109,7 +109,7 @@
     pub upstream: u32,
     pub load: Load,
     /// Time since the sender last received bytes from the upstream, in milliseconds.
-    pub heard_age_ms: u16,
+    pub receive_age_ms: u16,
 }
 
 /// A weight version that was named.
@@ -150,11 +150,11 @@
 }
 
 /// The loads that fit into one message, the largest first. An upstream without load is included
-/// if it was heard from recently, so that other boxes do not consider it silent.
+/// if data came from it recently, so that other boxes do not consider it silent.
 #[must_use]
 pub fn reported_loads(loads: impl Iterator<Item = LoadReport>) -> Vec<LoadReport> {
     let is_included = |report: &LoadReport| {
-        report.load.requests > 0 || u64::from(report.heard_age_ms) < SILENT_MS
+        report.load.requests > 0 || u64::from(report.receive_age_ms) < SILENT_MS
     };
     let mut reports: Vec<LoadReport> = loads.filter(is_included).collect();
     reports.sort_by_key(|report| std::cmp::Reverse(report.load.requests));
--- a/src/gateway/decisions/notice.rs
+++ b/src/gateway/decisions/notice.rs
@@ -1,5 +1,5 @@
 //! Notices that an upstream sends along with its answers: that it is about to leave, or that it
-//! wants a rest, which means no requests for some time.
+//! asks for a back-off, that is, for no requests during some time.
 //!
 //! A notice holds for one incarnation of the upstream, whatever the upstream's item in the
 //! metadata store says: the item is out of date while the store is, and may expire and come back.
@@ -8,8 +8,8 @@
 
 use crate::gateway::decisions::incarnation::{Incarnation, is_other_incarnation};
 
-/// Upper limit of the rest that an upstream can ask for.
-const MAX_REST_MS: u64 = 600_000;
+/// Upper limit of the back-off that an upstream can ask for.
+const MAX_BACKOFF_MS: u64 = 600_000;
 /// Time for which the notices of an upstream that is not listed are kept.
 const RETENTION_MS: u64 = 600_000;
 
@@ -19,7 +19,7 @@
     /// Whether the upstream is about to leave.
     pub leaving: bool,
     /// Time for which the upstream wants no requests from this box.
-    pub rest_ms: Option<u64>,
+    pub backoff_ms: Option<u64>,
 }
 
 impl Notice {
@@ -35,22 +35,22 @@
     /// Whether the upstream is about to leave.
     pub leaving: bool,
     /// Until when the upstream wants no requests from this box.
-    pub rest_until_ms: u64,
+    pub backoff_until_ms: u64,
 }
 
 impl NoticeState {
     /// The effect of a notice that was received at `now_ms`.
     #[must_use]
     pub fn from_notice(now_ms: u64, notice: Notice) -> Self {
-        let rest_ms = notice.rest_ms.map_or(0, |rest_ms| rest_ms.min(MAX_REST_MS));
-        let rest_until_ms = if rest_ms == 0 { 0 } else { now_ms + rest_ms };
-        Self { leaving: notice.leaving, rest_until_ms }
+        let backoff_ms = notice.backoff_ms.map_or(0, |backoff_ms| backoff_ms.min(MAX_BACKOFF_MS));
+        let backoff_until_ms = if backoff_ms == 0 { 0 } else { now_ms + backoff_ms };
+        Self { leaving: notice.leaving, backoff_until_ms }
     }
 
     /// Adds the effect of other notices.
     pub fn merge(&mut self, other: Self) {
         self.leaving |= other.leaving;
-        self.rest_until_ms = self.rest_until_ms.max(other.rest_until_ms);
+        self.backoff_until_ms = self.backoff_until_ms.max(other.backoff_until_ms);
     }
 }
 
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -85,7 +85,7 @@
                 peer.bridged_revision = peer.bridged_revision.max(*revision);
             }
         }
-        self.sums.note_heard(now_ms, &summary.loads);
+        self.sums.note_received(now_ms, &summary.loads);
         self.halls.by_hall.insert(summary.hall, (now_ms, summary));
         self.halls.recalculate(now_ms);
     }
@@ -96,7 +96,7 @@
             // A bridge receives the summaries of the halls themselves.
             return;
         }
-        self.sums.note_heard(now_ms, &summary.loads);
+        self.sums.note_received(now_ms, &summary.loads);
         let loads = summary.loads.iter().map(|report| (report.upstream, report.load)).collect();
         let fetches = summary.fetches.iter().map(|(store, tokens)| (*store, u64::from(*tokens)));
         self.halls.set_totals(now_ms, loads, fetches.collect());
@@ -143,9 +143,9 @@
     fn load_reports(&self, now_ms: u64, loads: &HashMap<u32, Load>) -> Vec<LoadReport> {
         let nonzero = loads.iter().filter(|(_, load)| load.requests > 0);
         let reports = nonzero.map(|(upstream, load)| {
-            let age_ms = now_ms.saturating_sub(self.heard_at_ms(*upstream));
-            let heard_age_ms = u16::try_from(age_ms).unwrap_or(u16::MAX);
-            LoadReport { upstream: *upstream, load: *load, heard_age_ms }
+            let age_ms = now_ms.saturating_sub(self.received_at_ms(*upstream));
+            let receive_age_ms = u16::try_from(age_ms).unwrap_or(u16::MAX);
+            LoadReport { upstream: *upstream, load: *load, receive_age_ms }
         });
         reports.collect()
     }
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -171,7 +171,7 @@
         peer.in_sums = is_small || gossip.hall == self.local.hall;
         if peer.in_sums {
             self.sums.add(&gossip);
-            self.sums.note_heard(now_ms, &gossip.loads);
+            self.sums.note_received(now_ms, &gossip.loads);
         }
         peer.gossip = gossip;
         self.has_uninformed_peer
@@ -193,7 +193,7 @@
         }
         peer.gossip.change_loads(&changes.loads);
         self.sums.add(&peer.gossip);
-        self.sums.note_heard(now_ms, &changes.loads);
+        self.sums.note_received(now_ms, &changes.loads);
         peer.in_sums = true;
     }
 
--- a/src/gateway/decisions/peers/sums.rs
+++ b/src/gateway/decisions/peers/sums.rs
@@ -17,8 +17,8 @@
     loads: HashMap<u32, Load>,
     /// Tokens fetched from stores, by the number of the store.
     fetch_tokens: HashMap<u32, u64>,
-    /// When any peer last heard from an upstream, by the number of the upstream.
-    heard_at_ms: HashMap<u32, u64>,
+    /// When any peer last received data from an upstream, by the number of the upstream.
+    received_at_ms: HashMap<u32, u64>,
 }
 
 impl Sums {
@@ -60,19 +60,19 @@
         &self.fetch_tokens
     }
 
-    /// Notes when a peer last heard from upstreams. This stays valid if the peer itself falls
-    /// silent.
-    pub(super) fn note_heard(&mut self, now_ms: u64, loads: &[LoadReport]) {
+    /// Notes when a peer last received data from upstreams. This stays valid if the peer itself
+    /// falls silent.
+    pub(super) fn note_received(&mut self, now_ms: u64, loads: &[LoadReport]) {
         for report in loads {
-            let at_ms = now_ms.saturating_sub(report.heard_age_ms.into());
-            let last_heard_at_ms = self.heard_at_ms.entry(report.upstream).or_default();
-            *last_heard_at_ms = at_ms.max(*last_heard_at_ms);
+            let at_ms = now_ms.saturating_sub(report.receive_age_ms.into());
+            let last_received_at_ms = self.received_at_ms.entry(report.upstream).or_default();
+            *last_received_at_ms = at_ms.max(*last_received_at_ms);
         }
     }
 
-    /// Forgets upstreams from which no peer has heard for a long time.
-    fn forget_unheard(&mut self, now_ms: u64) {
-        self.heard_at_ms.retain(|_, at_ms| now_ms < *at_ms + PEER_RETENTION_MS);
+    /// Forgets upstreams from which no peer has received data for a long time.
+    fn forget_silent_upstreams(&mut self, now_ms: u64) {
+        self.received_at_ms.retain(|_, at_ms| now_ms < *at_ms + PEER_RETENTION_MS);
     }
 }
 
@@ -86,7 +86,7 @@
                 self.sums.subtract(&peer.gossip);
             }
         }
-        self.sums.forget_unheard(now_ms);
+        self.sums.forget_silent_upstreams(now_ms);
         self.halls.expire(now_ms);
     }
 
@@ -98,10 +98,10 @@
         load
     }
 
-    /// When any other box last heard from an upstream; 0 if none did recently.
+    /// When any other box last received data from an upstream; 0 if none did recently.
     #[must_use]
-    pub fn heard_at_ms(&self, upstream: u32) -> u64 {
-        self.sums.heard_at_ms.get(&upstream).copied().unwrap_or_default()
+    pub fn received_at_ms(&self, upstream: u32) -> u64 {
+        self.sums.received_at_ms.get(&upstream).copied().unwrap_or_default()
     }
 
     /// Tokens that all other boxes fetch from a store.
--- a/src/gateway/decisions/rollout.rs
+++ b/src/gateway/decisions/rollout.rs
@@ -24,7 +24,7 @@
     let count = candidates.len();
     let max_loads = (count / ENGINES_PER_URGENT_LOAD).max(1);
     let usual_loads = MIN_CONCURRENT_LOADS.max(count / ENGINES_PER_LOAD).min(max_loads);
-    let behind = candidates.iter().filter(|engine| engine.version < version && !engine.doubtful);
+    let behind = candidates.iter().filter(|engine| engine.version < version && !engine.unhealthy);
     let mut time_left_ms: Vec<u64> = behind.map(|engine| engine.time_left_ms).collect();
     time_left_ms.sort_unstable();
     // Engines with older weights have less time left.
@@ -45,7 +45,7 @@
     /// Time left until it must have a newer version.
     pub time_left_ms: u64,
     /// Whether its load is scheduled or in progress.
-    pub is_updating: bool,
+    pub is_loading: bool,
     /// Whether the leader may order it to load now.
     pub may_be_ordered: bool,
     /// Consecutive orders that it did not answer or carry out.
@@ -53,7 +53,7 @@
     /// Number of running requests.
     pub requests: u32,
     /// Whether it has recently failed, been silent or turned requests away.
-    pub doubtful: bool,
+    pub unhealthy: bool,
 }
 
 /// The engines that get no new requests from now on, and then load `version`.
@@ -64,10 +64,10 @@
     let max_updating =
         (max_concurrent_loads(candidates, version) + PREPARED_AHEAD).min(max_out_of_service);
     let updating =
-        candidates.iter().filter(|engine| engine.is_updating && !engine.doubtful).count();
+        candidates.iter().filter(|engine| engine.is_loading && !engine.unhealthy).count();
     // An engine keeps getting requests until the leader may order it.
     let is_next = |engine: &&RolloutCandidate| {
-        engine.version < version && !engine.is_updating && engine.may_be_ordered
+        engine.version < version && !engine.is_loading && engine.may_be_ordered
     };
     let mut behind: Vec<&RolloutCandidate> = candidates.iter().filter(is_next).collect();
     // Engines with the oldest version go first, because their time limit is the closest. Failed
@@ -75,17 +75,17 @@
     // and would otherwise always go before those never ordered. When all orders were late, five
     // of nine engines would get all of them until the others were past their limit.
     behind.sort_by_key(|engine| {
-        (engine.doubtful, engine.version, engine.failed_orders, engine.requests, engine.id.clone())
+        (engine.unhealthy, engine.version, engine.failed_orders, engine.requests, engine.id.clone())
     });
     let remaining = max_updating.saturating_sub(updating);
-    // Limits how many doubtful engines are taken out of service: if only this box cannot reach
+    // Limits how many unhealthy engines are taken out of service: if only this box cannot reach
     // them, other boxes still use them.
-    let out_of_use = candidates.iter().filter(|engine| engine.is_updating).count();
+    let out_of_use = candidates.iter().filter(|engine| engine.is_loading).count();
     let max_out_of_use = (candidates.len() / ENGINES_PER_URGENT_LOAD).max(1);
-    let mut doubtful_allowed = max_out_of_use.saturating_sub(out_of_use);
+    let mut unhealthy_allowed = max_out_of_use.saturating_sub(out_of_use);
     behind.retain(|engine| {
-        let is_next = !engine.doubtful || doubtful_allowed > 0;
-        doubtful_allowed = doubtful_allowed.saturating_sub(1);
+        let is_next = !engine.unhealthy || unhealthy_allowed > 0;
+        unhealthy_allowed = unhealthy_allowed.saturating_sub(1);
         is_next
     });
     behind.into_iter().take(remaining).map(|engine| engine.id.clone()).collect()
--- a/src/gateway/decisions/upstream/health.rs
+++ b/src/gateway/decisions/upstream/health.rs
@@ -39,7 +39,7 @@
     /// Until when this box leaves it alone if others serve; `None` if it does not.
     #[must_use]
     pub fn backoff_until_ms(&self, now_ms: u64) -> Option<u64> {
-        let until_ms = self.notices.rest_until_ms.max(self.rejecting_until_ms);
+        let until_ms = self.notices.backoff_until_ms.max(self.rejecting_until_ms);
         (now_ms < until_ms).then_some(until_ms)
     }
 
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -168,7 +168,7 @@
     /// Until when it wants no requests from this box; `None` if it takes them.
     #[must_use]
     pub fn rests_until_ms(&self, now_ms: u64) -> Option<u64> {
-        Some(self.notices.rest_until_ms).filter(|until_ms| now_ms < *until_ms)
+        Some(self.notices.backoff_until_ms).filter(|until_ms| now_ms < *until_ms)
     }
 
     /// Its present run.
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -143,9 +143,9 @@
     }
 
     /// When the first upstream of a service, but for those in `tried`, takes requests again
-    /// from this box, while all rest; `None` when one takes them now, or there is none.
+    /// from this box, while all are backing off; `None` when one takes them now, or there is none.
     #[must_use]
-    pub fn all_resting_until_ms(
+    pub fn all_backoff_until_ms(
         &self,
         now_ms: u64,
         service: &str,
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -133,8 +133,8 @@
     let loads = changed_loads(sent_loads, own_loads(state, now_ms));
     sent_loads.retain(|sent| loads.iter().all(|load| load.upstream != sent.upstream));
     sent_loads.extend(&loads);
-    let resting = resting(state, now_ms);
-    LoadChanges { incarnation, loads, superseded: superseded(state), resting }
+    let backoffs = backoffs(state, now_ms);
+    LoadChanges { incarnation, loads, superseded: superseded(state), backoffs }
 }
 
 /// The load that this box puts on each upstream.
@@ -142,7 +142,7 @@
     state.upstreams.iter().map(move |upstream| LoadReport {
         upstream: upstream.number,
         load: upstream.own_load,
-        heard_age_ms: upstream.receive_age_ms(now_ms),
+        receive_age_ms: upstream.receive_age_ms(now_ms),
     })
 }
 
@@ -173,7 +173,7 @@
         loading_engines: loading(state, now_ms),
         superseded: superseded(state),
         leaving: leaving(state),
-        resting: resting(state, now_ms),
+        backoffs: backoffs(state, now_ms),
         upstream_clock_ms: state
             .upstream_clock_offset_ms
             .and_then(|ahead_ms| now_ms.checked_add_signed(ahead_ms)),
@@ -207,12 +207,12 @@
 }
 
 /// Upstreams to which nothing is sent for now, and for how long still.
-fn resting(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
-    let resting = state.upstreams.iter().filter_map(|upstream| {
+fn backoffs(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
+    let backoffs = state.upstreams.iter().filter_map(|upstream| {
         let left_ms = upstream.backoff_until_ms(now_ms)? - now_ms;
         Some((upstream.number, u16::try_from(left_ms).unwrap_or(u16::MAX)))
     });
-    resting.collect()
+    backoffs.collect()
 }
 
 /// Engines that load weights, with the remaining time: those that this box has ordered to, and
@@ -311,7 +311,7 @@
     }
     supersede(&mut state, &gossip.superseded);
     apply_leaving(&mut state, &gossip.leaving);
-    apply_resting(&mut state, now_ms, &gossip.resting);
+    apply_backoffs(&mut state, now_ms, &gossip.backoffs);
     quarantine::merge_peer_reports(gateway, &mut state, now_ms, &gossip);
     if let Some(clock_ms) = gossip.upstream_clock_ms {
         state.update_upstream_clock_offset(now_ms, clock_ms);
@@ -344,7 +344,7 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     supersede(&mut state, &changes.superseded);
-    apply_resting(&mut state, now_ms, &changes.resting);
+    apply_backoffs(&mut state, now_ms, &changes.backoffs);
     state.peers.receive_load_changes(now_ms, from, changes);
     for load in &changes.loads {
         state.apply_peer_load(load.upstream);
@@ -361,9 +361,9 @@
 }
 
 /// Notes the upstreams to which a peer sends nothing for now, and for how long.
-fn apply_resting(state: &mut State, now_ms: u64, resting: &[(u32, u16)]) {
+fn apply_backoffs(state: &mut State, now_ms: u64, backoffs: &[(u32, u16)]) {
     let jitter_ms = u64::from(state.peers.local().number) % RETURN_JITTER_MS;
-    for (number, left_ms) in resting {
+    for (number, left_ms) in backoffs {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
             upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + jitter_ms);
         }
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -185,7 +185,7 @@
     pub fn apply_notice(&self, notice: Notice) {
         let now_ms = now_ms();
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
-            self.upstream.id, notice.leaving, notice.rest_ms.unwrap_or_default());
+            self.upstream.id, notice.leaving, notice.backoff_ms.unwrap_or_default());
         let asked = NoticeState::from_notice(now_ms, notice);
         self.gateway.state().upstreams.apply_notices(now_ms, &self.upstream, asked);
         self.gateway.gossip_now.notify_one();
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -127,7 +127,7 @@
     pub fn apply_peer_load(&mut self, number: u32) {
         if let Some(upstream) = self.upstreams.get_by_number_mut(number) {
             upstream.peer_load = self.peers.load(number);
-            upstream.record_peer_receive(self.peers.heard_at_ms(number));
+            upstream.record_peer_receive(self.peers.received_at_ms(number));
         }
     }
 
@@ -138,7 +138,7 @@
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
             upstream.peer_load = peers.load(upstream.number);
-            upstream.record_peer_receive(peers.heard_at_ms(upstream.number));
+            upstream.record_peer_receive(peers.received_at_ms(upstream.number));
         }
         for (_, store) in stores.iter_mut() {
             store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -125,12 +125,12 @@
                 id: engine.id.clone(),
                 version: engine.weight_version(model),
                 time_left_ms: left_ms(gateway, named, now_ms, engine.weight_version(model)),
-                is_updating: state.loading_engines.contains(&engine.id),
+                is_loading: state.loading_engines.contains(&engine.id),
                 may_be_ordered: now_ms >= failed.retry_at_ms
                     && claims::may_order(state, bounds, now_ms, number(&engine.id)),
                 failed_orders: failed.count,
                 requests: engine.total_load().requests,
-                doubtful: engine.is_unhealthy(now_ms),
+                unhealthy: engine.is_unhealthy(now_ms),
             }
         })
         .collect()
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -17,11 +17,11 @@
 /// The response if no upstream was found in time.
 pub fn no_upstream_found(gateway: &Gateway, request: &AdmittedRequest) -> ClientResponse {
     let state = gateway.state();
-    let rest_until_ms =
-        state.upstreams.all_resting_until_ms(now_ms(), &request.service, &request.tried);
+    let backoff_until_ms =
+        state.upstreams.all_backoff_until_ms(now_ms(), &request.service, &request.tried);
     let has_upstreams = state.upstreams.of_service(&request.service).next().is_some();
     drop(state);
-    match rest_until_ms {
+    match backoff_until_ms {
         Some(until_ms) => {
             let spread_ms = u64::from(number(&request.outgoing.request_id)) % RETRY_AFTER_MS;
             refuse_until(request, Reason::UpstreamsFull, until_ms + spread_ms)
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -373,9 +373,9 @@
 /// Whether all untried upstreams have asked for no requests until after `until`.
 fn all_rest_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
     let state = gateway.state();
-    let rest_until_ms =
-        state.upstreams.all_resting_until_ms(now_ms(), &request.service, &request.tried);
-    rest_until_ms.is_some_and(|rest_until_ms| instant_at(rest_until_ms) > until)
+    let backoff_until_ms =
+        state.upstreams.all_backoff_until_ms(now_ms(), &request.service, &request.tried);
+    backoff_until_ms.is_some_and(|backoff_until_ms| instant_at(backoff_until_ms) > until)
 }
 
 /// Chooses the upstream for the request among those that can take it now.
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -127,7 +127,7 @@
         upstream_id: text(head, &HeaderName::from_static("x-instance-id")).map(str::to_owned),
         ran_version: text(head, &headers::RAN_VERSION).and_then(|version| version.parse().ok()),
         encoded: head.contains_key(header::CONTENT_ENCODING),
-        notice: Notice { leaving: is_leaving(head), rest_ms: rest_ms(status, head) },
+        notice: Notice { leaving: is_leaving(head), backoff_ms: backoff_ms(status, head) },
     }
 }
 
@@ -138,7 +138,7 @@
 
 /// How long an upstream that refuses a request asks not to be sent others. The header gives
 /// seconds, possibly with a fraction.
-fn rest_ms(status: StatusCode, head: &HeaderMap) -> Option<u64> {
+fn backoff_ms(status: StatusCode, head: &HeaderMap) -> Option<u64> {
     let retry_after = text(head, &header::RETRY_AFTER);
     let text = retry_after.filter(|_| status == StatusCode::SERVICE_UNAVAILABLE)?;
     let seconds = text.trim().parse::<f64>().ok().filter(|seconds| seconds.is_finite());
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -22,7 +22,7 @@
 fn told(requests: u32) -> LoadReport {
     let load =
         Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
-    LoadReport { upstream: UPSTREAM, load, heard_age_ms: 0 }
+    LoadReport { upstream: UPSTREAM, load, receive_age_ms: 0 }
 }
 
 fn gossip(hall: u32, host: u8, requests: u32) -> Gossip {
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -211,19 +211,20 @@
 #[case("NaN", None)]
 #[case("1e999", None)]
 #[case("Wed, 21 Oct 2026 07:28:00 GMT", None)]
-fn times_read(#[case] text: &str, #[case] rest_ms: Option<u64>) {
+fn times_read(#[case] text: &str, #[case] backoff_ms: Option<u64>) {
     let mut head = HeaderMap::new();
     head.insert("retry-after", text.parse().unwrap());
     let told = answer_head(StatusCode::SERVICE_UNAVAILABLE, &head);
-    assert_eq!(told.notice, Notice { leaving: false, rest_ms });
+    assert_eq!(told.notice, Notice { leaving: false, backoff_ms });
     let other = answer_head(StatusCode::INTERNAL_SERVER_ERROR, &head);
     assert!(other.notice.is_empty(), "it speaks of the request alone");
 }
 
 #[test]
 fn longest_rest() {
-    let asked = NoticeState::from_notice(1000, Notice { leaving: false, rest_ms: Some(u64::MAX) });
-    assert_eq!(asked.rest_until_ms, 601_000);
-    let nothing = NoticeState::from_notice(1000, Notice { leaving: false, rest_ms: Some(0) });
+    let asked =
+        NoticeState::from_notice(1000, Notice { leaving: false, backoff_ms: Some(u64::MAX) });
+    assert_eq!(asked.backoff_until_ms, 601_000);
+    let nothing = NoticeState::from_notice(1000, Notice { leaving: false, backoff_ms: Some(0) });
     assert_eq!(nothing, NoticeState::default());
 }
--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -14,11 +14,11 @@
         id: id.to_owned(),
         version,
         time_left_ms: 10_000,
-        is_updating: false,
+        is_loading: false,
         may_be_ordered: true,
         failed_orders: 0,
         requests,
-        doubtful: false,
+        unhealthy: false,
     };
     let all = [candidate("a", 2, 0), candidate("b", 1, 9), candidate("c", 3, 0)];
     assert_eq!(next_engines(&all, 3), ["b", "a"]);
@@ -33,11 +33,11 @@
         id: format!("e-{number}"),
         version: 1,
         time_left_ms: left_ms,
-        is_updating: false,
+        is_loading: false,
         may_be_ordered: true,
         failed_orders: 0,
         requests: 0,
-        doubtful: false,
+        unhealthy: false,
     };
     (0..count).map(engine).collect()
 }
@@ -52,7 +52,7 @@
     engines.extend(newer);
     // Six have three rounds, all have six.
     assert_eq!(max_concurrent_loads(&engines, 3), 3);
-    let dark = behind(9, 0).into_iter().map(|one| RolloutCandidate { doubtful: true, ..one });
+    let dark = behind(9, 0).into_iter().map(|one| RolloutCandidate { unhealthy: true, ..one });
     engines.extend(dark);
     assert_eq!(max_concurrent_loads(&engines, 3), 5, "27 / 5; the dark ones hurry nobody");
 }
@@ -71,15 +71,15 @@
 fn doubtful_stay_in_use() {
     let mut engines = behind(18, 10_000);
     for one in &mut engines {
-        one.doubtful = true;
+        one.unhealthy = true;
     }
     for _ in 0..18 {
         for id in next_engines(&engines, 2) {
             let begun = engines.iter_mut().find(|one| one.id == id).unwrap();
-            begun.is_updating = true;
+            begun.is_loading = true;
         }
     }
-    assert_eq!(engines.iter().filter(|one| one.is_updating).count(), 9, "half of them serve");
+    assert_eq!(engines.iter().filter(|one| one.is_loading).count(), 9, "half of them serve");
     let mut sound = behind(1, 10_000);
     sound[0].id = "sound".to_owned();
     engines.extend(sound);
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -29,7 +29,7 @@
 fn told(upstream: u32, requests: u32) -> LoadReport {
     let load =
         Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
-    LoadReport { upstream, load, heard_age_ms: 0 }
+    LoadReport { upstream, load, receive_age_ms: 0 }
 }
 
 fn gossip(loads: Vec<LoadReport>, fetch_tokens: u32) -> Gossip {
@@ -74,7 +74,7 @@
                 Step::Changes { host, loads } => {
                     let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
                     let changes =
-                        LoadChanges { incarnation: 1, loads: all.collect(), superseded: vec![], resting: vec![] };
+                        LoadChanges { incarnation: 1, loads: all.collect(), superseded: vec![], backoffs: vec![] };
                     peers.receive_load_changes(now_ms, address(host), &changes);
                     if let Some((at_ms, known)) = last.get_mut(&host) {
                         *at_ms = now_ms;
@@ -113,7 +113,7 @@
     let mut peers = peers();
     let loads = vec![told(1, 4)];
     let changes =
-        LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], resting: vec![] };
+        LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], backoffs: vec![] };
     peers.receive_load_changes(0, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "it has not introduced itself");
     peers.receive_gossip(0, address(1), gossip(Vec::new(), 0), ViewDigest::default());
@@ -132,5 +132,5 @@
     peers.receive_gossip(1000, address(1), gossip(vec![told(1, 1)], 0), ViewDigest::default());
     peers.expire(1000 + SILENT_MS);
     assert_eq!(peers.load(1), Load::default(), "the peer is silent");
-    assert_eq!(peers.heard_at_ms(1), 1000, "the upstream was heard all the same");
+    assert_eq!(peers.received_at_ms(1), 1000, "the upstream was heard all the same");
 }
