--- a/src/gateway/decisions/cache_contents.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -80,8 +80,8 @@
 /// What one engine or store is believed to keep.
 #[derive(Debug, Default)]
 pub struct CacheContents {
-    boot: u64,
-    next_change: u64,
+    boot_epoch: u64,
+    next_position: u64,
     known: bool,
     tokens_by_part: HashMap<PartKey, u32>,
     total_tokens: u64,
@@ -142,8 +142,8 @@
 
     /// Position from which to ask the holder for further changes.
     #[must_use]
-    pub fn next_change(&self) -> u64 {
-        self.next_change
+    pub fn next_position(&self) -> u64 {
+        self.next_position
     }
 
     /// Whether the contents are known.
@@ -166,11 +166,11 @@
 
     /// Applies changes from the holder. Returns true if some are missing and a listing is needed.
     pub fn apply_changes(&mut self, changes: &CacheChanges) -> bool {
-        if self.known && self.boot != changes.boot_epoch {
+        if self.known && self.boot_epoch != changes.boot_epoch {
             self.clear();
         }
-        self.boot = changes.boot_epoch;
-        self.next_change = changes.next_position;
+        self.boot_epoch = changes.boot_epoch;
+        self.next_position = changes.next_position;
         self.set_known(true);
         for change in &changes.changes {
             self.apply_change(change);
@@ -181,8 +181,8 @@
     /// Replaces the contents by a complete listing from the holder.
     pub fn apply_listing(&mut self, listing: &CacheListing) {
         self.clear();
-        self.boot = listing.boot_epoch;
-        self.next_change = listing.next_position;
+        self.boot_epoch = listing.boot_epoch;
+        self.next_position = listing.next_position;
         self.set_known(true);
         for held in &listing.complete {
             self.apply_change(held);
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -17,6 +17,7 @@
 pub struct Gossip {
     /// Start of the sender's process; a later start has a higher value.
     pub incarnation: u64,
+    /// Number of the data hall.
     pub hall: u32,
     /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
@@ -106,6 +107,7 @@
 /// Load of one box or hall on an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
+    /// Number of the upstream.
     pub upstream: u32,
     pub load: Load,
     /// Time since the sender last received bytes from the upstream, in milliseconds.
@@ -115,6 +117,7 @@
 /// A weight version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedVersionReport {
+    /// Number of the model.
     pub model: u32,
     pub version: u64,
     /// The version named directly before this one; 0 for none.
--- a/src/gateway/decisions/hall_summary.rs
+++ b/src/gateway/decisions/hall_summary.rs
@@ -11,6 +11,7 @@
 /// Summary of all boxes of one hall, sent to the bridges of the other halls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallSummary {
+    /// Number of the data hall.
     pub hall: u32,
     /// Load of the hall's requests on upstreams.
     pub loads: Vec<LoadReport>,
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -53,6 +53,7 @@
     pub number: u32,
     /// Address at which peers reach it.
     pub address: SocketAddr,
+    /// Number of the data hall.
     pub hall: u32,
     /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
--- a/src/gateway/decisions/rollout.rs
+++ b/src/gateway/decisions/rollout.rs
@@ -13,8 +13,8 @@
 const ENGINES_PER_URGENT_LOAD: usize = 2;
 /// Duration of one load, including the requests that finish before it and the report after it.
 const LOAD_DURATION_MS: u64 = 1400;
-/// Engines that get no new requests ahead of their load, so that their running requests finish
-/// meanwhile.
+/// Number of engines that already get no new requests while they wait for their load, so that
+/// their running requests finish meanwhile.
 const PREPARED_AHEAD: usize = 1;
 
 /// Number of engines that may load at once, chosen so that every engine has `version` before its
@@ -61,10 +61,9 @@
 pub fn next_engines(candidates: &[RolloutCandidate], version: u64) -> Vec<String> {
     // With two or more engines, at least one stays in service.
     let max_out_of_service = candidates.len().saturating_sub(1).max(1);
-    let max_updating =
+    let max_loading =
         (max_concurrent_loads(candidates, version) + PREPARED_AHEAD).min(max_out_of_service);
-    let updating =
-        candidates.iter().filter(|engine| engine.is_loading && !engine.unhealthy).count();
+    let loading = candidates.iter().filter(|engine| engine.is_loading && !engine.unhealthy).count();
     // An engine keeps getting requests until the leader may order it.
     let is_next = |engine: &&RolloutCandidate| {
         engine.version < version && !engine.is_loading && engine.may_be_ordered
@@ -72,12 +71,12 @@
     let mut behind: Vec<&RolloutCandidate> = candidates.iter().filter(is_next).collect();
     // Engines with the oldest version go first, because their time limit is the closest. Failed
     // orders count before the number of requests: an engine whose order failed has no requests,
-    // and would otherwise always go before those never ordered. When all orders were late, five
-    // of nine engines would get all of them until the others were past their limit.
+    // and would otherwise always go before those never ordered. If all orders come late, five of
+    // nine engines get all of them until the others are past their limit.
     behind.sort_by_key(|engine| {
         (engine.unhealthy, engine.version, engine.failed_orders, engine.requests, engine.id.clone())
     });
-    let remaining = max_updating.saturating_sub(updating);
+    let remaining = max_loading.saturating_sub(loading);
     // Limits how many unhealthy engines are taken out of service: if only this box cannot reach
     // them, other boxes still use them.
     let out_of_use = candidates.iter().filter(|engine| engine.is_loading).count();
--- a/src/gateway/decisions/weights.rs
+++ b/src/gateway/decisions/weights.rs
@@ -11,8 +11,8 @@
 
 /// Number of versions that are remembered.
 const MAX_VERSIONS: usize = 16;
-/// Part of the time limit by which a load may be late before all streams at the engine have to
-/// move away. An engine must not have old weights for one and a half times the limit, and the
+/// All streams have to move away from an engine whose load is late by the time limit divided by
+/// this number. An engine must not have old weights for one and a half times the limit, and the
 /// load itself takes a second.
 const LATE_LOAD_DIVISOR: u64 = 4;
 /// Stands for an unknown time; sorts before all known times.
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -143,7 +143,7 @@
         list(gateway, holder_id, address).await?;
         *known = true;
     }
-    let since = with_holder(&mut gateway.state(), holder_id, |holder| holder.next_change());
+    let since = with_holder(&mut gateway.state(), holder_id, |holder| holder.next_position());
     let Some(since) = since else {
         sleep(BUSY_PAUSE).await;
         return Ok(());
