--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -40,8 +40,8 @@
 /// Time for which a peer that did not answer is asked only if there is no other. Without it, all
 /// the time left could go into asking the same peer again.
 const UNANSWERED_BACKOFF_MS: u64 = 2000;
-/// Time for which to wait, after the first peer was heard, for the peers that it names and those
-/// that they name.
+/// Time after the first message from any peer within which its messages, and those of the peers
+/// that they list, have made the other boxes known.
 const DISCOVERY_MS: u64 = 200;
 /// Peers that are asked at once to renew a lease, since one may have stopped meanwhile.
 const DELEGATES_AT_ONCE: usize = 2;
@@ -262,7 +262,8 @@
         }
     }
 
-    /// Whether enough peers have been heard to tell the size of the fleet.
+    /// Whether the known peers show the size of the fleet: this box has no seeds, or the first peer
+    /// that it heard from has had time to make it known to the others.
     #[must_use]
     pub fn is_fleet_known(&self, now_ms: u64) -> bool {
         self.seeds.is_empty()
--- a/src/gateway/decisions/weights.rs
+++ b/src/gateway/decisions/weights.rs
@@ -110,7 +110,8 @@
     pub fn behind_since_ms(&self, version: u64) -> Option<u64> {
         let newer =
             self.versions.iter().map(|known| known.named).find(|named| named.version > version)?;
-        // Unless `newer` directly follows `version`, an unknown version may have been named between.
+        // Unless `newer` directly follows `version`, a version that this box does not know may
+        // have been named in between.
         let is_next = newer.previous <= version;
         Some(if is_next { newer.named_at_ms } else { UNKNOWN_TIME_MS })
     }
