--- a/src/gateway/decisions/budget.rs
+++ b/src/gateway/decisions/budget.rs
@@ -11,11 +11,11 @@
 
 /// Part of the budget that is spent at most; the rest covers boxes that do not
 /// know of each other, and windows that are counted otherwise.
-const USED_PART: f64 = 0.7;
+const USABLE_PART: f64 = 0.7;
 
 /// Terms of the budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct RetryBudgetConfig {
     /// Repeats earned by each request.
     pub ratio: f64,
     /// Window in which repeats are counted.
@@ -25,55 +25,55 @@
 }
 
 #[derive(Debug, Default)]
-struct Counts {
+struct WindowCounts {
     requests_at_ms: VecDeque<u64>,
-    repeats_at_ms: VecDeque<u64>,
+    retries_at_ms: VecDeque<u64>,
 }
 
 /// One box's share of the budget.
 #[derive(Debug)]
-pub struct Budget {
-    terms: Terms,
+pub struct RetryBudget {
+    config: RetryBudgetConfig,
     started_at_ms: u64,
-    by_service: HashMap<String, Counts>,
+    by_service: HashMap<String, WindowCounts>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts with nothing earned.
     #[must_use]
-    pub fn new(terms: Terms, started_at_ms: u64) -> Self {
-        Self { terms, started_at_ms, by_service: HashMap::new() }
+    pub fn new(config: RetryBudgetConfig, started_at_ms: u64) -> Self {
+        Self { config, started_at_ms, by_service: HashMap::new() }
     }
 
     /// Counts a request to a service.
-    pub fn earn(&mut self, now_ms: u64, service: &str) {
+    pub fn record_request(&mut self, now_ms: u64, service: &str) {
         let counts = self.counts(now_ms, service);
         counts.requests_at_ms.push_back(now_ms);
     }
 
     /// Takes one repeat; false when the share of one of `boxes` is spent.
-    pub fn spend(&mut self, now_ms: u64, service: &str, boxes: usize) -> bool {
-        let age_ms = now_ms.saturating_sub(self.started_at_ms).min(self.terms.window_ms);
-        let grown = as_f64(age_ms) / as_f64(self.terms.window_ms.max(1));
-        let extra = self.terms.extra * grown / as_f64(boxes.max(1) as u64);
-        let ratio = self.terms.ratio;
+    pub fn try_spend(&mut self, now_ms: u64, service: &str, boxes: usize) -> bool {
+        let age_ms = now_ms.saturating_sub(self.started_at_ms).min(self.config.window_ms);
+        let grown = as_f64(age_ms) / as_f64(self.config.window_ms.max(1));
+        let extra = self.config.extra * grown / as_f64(boxes.max(1) as u64);
+        let ratio = self.config.ratio;
         let counts = self.counts(now_ms, service);
         let earned = ratio * as_f64(counts.requests_at_ms.len() as u64);
-        let spent = as_f64(counts.repeats_at_ms.len() as u64);
-        if spent + 1.0 > USED_PART * (earned + extra) {
+        let spent = as_f64(counts.retries_at_ms.len() as u64);
+        if spent + 1.0 > USABLE_PART * (earned + extra) {
             return false;
         }
-        counts.repeats_at_ms.push_back(now_ms);
+        counts.retries_at_ms.push_back(now_ms);
         true
     }
 
-    fn counts(&mut self, now_ms: u64, service: &str) -> &mut Counts {
-        let from_ms = now_ms.saturating_sub(self.terms.window_ms);
+    fn counts(&mut self, now_ms: u64, service: &str) -> &mut WindowCounts {
+        let from_ms = now_ms.saturating_sub(self.config.window_ms);
         if !self.by_service.contains_key(service) {
-            self.by_service.insert(service.to_owned(), Counts::default());
+            self.by_service.insert(service.to_owned(), WindowCounts::default());
         }
         let counts = self.by_service.get_mut(service).expect("it was inserted above");
-        for times in [&mut counts.requests_at_ms, &mut counts.repeats_at_ms] {
+        for times in [&mut counts.requests_at_ms, &mut counts.retries_at_ms] {
             while times.front().is_some_and(|at_ms| *at_ms < from_ms) {
                 times.pop_front();
             }
--- a/src/gateway/decisions/urgency.rs
+++ b/src/gateway/decisions/urgency.rs
@@ -13,38 +13,38 @@
 const WINDOW_MS: u64 = 10_000;
 /// Steps by which a request that cannot meet its objective is put back: more than
 /// there are ranks of routes, so that all those go before that can.
-const LATE_STEPS: u8 = 4;
+const LATE_RANK_PENALTY: u8 = 4;
 /// Least urgent rank of work at engines.
-const LEAST_URGENT: u8 = 9;
+const LOWEST_RANK: u8 = 9;
 
 /// Longest time limits of two windows.
 #[derive(Clone, Copy, Debug, Default)]
-struct Longest {
+struct LongestTimeout {
     window: u64,
-    now_ms: u64,
-    before_ms: u64,
+    current_ms: u64,
+    previous_ms: u64,
 }
 
 /// The time that clients give on each route when they first ask.
 #[derive(Debug, Default)]
-pub struct UsualLimits {
-    by_route: HashMap<String, Longest>,
+pub struct RouteTimeouts {
+    by_route: HashMap<String, LongestTimeout>,
 }
 
-impl UsualLimits {
+impl RouteTimeouts {
     /// Takes the time that a client gives; returns how much of its time it has used
     /// up before.
-    pub fn waited_ms(&mut self, now_ms: u64, route: &str, limit_ms: u64) -> u64 {
+    pub fn elapsed_ms(&mut self, now_ms: u64, route: &str, timeout_ms: u64) -> u64 {
         let longest = self.by_route.entry(route.to_owned()).or_default();
         let window = now_ms / WINDOW_MS;
         if window != longest.window {
             let follows = window == longest.window + 1;
-            longest.before_ms = if follows { longest.now_ms } else { 0 };
-            longest.now_ms = 0;
+            longest.previous_ms = if follows { longest.current_ms } else { 0 };
+            longest.current_ms = 0;
             longest.window = window;
         }
-        longest.now_ms = longest.now_ms.max(limit_ms);
-        longest.now_ms.max(longest.before_ms) - limit_ms
+        longest.current_ms = longest.current_ms.max(timeout_ms);
+        longest.current_ms.max(longest.previous_ms) - timeout_ms
     }
 
     /// Keeps only routes for which `keep` is true.
@@ -59,6 +59,6 @@
     if expected_at_ms <= objective_at_ms {
         priority
     } else {
-        priority.saturating_add(LATE_STEPS).min(LEAST_URGENT)
+        priority.saturating_add(LATE_RANK_PENALTY).min(LOWEST_RANK)
     }
 }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -11,14 +11,14 @@
 use crate::gateway::claims::ClaimRecord;
 use crate::gateway::connections::Connections;
 use crate::gateway::decisions::admission::AdmissionLimits;
-use crate::gateway::decisions::budget::{self, Budget};
+use crate::gateway::decisions::budget::{self, RetryBudget};
 use crate::gateway::decisions::claims::LeaderTerms;
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
 use crate::gateway::decisions::peers::{LocalBox, Peers};
 use crate::gateway::decisions::site::Site;
 use crate::gateway::decisions::stores::Stores;
 use crate::gateway::decisions::upstreams::Upstreams;
-use crate::gateway::decisions::urgency::UsualLimits;
+use crate::gateway::decisions::urgency::RouteTimeouts;
 use crate::gateway::decisions::view::MetadataView;
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::follow;
@@ -54,11 +54,11 @@
     pub upstreams: Upstreams,
     pub stores: Stores,
     /// Time limits that clients usually send, by route.
-    pub usual_limits: UsualLimits,
+    pub usual_limits: RouteTimeouts,
     /// Limits on the load of engines, learned per service.
     pub limits: AdmissionLimits,
     /// Retry budgets, by service.
-    pub budget: Budget,
+    pub budget: RetryBudget,
     /// Requests that crashed upstreams.
     pub quarantine: Quarantine,
     /// The other boxes of the fleet.
@@ -229,7 +229,7 @@
     /// Fails when an HTTP client cannot be created.
     pub fn new(settings: Settings) -> Result<Arc<Self>> {
         let bounds = &settings.bounds;
-        let terms = budget::Terms {
+        let terms = budget::RetryBudgetConfig {
             ratio: bounds.retry_ratio,
             window_ms: bounds.retry_window_ms,
             extra: bounds.retry_extra,
@@ -241,9 +241,9 @@
             weights: HashMap::new(),
             upstreams: Upstreams::default(),
             stores: Stores::default(),
-            usual_limits: UsualLimits::default(),
+            usual_limits: RouteTimeouts::default(),
             limits: AdmissionLimits::default(),
-            budget: Budget::new(terms, now_ms()),
+            budget: RetryBudget::new(terms, now_ms()),
             quarantine: Quarantine::default(),
             peers: Peers::new(own(&settings), &settings.seeds),
             follows_metadata: true,
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -78,7 +78,7 @@
             return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
     };
-    gateway.state().budget.earn(arrived_at_ms, &request.service);
+    gateway.state().budget.record_request(arrived_at_ms, &request.service);
     let mut response = run_attempts(&gateway, request).await;
     // The request stays in flight until its response body has been sent.
     let body = std::mem::replace(response.body_mut(), response::full_body(Bytes::new()));
@@ -261,7 +261,7 @@
         return false;
     }
     let boxes = state.peers.live_boxes(now_ms);
-    state.budget.spend(now_ms, &request.service, boxes)
+    state.budget.try_spend(now_ms, &request.service, boxes)
 }
 
 /// Forwards an upstream's response; `None` if the request is to be sent again.
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use coursestile::gateway::decisions::admission::AdmissionCriteria;
-use coursestile::gateway::decisions::budget::{Budget, Terms};
+use coursestile::gateway::decisions::budget::{RetryBudget, RetryBudgetConfig};
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::cache_reports::{CacheChange, CacheListing, CachedPart};
 use coursestile::gateway::decisions::candidates::Candidates;
@@ -75,17 +75,17 @@
 
 #[test]
 fn budget_share() {
-    let terms = Terms { ratio: 0.2, window_ms: 10_000, extra: 54.0 };
-    let mut budget = Budget::new(terms, 0);
-    assert!(!budget.spend(0, "s", 9), "a new process has nothing of the extra");
+    let terms = RetryBudgetConfig { ratio: 0.2, window_ms: 10_000, extra: 54.0 };
+    let mut budget = RetryBudget::new(terms, 0);
+    assert!(!budget.try_spend(0, "s", 9), "a new process has nothing of the extra");
     for at_ms in 0..200 {
-        budget.earn(20_000 + at_ms, "s");
+        budget.record_request(20_000 + at_ms, "s");
     }
-    let spent = (0..100).filter(|_| budget.spend(20_300, "s", 9)).count();
+    let spent = (0..100).filter(|_| budget.try_spend(20_300, "s", 9)).count();
     // 0.7 of 0.2 x 200 + 54 / 9.
     assert_eq!(spent, 32);
-    assert!(!budget.spend(20_400, "s", 9));
-    assert!(budget.spend(31_000, "s", 9), "the window has passed");
+    assert!(!budget.try_spend(20_400, "s", 9));
+    assert!(budget.try_spend(31_000, "s", 9), "the window has passed");
 }
 
 #[test]
--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::scene;
-use coursestile::gateway::decisions::urgency::{UsualLimits, rank};
+use coursestile::gateway::decisions::urgency::{RouteTimeouts, rank};
 use coursestile_standins::site::client::request;
 use rstest::rstest;
 
@@ -12,28 +12,28 @@
 
 #[test]
 fn waits_from_limits() {
-    let mut limits = UsualLimits::default();
-    assert_eq!(limits.waited_ms(100, ROUTE, 2500), 0, "nothing longer was seen");
-    assert_eq!(limits.waited_ms(200, ROUTE, 4000), 0);
-    assert_eq!(limits.waited_ms(300, ROUTE, 2500), 1500);
-    assert_eq!(limits.waited_ms(300, "questions", 2500), 0, "each route has its own");
+    let mut limits = RouteTimeouts::default();
+    assert_eq!(limits.elapsed_ms(100, ROUTE, 2500), 0, "nothing longer was seen");
+    assert_eq!(limits.elapsed_ms(200, ROUTE, 4000), 0);
+    assert_eq!(limits.elapsed_ms(300, ROUTE, 2500), 1500);
+    assert_eq!(limits.elapsed_ms(300, "questions", 2500), 0, "each route has its own");
 }
 
 #[test]
 fn limits_lowered() {
-    let mut limits = UsualLimits::default();
-    limits.waited_ms(9_000, ROUTE, 12_000);
-    assert_eq!(limits.waited_ms(15_000, ROUTE, 4000), 8000);
-    assert_eq!(limits.waited_ms(25_000, ROUTE, 4000), 0, "the longer limit is forgotten");
-    assert_eq!(limits.waited_ms(26_000, ROUTE, 4000), 0);
+    let mut limits = RouteTimeouts::default();
+    limits.elapsed_ms(9_000, ROUTE, 12_000);
+    assert_eq!(limits.elapsed_ms(15_000, ROUTE, 4000), 8000);
+    assert_eq!(limits.elapsed_ms(25_000, ROUTE, 4000), 0, "the longer limit is forgotten");
+    assert_eq!(limits.elapsed_ms(26_000, ROUTE, 4000), 0);
 }
 
 #[test]
 fn routes_dropped() {
-    let mut limits = UsualLimits::default();
-    limits.waited_ms(100, ROUTE, 4000);
+    let mut limits = RouteTimeouts::default();
+    limits.elapsed_ms(100, ROUTE, 4000);
     limits.retain(|route| route != ROUTE);
-    assert_eq!(limits.waited_ms(200, ROUTE, 2500), 0);
+    assert_eq!(limits.elapsed_ms(200, ROUTE, 2500), 0);
 }
 
 #[rstest]
