--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -10,12 +10,12 @@
 use coursestile::gateway::decisions::cache_reports::{CacheChange, CacheListing, CachedPart};
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
+use coursestile::gateway::decisions::configuration::{EngineSpec, Store};
 use coursestile::gateway::decisions::context::scope;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::gossip_message::{Gossip, LoadChanges, LoadReport};
 use coursestile::gateway::decisions::peers::{Audience, GossipScope, LocalBox, Peers};
 use coursestile::gateway::decisions::prompt::Prompt;
-use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::{Load, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
@@ -151,7 +151,7 @@
     let engine = EngineSpec {
         slots: 24,
         memory_tokens: 40_097,
-        token_bytes: 18_432,
+        bytes_per_token: 18_432,
         link_mbps: 130_000.0,
         per_part_sources: true,
     };
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -14,7 +14,7 @@
 use crate::gateway::connections::{Connection, SendError, send};
 use crate::gateway::crashes;
 use crate::gateway::decisions::choose::Choice;
-use crate::gateway::decisions::site::Repeat;
+use crate::gateway::decisions::configuration::RetryPolicy;
 use crate::gateway::decisions::units::whole_ms;
 use crate::gateway::decisions::urgency;
 use crate::gateway::heads::{ForwardHead, ResponseHead};
@@ -45,7 +45,7 @@
     /// Scheduling priority at engines; lower values run first.
     pub priority: u8,
     /// Whether the request may run more than once.
-    pub repeat: Repeat,
+    pub repeat: RetryPolicy,
     /// When the request is given up.
     pub deadline_ms: u64,
     /// When the response, or its first event, is due.
--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -11,9 +11,9 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::gateway::attempt::OutgoingRequest;
+use crate::gateway::decisions::configuration::{Account, Configuration, Route};
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
-use crate::gateway::decisions::site::{Account, Route, Site};
 use crate::gateway::heads::RequestHead;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::response::Reason;
@@ -120,7 +120,7 @@
             body,
             account: account.map(|account| account.name),
             priority,
-            repeat: route.repeat,
+            repeat: route.retry_policy,
             deadline_ms: arrived_at_ms + timeout_ms.min(route.timeout_ms),
             objective_at_ms,
         },
@@ -130,7 +130,7 @@
 
 /// The configuration in force. A box that has just started waits for it briefly, since fetching it
 /// takes a few round trips.
-async fn wait_for_configuration(gateway: &Gateway) -> Option<Arc<Site>> {
+async fn wait_for_configuration(gateway: &Gateway) -> Option<Arc<Configuration>> {
     let known = gateway.state().site.clone();
     if known.is_some() {
         return known;
@@ -156,18 +156,18 @@
 }
 
 fn authenticate<'a>(
-    site: &'a Site,
+    site: &'a Configuration,
     route: &Route,
     head: &RequestHead,
 ) -> Result<Option<&'a Account>, Reason> {
     let account = head.api_key.as_deref().and_then(|key| site.account(key));
-    if account.is_none() && site.asks_for_keys() && !route.public {
+    if account.is_none() && site.requires_keys() && !route.public {
         return Err(Reason::UnknownKey);
     }
     Ok(account)
 }
 
-async fn read_body(site: &Site, body: Incoming) -> Result<Bytes, Reason> {
+async fn read_body(site: &Configuration, body: Incoming) -> Result<Bytes, Reason> {
     let limited = Limited::new(body, site.limits.max_body_bytes);
     match timeout(BODY_TIMEOUT, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -7,11 +7,11 @@
 
 use crate::gateway::decisions::admission::{Capacity, Occupancy, occupancy};
 use crate::gateway::decisions::candidates::{CandidateSampler, Candidates};
+use crate::gateway::decisions::configuration::EngineSpec;
 use crate::gateway::decisions::context::ContextPlan;
 use crate::gateway::decisions::demand::Demand;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::prompt::Prompt;
-use crate::gateway::decisions::site::EngineSpec;
 use crate::gateway::decisions::sources::{Lookup, RECOMPUTE_WEIGHT};
 use crate::gateway::decisions::stores::Stores;
 use crate::gateway::decisions::units::PREFILL_TOKENS_PER_MS;
--- a/src/gateway/decisions/site.rs
+++ b/src/gateway/decisions/configuration.rs
@@ -1,13 +1,13 @@
 //! What operators have configured: routes, services, stores and accounts.
 //!
-//! A [`Site`] is one version of it, whole. Only newer versions replace it.
+//! A [`Configuration`] is one version of it, whole. Only newer versions replace it.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
-pub struct Site {
+pub struct Configuration {
     /// Version; rises by uneven steps.
     pub version: u64,
     /// Routes.
@@ -32,17 +32,17 @@
     /// Host that it serves, in lower case.
     pub host: String,
     /// Start of the paths that it serves; ends with a slash.
-    pub prefix: String,
+    pub path_prefix: String,
     /// Services, with their parts of the requests.
     pub targets: Vec<Target>,
     /// Whether a request may run again.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Longest time that a request may be held.
     pub timeout_ms: u64,
     /// Time within which an answer, or its first event, is wanted.
     pub latency_objective_ms: u64,
     /// Most upstreams that a request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Order of work, 0 first.
     pub priority: u8,
     /// Whether it takes requests without a key.
@@ -60,7 +60,7 @@
 
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run any number of times.
     Repeatable,
     /// It runs at most once.
@@ -71,7 +71,7 @@
     StreamResumable,
 }
 
-impl Repeat {
+impl RetryPolicy {
     /// Whether the answer is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
@@ -80,7 +80,7 @@
 
     /// Whether a request that may have run can be sent again.
     #[must_use]
-    pub fn may_run_again(self) -> bool {
+    pub fn may_retry(self) -> bool {
         matches!(self, Self::Repeatable | Self::StreamResumable)
     }
 }
@@ -102,7 +102,7 @@
     /// Tokens that fit its memory, of running requests and kept; 0 if not told.
     pub memory_tokens: u64,
     /// Size of kept context, in bytes a token.
-    pub token_bytes: u64,
+    pub bytes_per_token: u64,
     /// Rate of its link for context.
     pub link_mbps: f64,
     /// Whether a source may be named for each part of a prompt.
@@ -165,7 +165,7 @@
     pub isolated: bool,
 }
 
-impl Site {
+impl Configuration {
     /// Prepares the look-ups of a version.
     #[must_use]
     pub fn indexed(mut self) -> Self {
@@ -173,7 +173,7 @@
             self.by_host.entry(route.host.clone()).or_default().push(index);
         }
         for routes in self.by_host.values_mut() {
-            routes.sort_by_key(|index| std::cmp::Reverse(self.routes[*index].prefix.len()));
+            routes.sort_by_key(|index| std::cmp::Reverse(self.routes[*index].path_prefix.len()));
         }
         for (index, account) in self.accounts.iter().enumerate() {
             for key in &account.keys {
@@ -187,7 +187,7 @@
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(host)?.iter().map(|index| &self.routes[*index]);
-        routes.into_iter().find(|route| path.starts_with(&route.prefix))
+        routes.into_iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
     /// Whether there is a route of this name.
@@ -214,7 +214,7 @@
 
     /// Whether requests need a key at all.
     #[must_use]
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         !self.accounts.is_empty()
     }
 }
--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -7,7 +7,7 @@
 //! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
 //! - Which weights engines get, and when old context may go: `rollout`, `weights`, `orders`,
 //!   `claims`, `release`.
-//! - What is known, from whom: `view`, `peers`, `site`, `gossip_message`, `hall_summary`.
+//! - What is known, from whom: `view`, `peers`, `configuration`, `gossip_message`, `hall_summary`.
 //! - Units that all share: `units`.
 
 pub mod admission;
@@ -17,6 +17,7 @@
 pub mod candidates;
 pub mod choose;
 pub mod claims;
+pub mod configuration;
 pub mod context;
 pub mod demand;
 pub mod gossip_message;
@@ -28,7 +29,6 @@
 pub mod prompt;
 pub mod release;
 pub mod rollout;
-pub mod site;
 pub mod sources;
 pub mod stores;
 pub mod units;
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -7,12 +7,12 @@
 //! store.
 
 use crate::gateway::decisions::cache_contents::PartKey;
+use crate::gateway::decisions::configuration::{EngineSpec, Store};
 use crate::gateway::decisions::context::{
     ContextPlan, OLD_CONTEXT_READ_MS, PartSource, Save, scope,
 };
 use crate::gateway::decisions::demand::Demand;
 use crate::gateway::decisions::prompt::Prompt;
-use crate::gateway::decisions::site::{EngineSpec, Store};
 use crate::gateway::decisions::stores::{StoreState, Stores};
 use crate::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, as_f64};
 use crate::gateway::decisions::upstream::Upstream;
@@ -290,8 +290,9 @@
 /// Time that tokens take over a link.
 #[must_use]
 pub fn bytes_ms(tokens: u32, engine: &EngineSpec, link_mbps: f64) -> f64 {
-    let bits =
-        f64::from(tokens) * f64::from(u32::try_from(engine.token_bytes).unwrap_or(u32::MAX)) * 8.0;
+    let bits = f64::from(tokens)
+        * f64::from(u32::try_from(engine.bytes_per_token).unwrap_or(u32::MAX))
+        * 8.0;
     bits / (link_mbps.max(1.0) * 1000.0)
 }
 
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use crate::gateway::decisions::cache_contents::{CacheContents, PartKey};
-use crate::gateway::decisions::site::Store;
+use crate::gateway::decisions::configuration::Store;
 use crate::gateway::decisions::units::as_f64;
 use crate::names::number;
 
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -13,9 +13,9 @@
 use crate::gateway::decisions::admission::AdmissionLimits;
 use crate::gateway::decisions::budget::{self, RetryBudget};
 use crate::gateway::decisions::claims::LeaderTerms;
+use crate::gateway::decisions::configuration::Configuration;
 use crate::gateway::decisions::gossip_message::MetadataStoreStatus;
 use crate::gateway::decisions::peers::{LocalBox, Peers};
-use crate::gateway::decisions::site::Site;
 use crate::gateway::decisions::stores::Stores;
 use crate::gateway::decisions::upstreams::Upstreams;
 use crate::gateway::decisions::urgency::RouteTimeouts;
@@ -47,7 +47,7 @@
     /// Items of the metadata store, as this box knows them.
     pub view: MetadataView,
     /// The configuration in force; `None` until the first one arrives.
-    pub site: Option<Arc<Site>>,
+    pub site: Option<Arc<Configuration>>,
     /// Target weight versions set by operators, by model.
     pub weights: HashMap<String, NamedVersions>,
     /// Upstreams of all services, by id.
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::gateway::connections::set_socket_options;
-use crate::gateway::decisions::site::ClientLimits;
+use crate::gateway::decisions::configuration::ClientLimits;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::serve::serve;
 use crate::metering;
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -15,8 +15,8 @@
 use crate::gateway::decisions::admission::{AdmissionCriteria, Occupancy};
 use crate::gateway::decisions::candidates::Candidates;
 use crate::gateway::decisions::choose::{Choice, choose};
+use crate::gateway::decisions::configuration::RetryPolicy;
 use crate::gateway::decisions::demand::Demand;
-use crate::gateway::decisions::site::Repeat;
 use crate::gateway::decisions::stores::Placement;
 use crate::gateway::decisions::upstream::Upstream;
 use crate::gateway::decisions::weights::NamedVersions;
@@ -244,9 +244,9 @@
 
 /// Whether the request may be sent to another upstream, leaving the retry budget aside.
 pub(super) fn is_retry_allowed(request: &AdmittedRequest, now_ms: u64) -> bool {
-    let allowed = !request.may_have_run || request.outgoing.repeat.may_run_again();
+    let allowed = !request.may_have_run || request.outgoing.repeat.may_retry();
     let time_left = now_ms + MIN_RETRY_TIME_MS < request.outgoing.deadline_ms;
-    allowed && request.attempts_made < request.route.attempts && time_left
+    allowed && request.attempts_made < request.route.max_attempts && time_left
 }
 
 /// Takes one retry from the budget. A quarantined request gets none, since it would crash another
@@ -309,7 +309,7 @@
     choice: &Choice,
     status: StatusCode,
 ) -> bool {
-    if request.outgoing.repeat != Repeat::Repeatable {
+    if request.outgoing.repeat != RetryPolicy::Repeatable {
         return false;
     }
     request.record_attempt(&choice.upstream);
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -45,7 +45,7 @@
     request: &AdmittedRequest,
     current: &Choice,
 ) -> Choice {
-    if !request.outgoing.repeat.may_run_again() {
+    if !request.outgoing.repeat.may_retry() {
         return pending().await;
     }
     loop {
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -6,8 +6,8 @@
 
 use serde::Deserialize;
 
-use crate::gateway::decisions::site::{
-    Account, ClientLimits, EngineSpec, Repeat, Route, Service, Site, Store, Target,
+use crate::gateway::decisions::configuration::{
+    Account, ClientLimits, Configuration, EngineSpec, RetryPolicy, Route, Service, Store, Target,
 };
 
 /// Time-out of requests on a route without one.
@@ -130,9 +130,9 @@
 }
 
 /// Decodes the configuration.
-pub(super) fn site(bytes: &[u8]) -> serde_json::Result<Site> {
+pub(super) fn site(bytes: &[u8]) -> serde_json::Result<Configuration> {
     let document: Document = serde_json::from_slice(bytes)?;
-    let mut site = Site::default();
+    let mut site = Configuration::default();
     site.version = document.version;
     site.routes = document.routes.into_iter().map(route).collect();
     site.limits = document.limits.as_ref().map(limits).unwrap_or_default();
@@ -166,17 +166,17 @@
     Route {
         name: route.name,
         host: route.host.to_ascii_lowercase(),
-        prefix: route.path_prefix,
+        path_prefix: route.path_prefix,
         targets,
-        repeat: match (route.kind, route.resumable) {
-            (DocumentKind::Safe, _) => Repeat::Repeatable,
-            (DocumentKind::Unsafe, _) => Repeat::Once,
-            (DocumentKind::Streaming, false) => Repeat::StreamOnce,
-            (DocumentKind::Streaming, true) => Repeat::StreamResumable,
+        retry_policy: match (route.kind, route.resumable) {
+            (DocumentKind::Safe, _) => RetryPolicy::Repeatable,
+            (DocumentKind::Unsafe, _) => RetryPolicy::Once,
+            (DocumentKind::Streaming, false) => RetryPolicy::StreamOnce,
+            (DocumentKind::Streaming, true) => RetryPolicy::StreamResumable,
         },
         timeout_ms: route.timeout_ms.map_or(DEFAULT_TIMEOUT_MS, rounded_ms),
         latency_objective_ms: route.slo_ms.map_or(DEFAULT_LATENCY_OBJECTIVE_MS, rounded_ms),
-        attempts: route.max_attempts.max(1),
+        max_attempts: route.max_attempts.max(1),
         priority: route.priority,
         public: route.public,
     }
@@ -198,7 +198,7 @@
     EngineSpec {
         slots: engine.slots,
         memory_tokens: engine.kv_capacity,
-        token_bytes: u64::from(rounded(engine.kv_token_bytes)),
+        bytes_per_token: u64::from(rounded(engine.kv_token_bytes)),
         link_mbps: engine.link_mbps,
         per_part_sources: engine.managed,
     }
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -1,7 +1,7 @@
 //! Keys of the metadata store, and the decoding of their values.
 
 use crate::error::{Error, Result};
-use crate::gateway::decisions::site::Site;
+use crate::gateway::decisions::configuration::Configuration;
 use crate::gateway::decisions::upstream::UpstreamEntry;
 use crate::platform::{document, entry};
 
@@ -99,7 +99,7 @@
 ///
 /// # Errors
 /// Fails with the key and the position of the error.
-pub fn read_site(bytes: &[u8]) -> Result<Site> {
+pub fn read_site(bytes: &[u8]) -> Result<Configuration> {
     document::site(bytes).map_err(|error| decode_error(CONFIGURATION, &error))
 }
 
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -7,10 +7,10 @@
 use coursestile::gateway::decisions::cache_reports::CacheListing;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::{Choice, choose};
+use coursestile::gateway::decisions::configuration::{EngineSpec, Store};
 use coursestile::gateway::decisions::context::PartSource;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::prompt::Prompt;
-use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::UpstreamEntry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
@@ -75,7 +75,7 @@
     let engine = EngineSpec {
         slots: 24,
         memory_tokens: 40_000,
-        token_bytes: 18_432,
+        bytes_per_token: 18_432,
         link_mbps: 130_000.0,
         per_part_sources: true,
     };
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -8,9 +8,9 @@
 use coursestile::gateway::decisions::admission::AdmissionCriteria;
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
+use coursestile::gateway::decisions::configuration::EngineSpec;
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::prompt::Prompt;
-use coursestile::gateway::decisions::site::EngineSpec;
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, whole_ms};
 use coursestile::gateway::decisions::upstream::{Load, UpstreamEntry};
@@ -177,7 +177,7 @@
     let engine = EngineSpec {
         slots: 24,
         memory_tokens: 40_000,
-        token_bytes: 18_432,
+        bytes_per_token: 18_432,
         link_mbps: 130_000.0,
         per_part_sources: true,
     };
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -9,11 +9,11 @@
 use coursestile::gateway::decisions::cache_reports::{CacheChange, CacheListing, CachedPart};
 use coursestile::gateway::decisions::candidates::Candidates;
 use coursestile::gateway::decisions::choose::choose;
+use coursestile::gateway::decisions::configuration::{EngineSpec, Store};
 use coursestile::gateway::decisions::context::{scope_model, scope_version};
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::incarnation::Incarnation;
 use coursestile::gateway::decisions::prompt::Prompt;
-use coursestile::gateway::decisions::site::{EngineSpec, Store};
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use coursestile::gateway::decisions::upstream::UpstreamEntry;
 use coursestile::gateway::decisions::upstreams::Upstreams;
@@ -43,7 +43,7 @@
     EngineSpec {
         slots: 4,
         memory_tokens: 40_000,
-        token_bytes: 18_432,
+        bytes_per_token: 18_432,
         link_mbps: 100_000.0,
         per_part_sources: true,
     }
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -6,7 +6,7 @@
 use coursestile::gateway::decisions::cache_reports::{
     CacheChange, CacheChanges, CacheListing, CachedPart,
 };
-use coursestile::gateway::decisions::site::Store;
+use coursestile::gateway::decisions::configuration::Store;
 use coursestile::gateway::decisions::stores::{Placement, Stores};
 use proptest::prelude::*;
 
