--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -178,11 +178,11 @@
         isolated_account: None,
         weights: None,
         weights_apply_ms: 12_000,
-        bars_overdue: true,
+        excludes_overdue: true,
         placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed },
         tried: &[],
-        max_requests: 100,
+        max_requests_per_upstream: 100,
         admission: AdmissionCriteria {
             higher_priority_ranks: 1,
             objective_ms: 500,
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -59,7 +59,7 @@
         if last_event_id.is_some() {
             return self.priority;
         }
-        let expected_at_ms = now_ms + whole_ms(choice.expected_ms);
+        let expected_at_ms = now_ms + whole_ms(choice.expected_first_token_ms);
         let rank = urgency::rank(self.priority, expected_at_ms, self.objective_at_ms);
         if rank != self.priority {
             info!(target: "serve",
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -53,7 +53,7 @@
 const SPREAD_MS: f64 = 5.0;
 /// Expected wait for an engine below which a late first token speaks against the
 /// store that sent a part: less than the usual fetch from a large store.
-const CALM_WAIT_MS: f64 = 20.0;
+const NEGLIGIBLE_WAIT_MS: f64 = 20.0;
 
 /// A choice.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,9 +63,9 @@
     /// What it is told about kept context.
     pub context: Option<ContextPlan>,
     /// Expected time to the first token.
-    pub expected_ms: f64,
+    pub expected_first_token_ms: f64,
     /// Whether nothing but fetches should keep the first token waiting.
-    pub calm: bool,
+    pub engine_wait_negligible: bool,
     /// Room that there is for it.
     pub occupancy: Occupancy,
     /// Until when the first token is wanted, if that can be met still.
@@ -102,7 +102,10 @@
 /// Whether a request may be sent to an upstream at all.
 fn is_usable(now_ms: u64, upstream: &Upstream, demand: &Demand<'_>) -> bool {
     let tried = demand.tried.iter().any(|one| upstream.is_run(one));
-    if tried || upstream.own_load.requests >= demand.max_requests || upstream.is_loading(now_ms) {
+    if tried
+        || upstream.own_load.requests >= demand.max_requests_per_upstream
+        || upstream.is_loading(now_ms)
+    {
         return false;
     }
     if upstream.rests_until_ms(now_ms).is_some() {
@@ -110,7 +113,7 @@
     }
     // A request must not begin on such weights, also where no other engine is left.
     let version = demand.prompt.map_or(0, |prompt| upstream.weight_version(&prompt.model));
-    !(demand.bars_overdue && demand.is_overdue(now_ms, version))
+    !(demand.excludes_overdue && demand.is_overdue(now_ms, version))
 }
 
 /// The best of some upstreams.
@@ -131,8 +134,8 @@
         Choice {
             upstream: self.upstream.incarnation(),
             context: self.context,
-            expected_ms: self.expected.first_token_ms,
-            calm: self.expected.wait_ms < CALM_WAIT_MS,
+            expected_first_token_ms: self.expected.first_token_ms,
+            engine_wait_negligible: self.expected.wait_ms < NEGLIGIBLE_WAIT_MS,
             occupancy: self.expected.occupancy,
             objective_at_ms: demand
                 .prompt
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -9,11 +9,11 @@
 
 /// Time by which a request may begin after it was sent, whatever is expected: an engine short
 /// of memory began with one 1.1 s later, 83 ms after its weights should have been gone.
-const BEGIN_MS: u64 = 1500;
+const START_DELAY_MS: u64 = 1500;
 
 /// Latency objectives by which it may begin: where they are long, queues are. On an engine pool
 /// with one of 1.2 s a request began 1.76 s after it was sent.
-const BEGIN_OBJECTIVES: u64 = 2;
+const START_DELAY_OBJECTIVES: u64 = 2;
 
 /// What a request asks of an upstream.
 pub struct Demand<'a> {
@@ -32,7 +32,7 @@
     /// Time in which a named version must be everywhere.
     pub weights_apply_ms: u64,
     /// Whether overdue weights are out of the question, not only the last resort.
-    pub bars_overdue: bool,
+    pub excludes_overdue: bool,
     /// How the store that takes a part is chosen.
     pub placement: Placement<'a>,
     /// Which upstreams are looked at.
@@ -40,7 +40,7 @@
     /// Upstreams that were tried already.
     pub tried: &'a [Incarnation],
     /// Most requests that this box may have at one upstream.
-    pub max_requests: u32,
+    pub max_requests_per_upstream: u32,
     /// What decides whether an engine has room for it.
     pub admission: AdmissionCriteria,
     /// Until when the first token is wanted.
@@ -59,7 +59,8 @@
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64, version: u64) -> bool {
         let since_ms = self.behind_since_ms(version).filter(|_| version > 0);
-        let begins_by_ms = now_ms + BEGIN_MS.max(self.admission.objective_ms * BEGIN_OBJECTIVES);
+        let begins_by_ms =
+            now_ms + START_DELAY_MS.max(self.admission.objective_ms * START_DELAY_OBJECTIVES);
         since_ms.is_some_and(|since_ms| begins_by_ms >= since_ms + self.weights_apply_ms)
     }
 }
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -85,8 +85,11 @@
                 of_service.filter(|one| one.holder.tokens(key) > 0).collect();
             let kept = !engines.is_empty() || stores.has_part(key);
             let common = place == 0 && shared.len() > 1;
-            let placement =
-                if common { demand.placement.of_common(demand.hall) } else { demand.placement };
+            let placement = if common {
+                demand.placement.for_common_part(demand.hall)
+            } else {
+                demand.placement
+            };
             Found {
                 key,
                 tokens: part.tokens,
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -46,7 +46,7 @@
 impl<'a> Placement<'a> {
     /// How the store of a part that most requests share is chosen, for boxes of a hall.
     #[must_use]
-    pub fn of_common(self, hall: &'a str) -> Self {
+    pub fn for_common_part(self, hall: &'a str) -> Self {
         match self {
             Self::RendezvousHash => Self::RendezvousHashInHall { hall },
             Self::FastestLink { .. } | Self::RendezvousHashInHall { .. } => self,
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -69,8 +69,8 @@
             memory_tokens: choice.memory_tokens,
             fetches,
             fetch_ms: context.map_or(0.0, |plan| plan.fetch_ms),
-            expected_ms: choice.expected_ms,
-            calm: choice.calm,
+            expected_ms: choice.expected_first_token_ms,
+            calm: choice.engine_wait_negligible,
             begun_at_ms,
             objective_at_ms: choice
                 .objective_at_ms
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -77,7 +77,7 @@
         context.map_or(0, |plan| plan.version),
         context.map_or(0, |plan| plan.prefill_tokens),
         context.map_or(0, |plan| plan.recomputed_tokens),
-        choice.expected_ms,
+        choice.expected_first_token_ms,
         context.map_or_else(|| "-".to_owned(), ContextPlan::summary),
         request.prompt.as_ref().and_then(|prompt| prompt.shared_parts().last()).map_or("-", |part| &part.id),
         choice.load.requests,
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -343,7 +343,7 @@
     max_ms: f64,
 ) -> Option<Choice> {
     let choice = choose_upstream(&mut gateway.state(), gateway, request)?;
-    if choice.expected_ms > max_ms || !take_retry(gateway, request) {
+    if choice.expected_first_token_ms > max_ms || !take_retry(gateway, request) {
         return None;
     }
     log_attempt_start(gateway, request, &choice);
@@ -397,7 +397,7 @@
         isolated_account: request.isolated_account.as_deref(),
         weights,
         weights_apply_ms: gateway.settings.bounds.weights_apply_ms,
-        bars_overdue: outdated_weights::enforces_weight_deadline(state, now_ms),
+        excludes_overdue: outdated_weights::enforces_weight_deadline(state, now_ms),
         placement: if state.peers.is_small_fleet() {
             Placement::FastestLink { hall: &gateway.settings.hall }
         } else {
@@ -411,7 +411,7 @@
             }
         },
         tried: &request.tried,
-        max_requests: (service.max_connections / (boxes + 1)).max(MIN_CONNECTIONS),
+        max_requests_per_upstream: (service.max_connections / (boxes + 1)).max(MIN_CONNECTIONS),
         admission: AdmissionCriteria {
             higher_priority_ranks: site
                 .higher_priority_ranks(&request.service, request.route.priority),
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -87,11 +87,11 @@
         isolated_account: None,
         weights: None,
         weights_apply_ms: 10_000,
-        bars_overdue: true,
+        excludes_overdue: true,
         placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed: 3 },
         tried: &[],
-        max_requests: 100,
+        max_requests_per_upstream: 100,
         admission: AdmissionCriteria {
             higher_priority_ranks: 0,
             objective_ms: 500,
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -189,11 +189,11 @@
         isolated_account: None,
         weights: None,
         weights_apply_ms: 10_000,
-        bars_overdue: true,
+        excludes_overdue: true,
         placement: Placement::RendezvousHash,
         candidates: Candidates::Sampled { seed },
         tried: &[],
-        max_requests: 100,
+        max_requests_per_upstream: 100,
         admission: AdmissionCriteria {
             higher_priority_ranks: 0,
             objective_ms: OBJECTIVE_MS,
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -58,11 +58,11 @@
         isolated_account: None,
         weights: None,
         weights_apply_ms: 10_000,
-        bars_overdue: true,
+        excludes_overdue: true,
         placement: Placement::FastestLink { hall: "north" },
         candidates: Candidates::All,
         tried,
-        max_requests: 100,
+        max_requests_per_upstream: 100,
         admission: AdmissionCriteria {
             higher_priority_ranks: 0,
             objective_ms: 500,
@@ -288,8 +288,9 @@
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
     let asked = demand(Some(&prompt), &[]);
-    let calm =
-        |upstreams: &Upstreams| choose(0, upstreams, &stores, Some(&spec()), &asked).unwrap().calm;
+    let calm = |upstreams: &Upstreams| {
+        choose(0, upstreams, &stores, Some(&spec()), &asked).unwrap().engine_wait_negligible
+    };
     assert!(calm(&upstreams), "a late first token would be the store's");
     upstreams.get_mut("a").unwrap().record_sent(0, 4000, 0);
     assert!(!calm(&upstreams), "the engine reads for some 80 ms before");
