--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -210,7 +210,7 @@
             complete: held.collect(),
             partial: Vec::new(),
         };
-        state.holder.apply_listing(&listing);
+        state.contents.apply_listing(&listing);
     }
     stores
 }
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -41,7 +41,7 @@
 fn record_crash(gateway: &Gateway, upstream: &Incarnation, requests: &[Fingerprint]) {
     let mut state = gateway.state();
     let now_ms = now_ms();
-    if let Some(upstream) = state.upstreams.get_run_mut(upstream) {
+    if let Some(upstream) = state.upstreams.get_incarnation_mut(upstream) {
         upstream.mark_unreachable();
     }
     let mut is_urgent = false;
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -101,7 +101,7 @@
 
 /// Whether a request may be sent to an upstream at all.
 fn is_usable(now_ms: u64, upstream: &Upstream, demand: &Demand<'_>) -> bool {
-    let tried = demand.tried.iter().any(|one| upstream.is_run(one));
+    let tried = demand.tried.iter().any(|one| upstream.is_incarnation(one));
     if tried
         || upstream.own_load.requests >= demand.max_requests_per_upstream
         || upstream.is_loading(now_ms)
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -82,7 +82,7 @@
             let key = PartKey::new(&scope, &part.id);
             let of_service = upstreams.of_service(demand.service);
             let engines: Vec<&Upstream> =
-                of_service.filter(|one| one.holder.tokens(key) > 0).collect();
+                of_service.filter(|one| one.contents.tokens(key) > 0).collect();
             let kept = !engines.is_empty() || stores.has_part(key);
             let common = place == 0 && shared.len() > 1;
             let placement = if common {
@@ -102,7 +102,7 @@
                 engines: engines
                     .into_iter()
                     .filter(|one| {
-                        one.holder.tokens(key) >= part.tokens && !one.is_unhealthy(now_ms)
+                        one.contents.tokens(key) >= part.tokens && !one.is_unhealthy(now_ms)
                     })
                     .collect(),
                 kept,
@@ -240,7 +240,7 @@
 
     /// Tokens of a part that the engine keeps itself.
     fn own_tokens(&self, found: &Found<'_>) -> u32 {
-        let holder = &self.upstream.holder;
+        let holder = &self.upstream.contents;
         if !holder.is_known() && found.common {
             return found.tokens;
         }
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Default)]
 pub struct StoreState {
     /// What it keeps.
-    pub holder: CacheContents,
+    pub contents: CacheContents,
     /// Tokens of parts that are not whole.
     pub partial_tokens: u64,
     avoid_until_ms: u64,
@@ -90,7 +90,7 @@
 impl StoreState {
     /// The state of a store of which other boxes are told.
     fn with_log() -> Self {
-        Self { holder: CacheContents::with_log(), ..Self::default() }
+        Self { contents: CacheContents::with_log(), ..Self::default() }
     }
 
     /// Whether it failed lately.
@@ -161,7 +161,7 @@
 
     /// Notes that a part is being saved there, if this box will hear of it.
     pub fn record_save(&mut self, now_ms: u64, part: PartKey, tokens: u32) {
-        if !self.holder.is_known() {
+        if !self.contents.is_known() {
             return;
         }
         self.pending_saves.insert(part, PendingSave { tokens, until_ms: now_ms + SAVE_REPORT_MS });
@@ -171,12 +171,12 @@
     #[must_use]
     pub fn used_tokens(&self) -> u64 {
         let saving: u64 = self.pending_saves.values().map(|save| u64::from(save.tokens)).sum();
-        self.holder.total_tokens() + self.partial_tokens + saving
+        self.contents.total_tokens() + self.partial_tokens + saving
     }
 
     /// Settles saves: those that were told of, and those that found no room.
     fn settle(&mut self, now_ms: u64) -> usize {
-        let holder = &self.holder;
+        let holder = &self.contents;
         self.pending_saves.retain(|part, _| holder.tokens(*part) == 0);
         let before = self.pending_saves.len();
         self.pending_saves.retain(|_, save| save.until_ms > now_ms);
@@ -242,7 +242,7 @@
     /// Whether any store is known to keep some of a part.
     #[must_use]
     pub fn has_part(&self, key: PartKey) -> bool {
-        self.iter().any(|(_, state)| state.holder.tokens(key) > 0)
+        self.iter().any(|(_, state)| state.contents.tokens(key) > 0)
     }
 
     /// The stores that keep a part whole.
@@ -253,7 +253,7 @@
         tokens: u32,
     ) -> impl Iterator<Item = &(Store, StoreState)> {
         self.iter().filter(move |(_, state)| {
-            state.holder.tokens(key) >= tokens && !state.is_avoided(now_ms)
+            state.contents.tokens(key) >= tokens && !state.is_avoided(now_ms)
         })
     }
 
@@ -267,7 +267,7 @@
         placement: Placement<'_>,
     ) -> Option<&Store> {
         let kept = |state: &StoreState| {
-            state.holder.tokens(key) > 0 || state.pending_saves.contains_key(&key)
+            state.contents.tokens(key) > 0 || state.pending_saves.contains_key(&key)
         };
         if self.iter().any(|(store, state)| placement.covers(store) && kept(state)) {
             return None;
@@ -297,7 +297,7 @@
         self.iter().filter(move |(store, state)| {
             let filled = state.used_tokens() + u64::from(tokens);
             let full = as_f64(filled) > MAX_FILL_PART * as_f64(store.capacity_tokens);
-            let sound = state.holder.is_known() && !state.is_avoided(now_ms);
+            let sound = state.contents.is_known() && !state.is_avoided(now_ms);
             !full && sound && now_ms >= state.full_until_ms
         })
     }
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -41,7 +41,7 @@
 
 /// What was told of an upstream means this for what is known of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReportedRun {
+pub enum ReportedIncarnation {
     /// It speaks of the run that is known.
     Current,
     /// It speaks of a new run, of which nothing else is known.
@@ -91,7 +91,7 @@
     /// Load from all other boxes, as they told last.
     pub peer_load: Load,
     /// Kept context.
-    pub holder: CacheContents,
+    pub contents: CacheContents,
     /// Start of its run, as whoever told of it last has it.
     started_at_ms: Option<u64>,
     /// When this box learned of that run.
@@ -129,7 +129,7 @@
             entry,
             own_load: Load::default(),
             peer_load: Load::default(),
-            holder: CacheContents::default(),
+            contents: CacheContents::default(),
             observed_versions: HashMap::new(),
             avoid_until_ms: 0,
             avoid_ms: FIRST_AVOID_MS,
@@ -179,47 +179,47 @@
 
     /// Whether a run may be its present one.
     #[must_use]
-    pub fn is_run(&self, incarnation: &Incarnation) -> bool {
+    pub fn is_incarnation(&self, incarnation: &Incarnation) -> bool {
         self.id == incarnation.id
             && !is_other_incarnation(self.started_at_ms, incarnation.started_at_ms)
     }
 
     /// Takes an entry of the metadata store, where what is newer comes later.
-    pub fn update_entry(&mut self, now_ms: u64, entry: UpstreamEntry) -> ReportedRun {
+    pub fn update_entry(&mut self, now_ms: u64, entry: UpstreamEntry) -> ReportedIncarnation {
         // One run tells its start in all entries or in none.
         let begins_to_tell = self.started_at_ms.is_none() && entry.started_at_ms.is_some();
         if !begins_to_tell && !is_other_incarnation(self.started_at_ms, entry.started_at_ms) {
             self.entry = entry;
-            return ReportedRun::Current;
+            return ReportedIncarnation::Current;
         }
         if self.entry.started_at_ms == entry.started_at_ms {
             // It told of its new run itself, before its entry did.
-            return ReportedRun::Outdated;
+            return ReportedIncarnation::Outdated;
         }
         *self = Self::new(now_ms, &self.id, entry);
-        ReportedRun::Restarted
+        ReportedIncarnation::Restarted
     }
 
     /// Takes the start of the run that answered a call made at `asked_at_ms`.
-    pub fn record_answering_run(
+    pub fn record_answering_incarnation(
         &mut self,
         now_ms: u64,
         started_at_ms: Option<u64>,
         asked_at_ms: u64,
-    ) -> ReportedRun {
+    ) -> ReportedIncarnation {
         if !is_other_incarnation(self.started_at_ms, started_at_ms) {
             self.learn_start(started_at_ms);
-            return ReportedRun::Current;
+            return ReportedIncarnation::Current;
         }
         if asked_at_ms < self.known_since_ms {
             // The answer may be older than the run that is known.
-            return ReportedRun::Outdated;
+            return ReportedIncarnation::Outdated;
         }
         // What its earlier run told of itself is the best that is known until its entry comes.
         let told = self.entry.started_at_ms;
         *self = Self::new(now_ms, &self.id, UpstreamEntry { started_at_ms, ..self.entry.clone() });
         self.entry.started_at_ms = told;
-        ReportedRun::Restarted
+        ReportedIncarnation::Restarted
     }
 
     /// Takes the start of the run that is known, if it was not told before.
@@ -242,7 +242,7 @@
     pub fn record_weight_version(&mut self, model: &str, version: u64) {
         if version > self.weight_version(model) {
             self.observed_versions.insert(model.to_owned(), version);
-            self.holder.clear();
+            self.contents.clear();
         }
     }
 
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -5,7 +5,7 @@
 
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::notice::{NoticeState, UnlistedNotices};
-use crate::gateway::decisions::upstream::{ReportedRun, Upstream, UpstreamEntry};
+use crate::gateway::decisions::upstream::{ReportedIncarnation, Upstream, UpstreamEntry};
 
 /// The upstreams of all services.
 #[derive(Debug, Default)]
@@ -20,29 +20,29 @@
 impl Upstreams {
     /// Takes what an upstream tells of itself in the metadata store, where what is newer
     /// comes later.
-    pub fn upsert(&mut self, now_ms: u64, id: &str, entry: UpstreamEntry) -> ReportedRun {
+    pub fn upsert(&mut self, now_ms: u64, id: &str, entry: UpstreamEntry) -> ReportedIncarnation {
         let told = if let Some(known) = self.by_id.get_mut(id) {
             known.update_entry(now_ms, entry)
         } else {
             let mut upstream = Upstream::new(now_ms, id, entry);
             upstream.apply_notices(self.unlisted.remove(&upstream.incarnation()));
             self.by_id.insert(id.to_owned(), upstream);
-            ReportedRun::Current
+            ReportedIncarnation::Current
         };
         self.index_number(id);
         told
     }
 
     /// Takes the start of the run that answered a call made at `asked_at_ms`.
-    pub fn record_answering_run(
+    pub fn record_answering_incarnation(
         &mut self,
         now_ms: u64,
         id: &str,
         started_at_ms: Option<u64>,
         asked_at_ms: u64,
-    ) -> ReportedRun {
-        let Some(known) = self.by_id.get_mut(id) else { return ReportedRun::Current };
-        let told = known.record_answering_run(now_ms, started_at_ms, asked_at_ms);
+    ) -> ReportedIncarnation {
+        let Some(known) = self.by_id.get_mut(id) else { return ReportedIncarnation::Current };
+        let told = known.record_answering_incarnation(now_ms, started_at_ms, asked_at_ms);
         self.index_number(id);
         told
     }
@@ -64,7 +64,7 @@
     /// Notes that no connection to an upstream came up in time. Two in one
     /// hall at about the same time speak against the way to that hall.
     pub fn record_connect_timeout(&mut self, now_ms: u64, upstream: &Incarnation, own_hall: &str) {
-        let Some(upstream) = self.get_run_mut(upstream) else { return };
+        let Some(upstream) = self.get_incarnation_mut(upstream) else { return };
         upstream.record_connect_timeout(now_ms);
         let hall = upstream.entry.hall.clone();
         let of_hall = |one: &Upstream| one.entry.hall == hall;
@@ -114,13 +114,13 @@
 
     /// An upstream, if a run may be its present one.
     #[must_use]
-    pub fn get_run(&self, incarnation: &Incarnation) -> Option<&Upstream> {
-        self.get(&incarnation.id).filter(|one| one.is_run(incarnation))
+    pub fn get_incarnation(&self, incarnation: &Incarnation) -> Option<&Upstream> {
+        self.get(&incarnation.id).filter(|one| one.is_incarnation(incarnation))
     }
 
     /// An upstream, to be changed, if a run may be its present one.
-    pub fn get_run_mut(&mut self, incarnation: &Incarnation) -> Option<&mut Upstream> {
-        self.get_mut(&incarnation.id).filter(|one| one.is_run(incarnation))
+    pub fn get_incarnation_mut(&mut self, incarnation: &Incarnation) -> Option<&mut Upstream> {
+        self.get_mut(&incarnation.id).filter(|one| one.is_incarnation(incarnation))
     }
 
     /// All upstreams.
@@ -136,7 +136,7 @@
     /// Takes what the run of an upstream asked in an answer.
     pub fn apply_notices(&mut self, now_ms: u64, upstream: &Incarnation, asked: NoticeState) {
         match self.by_id.get_mut(&upstream.id) {
-            Some(known) if known.is_run(upstream) => known.apply_notices(asked),
+            Some(known) if known.is_incarnation(upstream) => known.apply_notices(asked),
             Some(_) => {}
             None => self.unlisted.insert(now_ms, upstream, asked),
         }
@@ -151,8 +151,9 @@
         service: &str,
         tried: &[Incarnation],
     ) -> Option<u64> {
-        let untried =
-            self.of_service(service).filter(|one| !tried.iter().any(|tried| one.is_run(tried)));
+        let untried = self
+            .of_service(service)
+            .filter(|one| !tried.iter().any(|tried| one.is_incarnation(tried)));
         let rests: Option<Vec<u64>> = untried.map(|one| one.rests_until_ms(now_ms)).collect();
         rests?.into_iter().min()
     }
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -4,7 +4,7 @@
 use log::{info, warn};
 
 use crate::clock::now_ms;
-use crate::gateway::decisions::upstream::ReportedRun;
+use crate::gateway::decisions::upstream::ReportedIncarnation;
 use crate::gateway::kernel::{Gateway, State};
 use crate::platform::keys;
 
@@ -30,12 +30,14 @@
         format_start(entry.started_at_ms)
     );
     match state.upstreams.upsert(now_ms, id, entry) {
-        ReportedRun::Current if changed => {
+        ReportedIncarnation::Current if changed => {
             info!(target: "entries", "event=upstream_seen {details}");
         }
-        ReportedRun::Current => {}
-        ReportedRun::Outdated => info!(target: "entries", "event=upstream_outdated {details}"),
-        ReportedRun::Restarted => {
+        ReportedIncarnation::Current => {}
+        ReportedIncarnation::Outdated => {
+            info!(target: "entries", "event=upstream_outdated {details}");
+        }
+        ReportedIncarnation::Restarted => {
             info!(target: "entries", "event=upstream_restarted {details}");
             gateway.connections.close_idle_to(id);
             changed = true;
@@ -57,10 +59,14 @@
     id: &str,
     started_at_ms: Option<u64>,
     asked_at_ms: u64,
-) -> ReportedRun {
-    let report =
-        gateway.state().upstreams.record_answering_run(now_ms(), id, started_at_ms, asked_at_ms);
-    if report == ReportedRun::Restarted {
+) -> ReportedIncarnation {
+    let report = gateway.state().upstreams.record_answering_incarnation(
+        now_ms(),
+        id,
+        started_at_ms,
+        asked_at_ms,
+    );
+    if report == ReportedIncarnation::Restarted {
         info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
             format_start(started_at_ms));
         gateway.connections.close_idle_to(id);
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -14,7 +14,7 @@
 use crate::error::{Error, Result};
 use crate::gateway::decisions::cache_contents::CacheContents;
 use crate::gateway::decisions::cache_reports::{CacheChanges, CacheListing};
-use crate::gateway::decisions::upstream::ReportedRun;
+use crate::gateway::decisions::upstream::ReportedIncarnation;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
 use crate::phase::Phase;
@@ -116,7 +116,7 @@
                 {
                     store.record_failure(now_ms());
                     // The store may have lost its contents, and parts may be rewritten.
-                    store.holder.mark_unknown();
+                    store.contents.mark_unknown();
                     known = false;
                 }
                 if matches!(error, Error::Busy(_)) {
@@ -152,7 +152,7 @@
     let changes = gateway.caches.changes(address, since).await?;
     if let HolderId::Engine(id) = holder_id
         && entries::note_answering_run(gateway, id, changes.started_at_ms, asked_at_ms)
-            != ReportedRun::Current
+            != ReportedIncarnation::Current
     {
         // The engine has restarted: `since` was a position in the events of the previous run.
         return Ok(());
@@ -191,10 +191,10 @@
 ) -> Option<T> {
     match holder_id {
         HolderId::Engine(id) => {
-            state.upstreams.get_mut(id).map(|engine| action(&mut engine.holder))
+            state.upstreams.get_mut(id).map(|engine| action(&mut engine.contents))
         }
         HolderId::Store(name) => {
-            state.stores.get_mut(name).map(|(_, store)| action(&mut store.holder))
+            state.stores.get_mut(name).map(|(_, store)| action(&mut store.contents))
         }
     }
 }
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -50,7 +50,7 @@
             context.map(ContextPlan::store_fetches).unwrap_or_default();
         let begun_at_ms = now_ms();
         let mut state = gateway.state();
-        if let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) {
+        if let Some(upstream) = state.upstreams.get_incarnation_mut(&choice.upstream) {
             upstream.record_sent(begun_at_ms, pending_prefill_tokens, choice.memory_tokens);
         }
         for (name, tokens) in &fetches {
@@ -80,7 +80,7 @@
 
     /// Records that bytes have arrived.
     pub fn record_activity(&self) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_receive(now_ms());
         }
     }
@@ -119,8 +119,10 @@
 
     fn report_first_token(&self, end: FirstTokenOutcome) {
         let mut state = self.gateway.state();
-        let service =
-            state.upstreams.get_run(&self.upstream).map(|upstream| upstream.entry.service.clone());
+        let service = state
+            .upstreams
+            .get_incarnation(&self.upstream)
+            .map(|upstream| upstream.entry.service.clone());
         if let Some(service) = service {
             state.limits.record_first_token(&service, end);
         }
@@ -129,7 +131,7 @@
     fn end_prompt(&mut self, slowdown: Option<f64>) {
         let tokens = std::mem::take(&mut self.pending_prefill_tokens);
         let mut state = self.gateway.state();
-        if let Some(upstream) = state.upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = state.upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_prefill_end(tokens);
         }
         for (name, tokens) in std::mem::take(&mut self.fetches) {
@@ -141,14 +143,14 @@
 
     /// Records a correct response.
     pub fn record_success(&self) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_success();
         }
     }
 
     /// Records a failure of the upstream.
     pub fn record_failure(&self) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_failure(now_ms());
         }
     }
@@ -168,7 +170,7 @@
         if now_ms >= self.begun_at_ms + IMMEDIATE_REJECTION_MS {
             return;
         }
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_rejection(now_ms);
         }
         self.gateway.load_changed.notify_one();
@@ -176,7 +178,7 @@
 
     /// Records that the upstream accepted the request.
     pub fn record_accepted(&self) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_acceptance();
         }
     }
@@ -197,7 +199,7 @@
         let state = self.gateway.state();
         state
             .upstreams
-            .get_run(&self.upstream)
+            .get_incarnation(&self.upstream)
             .is_some_and(|upstream| upstream.is_loading(now_ms()))
     }
 
@@ -207,7 +209,7 @@
     pub fn delays_weight_load(&self) -> bool {
         let (now_ms, apply_ms) = (now_ms(), self.gateway.settings.bounds.weights_apply_ms);
         let state = self.gateway.state();
-        let Some(upstream) = state.upstreams.get_run(&self.upstream) else { return false };
+        let Some(upstream) = state.upstreams.get_incarnation(&self.upstream) else { return false };
         state.weights.iter().any(|(model, named)| {
             let version = upstream.weight_version(model);
             version > 0 && named.is_load_overdue(now_ms, version, apply_ms)
@@ -222,7 +224,7 @@
 
     /// Records that another incarnation has taken over the upstream's address.
     pub fn record_superseded(&self) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             info!(target: "serve", "event=upstream_superseded upstream={}", self.upstream.id);
             upstream.mark_superseded();
         }
@@ -231,7 +233,7 @@
 
     /// Records the weight version that the upstream was seen to have.
     pub fn record_version(&self, model: &str, version: u64) {
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_weight_version(model, version);
         }
     }
@@ -241,7 +243,7 @@
     fn drop(&mut self) {
         self.record_missing_first_token();
         self.end_prompt(None);
-        if let Some(upstream) = self.gateway.state().upstreams.get_run_mut(&self.upstream) {
+        if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_request_end(self.memory_tokens);
         }
         self.gateway.capacity_changed.notify_waiters();
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -112,7 +112,7 @@
     /// Forgets what the stores of kept context hold.
     pub fn forget_store_contents(&mut self) {
         for (_, store) in self.stores.iter_mut() {
-            store.holder.mark_unknown();
+            store.contents.mark_unknown();
         }
     }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -232,7 +232,8 @@
 /// Number of upstreams of the service that the request has not been sent to.
 fn count_untried(gateway: &Gateway, request: &AdmittedRequest) -> usize {
     let state = gateway.state();
-    let is_tried = |upstream: &Upstream| request.tried.iter().any(|tried| upstream.is_run(tried));
+    let is_tried =
+        |upstream: &Upstream| request.tried.iter().any(|tried| upstream.is_incarnation(tried));
     state.upstreams.of_service(&request.service).filter(|upstream| !is_tried(upstream)).count()
 }
 
@@ -438,7 +439,7 @@
     };
     let mut state = gateway.state();
     let named = state.weights.get(&prompt.model).map_or(0, NamedVersions::newest);
-    let Some(upstream) = state.upstreams.get_run_mut(&choice.upstream) else { return };
+    let Some(upstream) = state.upstreams.get_incarnation_mut(&choice.upstream) else { return };
     if choice.context.as_ref().is_some_and(|plan| plan.version >= named) {
         // The upstream restarted with older weights, or was reverted to them.
         upstream.forget_weight_version(&prompt.model);
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -30,7 +30,8 @@
 #[must_use]
 pub fn is_silent(gateway: &Gateway, upstream: &Incarnation) -> bool {
     let state = gateway.state();
-    let since_ms = state.upstreams.get_run(upstream).and_then(|run| run.silent_since_ms(now_ms()));
+    let since_ms =
+        state.upstreams.get_incarnation(upstream).and_then(|run| run.silent_since_ms(now_ms()));
     drop(state);
     if let Some(since_ms) = since_ms {
         gateway.connections.close_all_idle(since_ms);
@@ -78,7 +79,7 @@
     let choice = choose_upstream(&mut state, gateway, &request)?;
     let doubtful = state
         .upstreams
-        .get_run(&choice.upstream)
+        .get_incarnation(&choice.upstream)
         .is_none_or(|upstream| upstream.is_unhealthy(now_ms));
     drop(state);
     let full = choice.occupancy == Occupancy::Full;
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -232,7 +232,7 @@
                 info!(target: "leader", "event=parts_freed store={name} count={}", batch.len());
                 if let Some((_, store)) = gateway.state().stores.get_mut(name) {
                     for kept in batch {
-                        store.holder.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
+                        store.contents.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
                     }
                 }
             }
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -105,7 +105,7 @@
     for StoreUpdate { store: store_number, update } in updates {
         let found = state.stores.iter_mut().find(|(store, _)| number(&store.name) == store_number);
         if let Some((_, store_state)) = found {
-            store_state.holder.apply_update(update);
+            store_state.contents.apply_update(update);
         }
     }
 }
@@ -137,7 +137,7 @@
     let mut updates = Vec::new();
     for (store, store_state) in state.stores.iter() {
         let store = number(&store.name);
-        let (update, next) = store_state.holder.update_since(sent_up_to.get(&store).copied());
+        let (update, next) = store_state.contents.update_since(sent_up_to.get(&store).copied());
         sent_up_to.insert(store, next);
         updates.extend(update.map(|update| StoreUpdate { store, update }));
     }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -14,7 +14,7 @@
 use crate::error::Result;
 use crate::gateway::decisions::incarnation::Incarnation;
 use crate::gateway::decisions::orders::{EngineReport, OrderOutcome, WeightsOrder};
-use crate::gateway::decisions::upstream::ReportedRun;
+use crate::gateway::decisions::upstream::ReportedIncarnation;
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
 use crate::gateway::leader::max_concurrent_loads;
 use crate::gateway::{claims, entries, invariants};
@@ -104,7 +104,7 @@
             failed.retry_at_ms = now_ms() + RETRY_PAUSE_MS;
         }
     }
-    if let Some(upstream) = state.upstreams.get_run_mut(&load.engine) {
+    if let Some(upstream) = state.upstreams.get_incarnation_mut(&load.engine) {
         upstream.set_loading_until(0);
         if end == LoadEnd::Done {
             upstream.record_weight_version(&load.model, load.version);
@@ -277,7 +277,7 @@
     let report = gateway.engines.report(load.address).await?;
     let id = &load.engine.id;
     if entries::note_answering_run(gateway, id, report.started_at_ms, asked_at_ms)
-        == ReportedRun::Restarted
+        == ReportedIncarnation::Restarted
     {
         load.engine.started_at_ms = report.started_at_ms;
     }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -47,7 +47,7 @@
             complete: Vec::new(),
             partial: Vec::new(),
         };
-        state.holder.apply_listing(&listing);
+        state.contents.apply_listing(&listing);
     }
     stores
 }
@@ -116,11 +116,11 @@
     let first = saved_at(&chosen(&stores, "north")).unwrap();
     assert!(first.starts_with('n'), "{first} is in another hall");
     let common = PartKey::new("1.m", COMMON);
-    stores.get_mut(&first).unwrap().1.holder.set_tokens(common, COMMON_TOKENS);
+    stores.get_mut(&first).unwrap().1.contents.set_tokens(common, COMMON_TOKENS);
     assert_eq!(saved_at(&chosen(&stores, "north")), None, "it is kept there");
     let second = saved_at(&chosen(&stores, "south")).unwrap();
     assert!(second.starts_with('s'), "{second} is in another hall");
-    stores.get_mut(&second).unwrap().1.holder.set_tokens(common, COMMON_TOKENS);
+    stores.get_mut(&second).unwrap().1.contents.set_tokens(common, COMMON_TOKENS);
     let choice = chosen(&stores, "south");
     let near = stores.get(&second).unwrap().0.address.to_string();
     assert_eq!(
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -96,7 +96,7 @@
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
     let far = upstreams.get_mut("b").unwrap();
-    far.holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
+    far.contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let choice =
         choose(0, &upstreams, &stores, Some(&spec()), &demand(Some(&prompt), &[])).unwrap();
     assert_eq!(choice.upstream.id, "b");
@@ -109,7 +109,7 @@
     upstreams.upsert(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let engine = upstreams.get_mut("a").unwrap();
-    engine.holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
+    engine.contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let stores = Stores::default();
     let mut asked = demand(Some(&prompt), &[]);
     asked.isolated_account = Some("petra");
@@ -153,7 +153,7 @@
             complete: vec![held(part, tokens)],
             partial: Vec::new(),
         };
-        stores.get_mut(name).unwrap().1.holder.apply_listing(&listing);
+        stores.get_mut(name).unwrap().1.contents.apply_listing(&listing);
     }
     let prompt = Prompt::parse("m", "5300,10", "aa:1000,bb:4000,cc:100,dd:200").unwrap();
     let spec = EngineSpec { per_part_sources, ..spec() };
@@ -210,7 +210,7 @@
     let mut stores = Stores::default();
     stores.configure(&[store("large", 2, 28_000.0)]);
     let (_, large) = stores.get_mut("large").unwrap();
-    large.holder.set_tokens(PartKey::new("1.m", "aa"), 500);
+    large.contents.set_tokens(PartKey::new("1.m", "aa"), 500);
     large.set_peer_fetch_tokens(60_000);
     let prefill_tokens = |objective_ms| {
         let mut asked = demand(Some(&prompt), &[]);
@@ -261,7 +261,7 @@
     upstreams.upsert(0, "a", entry("north", 1, 1));
     upstreams.upsert(0, "b", entry("south", 2, 2));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
-    upstreams.get_mut("a").unwrap().holder.set_tokens(PartKey::new("1.m", "aa"), 5000);
+    upstreams.get_mut("a").unwrap().contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
     upstreams.get_mut("b").unwrap().record_sent(0, 40_000, 0);
     upstreams.get_mut("b").unwrap().record_receive(10_000);
     let mut weights = NamedVersions::default();
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -9,7 +9,7 @@
 use common::wait_ready;
 use coursestile::gateway::decisions::cache_contents::PartKey;
 use coursestile::gateway::decisions::incarnation::Incarnation;
-use coursestile::gateway::decisions::upstream::{ReportedRun, UpstreamEntry};
+use coursestile::gateway::decisions::upstream::{ReportedIncarnation, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::engine::{Engine, MODEL};
@@ -215,21 +215,21 @@
 #[test]
 fn entry_begins_to_tell() {
     let (mut upstreams, _) = with_past(None);
-    assert_eq!(upstreams.upsert(30, "e", told(Some(5))), ReportedRun::Restarted);
+    assert_eq!(upstreams.upsert(30, "e", told(Some(5))), ReportedIncarnation::Restarted);
     let engine = upstreams.get("e").unwrap();
     assert_eq!(engine.weight_version("m"), 1, "it lost its weights");
-    assert_eq!(engine.holder.total_tokens(), 0);
+    assert_eq!(engine.contents.total_tokens(), 0);
     assert!(!engine.is_superseded());
 }
 
 /// Upstreams with one of which much is known.
 fn with_past(started_at_ms: Option<u64>) -> (Upstreams, Incarnation) {
     let mut upstreams = Upstreams::default();
-    assert_eq!(upstreams.upsert(10, "e", told(started_at_ms)), ReportedRun::Current);
+    assert_eq!(upstreams.upsert(10, "e", told(started_at_ms)), ReportedIncarnation::Current);
     let engine = upstreams.get_mut("e").unwrap();
     engine.record_sent(20, 500, 900);
     engine.record_weight_version("m", 3);
-    engine.holder.set_tokens(PartKey::new("3.m", "aa"), 100);
+    engine.contents.set_tokens(PartKey::new("3.m", "aa"), 100);
     engine.mark_superseded();
     let run = engine.incarnation();
     (upstreams, run)
@@ -237,12 +237,12 @@
 
 /// Whether nothing of before is known, and what ends late changes nothing.
 fn is_new(upstreams: &mut Upstreams, before: &Incarnation) -> bool {
-    assert!(upstreams.get_run(before).is_none());
+    assert!(upstreams.get_incarnation(before).is_none());
     let engine = upstreams.get("e").unwrap();
     engine.total_load().requests == 0
         && engine.weight_version("m") == 1
         && !engine.is_superseded()
-        && engine.holder.total_tokens() == 0
+        && engine.contents.total_tokens() == 0
         && engine.number != before.number()
 }
 
@@ -251,7 +251,7 @@
     let (mut upstreams, before) = with_past(Some(5));
     assert_eq!(
         upstreams.upsert(30, "e", told(Some(4))),
-        ReportedRun::Restarted,
+        ReportedIncarnation::Restarted,
         "clocks may be off"
     );
     assert!(is_new(&mut upstreams, &before));
@@ -260,32 +260,42 @@
 #[test]
 fn answer_tells() {
     let (mut upstreams, before) = with_past(Some(5));
-    assert_eq!(upstreams.record_answering_run(40, "e", Some(6), 30), ReportedRun::Restarted);
+    assert_eq!(
+        upstreams.record_answering_incarnation(40, "e", Some(6), 30),
+        ReportedIncarnation::Restarted
+    );
     assert!(is_new(&mut upstreams, &before));
     assert_eq!(
         upstreams.upsert(50, "e", told(Some(5))),
-        ReportedRun::Outdated,
+        ReportedIncarnation::Outdated,
         "its entry comes late"
     );
     assert_eq!(
-        upstreams.record_answering_run(60, "e", Some(5), 35),
-        ReportedRun::Outdated,
+        upstreams.record_answering_incarnation(60, "e", Some(5), 35),
+        ReportedIncarnation::Outdated,
         "so does an answer"
     );
-    assert_eq!(upstreams.upsert(70, "e", told(Some(6))), ReportedRun::Current);
-    assert_eq!(upstreams.upsert(80, "e", told(Some(7))), ReportedRun::Restarted);
+    assert_eq!(upstreams.upsert(70, "e", told(Some(6))), ReportedIncarnation::Current);
+    assert_eq!(upstreams.upsert(80, "e", told(Some(7))), ReportedIncarnation::Restarted);
 }
 
 #[test]
 fn start_unknown() {
     let (mut upstreams, before) = with_past(None);
-    assert_eq!(upstreams.upsert(30, "e", told(None)), ReportedRun::Current, "as without it");
-    assert_eq!(upstreams.record_answering_run(40, "e", None, 30), ReportedRun::Current);
     assert_eq!(
-        upstreams.record_answering_run(40, "e", Some(5), 30),
-        ReportedRun::Current,
+        upstreams.upsert(30, "e", told(None)),
+        ReportedIncarnation::Current,
+        "as without it"
+    );
+    assert_eq!(
+        upstreams.record_answering_incarnation(40, "e", None, 30),
+        ReportedIncarnation::Current
+    );
+    assert_eq!(
+        upstreams.record_answering_incarnation(40, "e", Some(5), 30),
+        ReportedIncarnation::Current,
         "told late"
     );
-    assert_eq!(upstreams.get_run(&before).unwrap().total_load().requests, 1);
-    assert_eq!(upstreams.upsert(50, "e", told(Some(6))), ReportedRun::Restarted);
+    assert_eq!(upstreams.get_incarnation(&before).unwrap().total_load().requests, 1);
+    assert_eq!(upstreams.upsert(50, "e", told(Some(6))), ReportedIncarnation::Restarted);
 }
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -41,7 +41,7 @@
     Restarts,
     Lost,
     Listed,
-    ReportedRun,
+    ReportedIncarnation,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -50,7 +50,7 @@
         1 => Just(Step::Restarts),
         1 => Just(Step::Lost),
         1 => Just(Step::Listed),
-        3 => Just(Step::ReportedRun),
+        3 => Just(Step::ReportedIncarnation),
     ];
     prop::collection::vec(step, 1..80)
 }
@@ -87,7 +87,7 @@
                 Step::Restarts => boot += 1,
                 Step::Lost => publisher.mark_unknown(),
                 Step::Listed => publisher.apply_listing(&listing(boot)),
-                Step::ReportedRun => subscriber.hear(&publisher),
+                Step::ReportedIncarnation => subscriber.hear(&publisher),
             }
         }
         subscriber.hear(&publisher);
@@ -138,7 +138,7 @@
 fn known_stores() -> Stores {
     let mut stores = Stores::default();
     stores.configure(&[store("a", 3_000_000), store("b", 1_000_000)]);
-    stores.iter_mut().for_each(|(_, state)| state.holder.apply_listing(&listing(1)));
+    stores.iter_mut().for_each(|(_, state)| state.contents.apply_listing(&listing(1)));
     stores
 }
 
@@ -159,11 +159,11 @@
 fn unknown_avoided() {
     let mut stores = known_stores();
     let part = key(7);
-    stores.get_mut("a").unwrap().1.holder.set_tokens(part, 100);
+    stores.get_mut("a").unwrap().1.contents.set_tokens(part, 100);
     assert_eq!(stores.complete_holders(0, part, 100).count(), 1);
     assert_eq!(stores.complete_holders(0, part, 101).count(), 0, "it is not whole");
     // A store that fails may come back empty, and have the part written again.
-    stores.get_mut("a").unwrap().1.holder.mark_unknown();
+    stores.get_mut("a").unwrap().1.contents.mark_unknown();
     assert_eq!(stores.complete_holders(0, part, 100).count(), 0);
     let place = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
     assert_eq!(place.map(|store| store.name.as_str()), Some("b"));
