--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -92,7 +92,7 @@
     true
 }
 
-/// Reads the stored claims with their revision. If there are none or they cannot be decoded
+/// Reads the stored claims with their revision. If they cannot be decoded, or there are none
 /// although another box led before, that box may have sent orders to every target: it may run a
 /// version of this program that writes no claims.
 fn read_claims(state: &State, fence: u64) -> (Claims, u64) {
@@ -210,7 +210,7 @@
     if is_due { write(gateway, socket, fence).await } else { Ok(()) }
 }
 
-/// Writes the current claims.
+/// Writes the claims of this leader and those of earlier leaders that still matter.
 async fn write(gateway: &Gateway, socket: &UdpSocket, fence: u64) -> Result<()> {
     let Some((call, next)) = next_write(gateway, fence) else { return Ok(()) };
     let outcome = tokio::select! {
--- a/src/gateway/follow.rs
+++ b/src/gateway/follow.rs
@@ -102,7 +102,8 @@
     state.warmed_up_at_ms = Some(now_ms);
 }
 
-/// Re-evaluates whether this box follows the metadata store and the caches itself.
+/// Re-evaluates whether this box follows the metadata store, and whether it follows the context
+/// held by engines and context stores.
 fn update_role(gateway: &Gateway, state: &mut State, now_ms: u64) {
     let follows = state.peers.is_follower(now_ms);
     let caches = state.peers.is_cache_follower(now_ms);
@@ -173,14 +174,14 @@
     apply(gateway, &mut state, now_ms, named, changes);
 }
 
-/// How a listing or a watch end.
+/// How a listing or a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CallEnd {
     /// The store answered; the next watch resumes at the revision of the answer.
     Answered,
     /// The store no longer has the history since the known revision.
     HistoryLost,
-    /// This box end the wait itself, which says nothing about the store.
+    /// This box ended the wait itself, which says nothing about the store.
     Interrupted,
 }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -30,9 +30,9 @@
 const MAX_DATAGRAM_BYTES: usize = 8192;
 /// Minimum interval between two rounds of gossip; changes in between are sent together.
 const MIN_PERIOD: Duration = Duration::from_millis(20);
-/// Boxes return to an upstream that asked for a pause at random times within this window: if
+/// Boxes return to an upstream that has refused requests at different times within this window: if
 /// it still refuses requests, the first box to return finds out and informs the others.
-const RETURN_JITTER_MS: u64 = 500;
+const RETURN_SPREAD_MS: u64 = 500;
 /// Pause after a socket error, so that a persistent error does not cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
 
@@ -194,7 +194,7 @@
     fetches.collect()
 }
 
-/// Upstreams that have been superseded.
+/// Upstreams whose address another incarnation has taken.
 fn superseded(state: &State) -> Vec<u32> {
     let superseded = state.upstreams.iter().filter(|upstream| upstream.is_superseded());
     superseded.map(|upstream| upstream.number).collect()
@@ -206,7 +206,8 @@
     leaving.map(|upstream| upstream.number).collect()
 }
 
-/// Upstreams to which nothing is sent for now, and for how long still.
+/// Upstreams that have refused requests of this box and get none for now, with the remaining
+/// time.
 fn backoffs(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let backoffs = state.upstreams.iter().filter_map(|upstream| {
         let left_ms = upstream.backoff_until_ms(now_ms)? - now_ms;
@@ -232,8 +233,12 @@
 
 /// Weights versions that engines were recently seen to reach.
 fn versions(state: &mut State, now_ms: u64) -> Vec<(u32, u32, u64)> {
-    state.observed_versions.retain(|told| told.until_ms > now_ms);
-    state.observed_versions.iter().map(|told| (told.engine, told.model, told.version)).collect()
+    state.observed_versions.retain(|reached| reached.until_ms > now_ms);
+    state
+        .observed_versions
+        .iter()
+        .map(|reached| (reached.engine, reached.model, reached.version))
+        .collect()
 }
 
 /// The weights versions that operators named within twice the time in which engines must apply
@@ -360,17 +365,17 @@
     }
 }
 
-/// Notes the upstreams to which a peer sends nothing for now, and for how long.
+/// Notes the upstreams that have refused requests of a peer, and for how long it sends them none.
 fn apply_backoffs(state: &mut State, now_ms: u64, backoffs: &[(u32, u16)]) {
-    let jitter_ms = u64::from(state.peers.local().number) % RETURN_JITTER_MS;
+    let offset_ms = u64::from(state.peers.local().number) % RETURN_SPREAD_MS;
     for (number, left_ms) in backoffs {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
-            upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + jitter_ms);
+            upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + offset_ms);
         }
     }
 }
 
-/// Marks upstreams as superseded by a later incarnation.
+/// Marks upstreams whose address another incarnation has taken.
 fn supersede(state: &mut State, upstreams: &[u32]) {
     for upstream in upstreams {
         if let Some(upstream) = state.upstreams.get_by_number_mut(*upstream) {
@@ -411,12 +416,15 @@
 
 /// Applies when operators named weights versions.
 fn apply_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
-    for told in &gossip.named_versions {
+    for reported in &gossip.named_versions {
         let mut known = state.weights.iter_mut();
-        if let Some((_, named)) = known.find(|(model, _)| number(model) == told.model) {
-            let at_ms = now_ms.saturating_sub(u64::from(told.age_ms));
-            let naming =
-                NamedVersion { version: told.version, previous: told.previous, named_at_ms: at_ms };
+        if let Some((_, named)) = known.find(|(model, _)| number(model) == reported.model) {
+            let at_ms = now_ms.saturating_sub(u64::from(reported.age_ms));
+            let naming = NamedVersion {
+                version: reported.version,
+                previous: reported.previous,
+                named_at_ms: at_ms,
+            };
             named.merge(naming);
         }
     }
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -105,8 +105,8 @@
 }
 
 /// Whether this box cannot reach the engines of a model that other boxes hear from. A leader in
-/// this situation takes all of these engines out of service (for 14 s in one case) although
-/// none of its orders arrives.
+/// this situation can take all of these engines out of service for 14 s although none of its
+/// orders arrives.
 fn is_cut_off_from_engines(state: &State) -> bool {
     let now_ms = now_ms();
     state.weights.keys().any(|model| state.upstreams.is_partitioned(now_ms, model))
@@ -178,6 +178,6 @@
 /// Sleeps until the next renewal is due; returns false if this box resigns meanwhile.
 async fn wait_for_renewal(gateway: &Gateway, period: Duration) -> bool {
     let mut resigned = gateway.resigned.subscribe();
-    // Cannot fail: the gateway owns the sender.
+    // Only a time-out is an error here: the gateway owns the sender, so it is never dropped.
     timeout(period, resigned.wait_for(|resigned| *resigned)).await.is_err()
 }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -28,7 +28,8 @@
 pub type Members = BTreeSet<IpAddr>;
 
 /// The list that should replace `listed`, if it has to change. Boxes that were heard from are
-/// added; those that were not are removed only once `all_had_time` to be heard.
+/// added; those that were not are removed only if `all_had_time`, that is, once every running box
+/// has had time to send gossip.
 #[must_use]
 pub fn next_list(listed: &Members, heard: &Members, all_had_time: bool) -> Option<Members> {
     let next: Members =
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -25,7 +25,7 @@
 /// difference does not overflow.
 const MAX_CLOCK_MS: f64 = 253_402_300_800_000.0;
 
-/// An item of a list. Items are decode one by one, so that an invalid item does not make the
+/// An item of a list. Items are decoded one by one, so that an invalid item does not make the
 /// others unreadable.
 #[derive(Deserialize)]
 #[serde(untagged)]
@@ -187,7 +187,7 @@
     })
 }
 
-/// The items that could be decode; the others are logged and counted.
+/// The items that could be decoded; the others are logged and counted.
 fn readable<T>(holder: SocketAddr, items: Vec<Item<T>>) -> Vec<T> {
     let item_count = items.len();
     let read: Vec<T> = items
