--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -15,7 +15,7 @@
 use crate::error::{Error, Result};
 use crate::gateway::connections::set_socket_options;
 use crate::gateway::decisions::view::{CatchUp, ViewDigest};
-use crate::gateway::follow;
+use crate::gateway::follow_metadata;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::settings::Bounds;
 use crate::gateway::store_updates::publish;
@@ -60,7 +60,7 @@
         let Some(peer) = peer else { continue };
         match fetch(peer, own, snapshot_timeout(&gateway.settings.bounds)).await {
             Ok(catch_up) => {
-                follow::apply_catch_up(&gateway, catch_up);
+                follow_metadata::apply_catch_up(&gateway, catch_up);
                 gateway.refresh_metadata.notify_one();
             }
             Err(error) => {
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -12,8 +12,8 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::settings::Settings;
 use crate::gateway::{
-    catch_up, follow, follow_caches, gossip, leader, leadership, listener, members, quarantine,
-    reachability, store_updates,
+    catch_up, follow_caches, follow_metadata, gossip, leader, leadership, listener, members,
+    quarantine, reachability, store_updates,
 };
 use crate::phase::Phase;
 
@@ -48,8 +48,8 @@
         }
     }
     tokio::spawn(listener::serve_readiness(gateway.clone(), ready));
-    tokio::spawn(follow::run(gateway.clone()));
-    tokio::spawn(follow::tick(gateway.clone()));
+    tokio::spawn(follow_metadata::run(gateway.clone()));
+    tokio::spawn(follow_metadata::tick(gateway.clone()));
     tokio::spawn(follow_caches::run(gateway.clone()));
     tokio::spawn(gossip::receive(gateway.clone(), socket.clone()));
     tokio::spawn(gossip::send(gateway.clone(), socket.clone(), now_ms()));
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -21,7 +21,7 @@
 use crate::gateway::decisions::urgency::RouteTimeouts;
 use crate::gateway::decisions::view::MetadataView;
 use crate::gateway::decisions::weights::NamedVersions;
-use crate::gateway::follow;
+use crate::gateway::follow_metadata;
 use crate::gateway::leader_calls::DelegatedReply;
 use crate::gateway::leadership::Leadership;
 use crate::gateway::settings::{Bounds, Settings};
@@ -314,7 +314,7 @@
 /// expired. It is at least as long as a watch takes to be re-established, since a lost connection
 /// alone does not mean that the store is down.
 fn min_outage_ms(bounds: &Bounds) -> u64 {
-    let lost_watch_ms = follow::lost_watch_ms(bounds) + RESPONSE_MS;
+    let lost_watch_ms = follow_metadata::lost_watch_ms(bounds) + RESPONSE_MS;
     (LAPSE_HEARTBEATS * bounds.heartbeat_ms).max(lost_watch_ms)
 }
 
