--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -148,8 +148,8 @@
     seconds.map(|seconds| crate::platform::http::floor_ms((seconds * 1000.0).ceil()))
 }
 
-/// The headers that are forwarded: all but those that apply to a single connection, including
-/// those that the `Connection` header lists.
+/// The headers that are forwarded: all except those that apply to a single connection, which
+/// are [`HOP_BY_HOP`] and those that the `Connection` header lists.
 pub fn end_to_end_headers(head: &HeaderMap) -> impl Iterator<Item = (&HeaderName, &HeaderValue)> {
     let connection_headers: Vec<String> = head
         .get_all(header::CONNECTION)
