--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -11,7 +11,7 @@
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::fleet::Engine;
 use coursestile::keep::KeepPolicy;
-use coursestile::keeper::Keeper;
+use coursestile::keeper::ContextManager;
 use coursestile::ledger::{Answer, CallKey, Ledger, Outcome};
 use coursestile::member::{Health, Member};
 use coursestile::membership::Membership;
@@ -97,7 +97,7 @@
         .collect();
     let store = Store::new("http://s", u64::MAX / 2, 2e6);
     let stores = BTreeMap::from([("s".to_owned(), store)]);
-    let keeper = Keeper::new(KeepPolicy::Worth, stores, prompts * 2, 20_000, "box");
+    let keeper = ContextManager::new(KeepPolicy::Worth, stores, prompts * 2, 20_000, "box");
     Dispatcher::new(Policies::default(), engines, keeper)
 }
 
@@ -142,7 +142,7 @@
     });
     row("  its tick, 20 a second", Some(ticks), None);
     let keeps = time_us(5, |_| {
-        dispatcher.keeper.tick(1_000_000);
+        dispatcher.context.tick(1_000_000);
     });
     row("  its look at what is kept, once a second", Some(keeps), None);
 }
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -142,7 +142,7 @@
     }
 
     /// Forgets a block that its store no longer holds.
-    pub fn deleted(&mut self, id: &BlockId) {
+    pub fn remove(&mut self, id: &BlockId) {
         self.by_id.remove(id);
     }
 
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::dispatcher::{Action, Dispatcher};
 use crate::edge::{ContextStores, ModelEngines};
 use crate::fleet::Engine;
-use crate::keeper::{Delete, Export, Keeper, Written};
+use crate::keeper::{BlockDeletion, ContextManager, Export, ExportResult};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::owner;
 use crate::settings::{Settings, UpstreamKind};
@@ -115,20 +115,20 @@
 async fn write_out(kernel: Arc<Kernel>, model: String, export: Export) {
     let written = kernel.upstreams.export(&export).await;
     let outcome = match written {
-        Written::Sealed(..) => "sealed",
-        Written::Gone => "gone",
-        Written::Failed => "failed",
+        ExportResult::Sealed(..) => "sealed",
+        ExportResult::ContextGone => "gone",
+        ExportResult::Failed => "failed",
     };
     metrics::counter!("coursestile_exports_total", "outcome" => outcome).increment(1);
     with(&kernel, &model, |acting| {
-        acting.dispatcher.keeper.exported(now_ms(), &export, written);
+        acting.dispatcher.context.record_export(now_ms(), &export, written);
     });
 }
 
-async fn delete(kernel: Arc<Kernel>, model: String, delete: Delete) {
+async fn delete(kernel: Arc<Kernel>, model: String, delete: BlockDeletion) {
     if kernel.upstreams.delete(&delete.store_url, &delete.block).await {
         with(&kernel, &model, |acting| {
-            acting.dispatcher.keeper.deleted(&delete.block);
+            acting.dispatcher.context.record_deletion(&delete.block);
         });
     }
 }
@@ -163,7 +163,7 @@
             if !slow {
                 continue;
             }
-            let deletes = with(&kernel, &model, |acting| acting.dispatcher.keeper.tick(now_ms()));
+            let deletes = with(&kernel, &model, |acting| acting.dispatcher.context.tick(now_ms()));
             for one in deletes {
                 tokio::spawn(delete(kernel.clone(), model.clone(), one));
             }
@@ -203,7 +203,8 @@
         ));
     }
     let writer = kernel.me.to_string();
-    let keeper = Keeper::new(settings.keep, stores, settings.prompt_records, token_bytes, &writer);
+    let keeper =
+        ContextManager::new(settings.keep, stores, settings.prompt_records, token_bytes, &writer);
     let dispatcher = Dispatcher::new(settings.policies, engines, keeper);
     let mut acting = Acting { dispatcher, asked_at_ms: now_ms(), askers: BTreeMap::new() };
     acting.follow(model, &kernel.configuration.current());
@@ -249,7 +250,7 @@
     info!(target: "dispatch", "Took over {} blocks of store {store}.", own.len());
     with(&kernel, &model, |acting| {
         for block in own {
-            acting.dispatcher.keeper.adopt(now_ms(), &store, block);
+            acting.dispatcher.context.adopt_block(now_ms(), &store, block);
         }
     });
 }
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -104,7 +104,7 @@
                 model: model.clone(),
                 waiting: dispatcher.queue_len(),
                 places_in_use: dispatcher.slots_in_use(),
-                prompts: dispatcher.keeper.directory.len(),
+                prompts: dispatcher.context.directory.len(),
                 engines: engines.map(|one| (one.name.clone(), one.outstanding)).collect(),
                 served_tokens: served.map(|(name, tokens)| (name.to_owned(), tokens)).collect(),
             }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -15,7 +15,7 @@
 use crate::dispatcher::places::{Running, work_tokens};
 use crate::edge::EngineReport;
 use crate::fleet::{Engine, Fleet};
-use crate::keeper::{Export, Keeper};
+use crate::keeper::{ContextManager, Export};
 use crate::refusal::{Reason, Refusal};
 use crate::route::RoutePolicy;
 use crate::share::{SharePolicy, ShareQueue};
@@ -55,21 +55,21 @@
     running: HashMap<SlotRequestId, Running>,
     throughput: Throughput,
     /// Kept context.
-    pub keeper: Keeper,
+    pub context: ContextManager,
     turn: usize,
 }
 
 impl Dispatcher {
     /// Starts with nothing running.
     #[must_use]
-    pub fn new(policies: Policies, engines: Vec<Engine>, keeper: Keeper) -> Self {
+    pub fn new(policies: Policies, engines: Vec<Engine>, keeper: ContextManager) -> Self {
         Self {
             policies,
             fleet: Fleet::new(engines),
             queue: ShareQueue::new(policies.share),
             running: HashMap::new(),
             throughput: Throughput::default(),
-            keeper,
+            context: keeper,
             turn: 0,
         }
     }
@@ -78,7 +78,7 @@
     pub fn engine_report(&mut self, now_ms: u64, name: &str, report: Option<&EngineReport>) {
         // With another version, an engine holds nothing of what it held.
         if let Some(engine) = self.fleet.engine_report(now_ms, name, report) {
-            self.keeper.directory.forget_engine(narrow(engine));
+            self.context.directory.forget_engine(narrow(engine));
         }
     }
 
@@ -161,7 +161,7 @@
             self.release(now_ms, &id, 0, SlotEnd::Cancelled);
         }
         let mut actions = self.place_waiting(now_ms);
-        actions.extend(self.keeper.plan_put_off(now_ms).map(Action::Export));
+        actions.extend(self.context.plan_deferred_export(now_ms).map(Action::Export));
         let late = self.queue.take_out(|waiting| waiting.deadline_ms <= now_ms);
         let fleet = &self.fleet;
         let lost = self.queue.take_out(|waiting| !fleet.can_serve(now_ms, &waiting.item));
@@ -197,7 +197,7 @@
     }
 
     fn expected_work(&self, ask: &SlotRequest) -> f64 {
-        let matching = self.keeper.directory.matching(&ask.prefix);
+        let matching = self.context.directory.matching(&ask.prefix);
         let held = matching.map(|(_, common)| common).max().unwrap_or(0);
         work_tokens(ask.prompt_tokens.saturating_sub(held), ask.max_tokens)
     }
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -3,7 +3,7 @@
 use crate::ask::{Grant, ImportReport, SlotEnd, SlotRequest, SlotRequestId, SlotResponse};
 use crate::dispatcher::{Action, Dispatcher, narrow};
 use crate::fleet::Engine;
-use crate::keeper::Source;
+use crate::keeper::ExportSource;
 use crate::route::{Demand, choose};
 use crate::share::GENERATED_TOKEN_WEIGHT;
 
@@ -46,7 +46,7 @@
     }
 
     fn grant(&mut self, now_ms: u64, ask: SlotRequest, work_tokens: f64) -> Grant {
-        let offer = self.keeper.offer(now_ms, &ask);
+        let offer = self.context.best_import(now_ms, &ask);
         let demand = Demand {
             prompt_tokens: ask.prompt_tokens,
             weights: ask.weights,
@@ -61,7 +61,7 @@
             let spared_tokens = offer.tokens.saturating_sub(cached[choice.engine].tokens);
             let spared_ms =
                 f64::from(spared_tokens) * self.fleet.engines[choice.engine].prefill_ms_per_token;
-            self.keeper.start_import(now_ms, &ask.scope, &block, &offer, spared_ms)
+            self.context.plan_import(now_ms, &ask.scope, &block, &offer, spared_ms)
         });
         let held_tokens = match (&import, demand.offer) {
             (Some(_), Some(offer)) => offer.tokens,
@@ -93,7 +93,7 @@
         used.outstanding += 1;
         used.pending_tokens += u64::from(uncached_tokens);
         let (account, until_ms) = (&ask.scope.account, ask.worthless_at_ms);
-        let record = self.keeper.directory.used(now_ms, account, &ask.prefix, until_ms);
+        let record = self.context.directory.used(now_ms, account, &ask.prefix, until_ms);
         if let (Some(record), Some(mark)) = (record, ask.prefix.last()) {
             let before = record.used_at(narrow(engine));
             let now = used.cache.touch(before, mark.tokens);
@@ -104,7 +104,7 @@
     /// Tokens of the prompt that each engine is believed to hold.
     fn held(&self, ask: &SlotRequest) -> Vec<Held> {
         let mut cached = vec![Held::default(); self.fleet.engines.len()];
-        for (record, common) in self.keeper.directory.matching(&ask.prefix) {
+        for (record, common) in self.context.directory.matching(&ask.prefix) {
             for copy in &record.copies {
                 let index = usize::from(copy.engine);
                 let engine = &self.fleet.engines[index];
@@ -120,7 +120,7 @@
 
     pub(super) fn imported(&mut self, now_ms: u64, id: &SlotRequestId, imported: &ImportReport) {
         if let Some(running) = self.running.get(id) {
-            self.keeper.imported(now_ms, &running.ask.prefix, imported);
+            self.context.record_import(now_ms, &running.ask.prefix, imported);
         }
     }
 
@@ -166,8 +166,8 @@
         if end == SlotEnd::Finished {
             let Engine { url, prefill_ms_per_token: token_ms, .. } = &self.fleet.engines[engine];
             let (engine_url, request, token_ms) = (url.clone(), request.to_owned(), *token_ms);
-            let source = Source { ask, engine_url, request, prefill_ms_per_token: token_ms };
-            actions.extend(self.keeper.plan_export(now_ms, source).map(Action::Export));
+            let source = ExportSource { ask, engine_url, request, prefill_ms_per_token: token_ms };
+            actions.extend(self.context.plan_export(now_ms, source).map(Action::Export));
         }
         actions.extend(self.place_waiting(now_ms));
         actions
--- a/src/edge.rs
+++ b/src/edge.rs
@@ -12,7 +12,7 @@
 use crate::assembler::Piece;
 use crate::blocks::{BlockId, Seal};
 use crate::error::Result;
-use crate::keeper::{Export, Listed, Written};
+use crate::keeper::{Export, ExportResult, StoredBlock};
 use crate::ledger::Outcome;
 use crate::wire::Call;
 
@@ -172,7 +172,7 @@
     fn report(&self, url: &str) -> impl Future<Output = Option<EngineReport>> + Send;
 
     /// Has a run's context written to a store.
-    fn export(&self, export: &Export) -> impl Future<Output = Written> + Send;
+    fn export(&self, export: &Export) -> impl Future<Output = ExportResult> + Send;
 
     /// Has a block staged from a store; returns what arrived.
     fn stage(
@@ -216,7 +216,7 @@
     fn delete(&self, url: &str, block: &BlockId) -> impl Future<Output = bool> + Send;
 
     /// Lists the sealed blocks.
-    fn list(&self, url: &str) -> impl Future<Output = Option<Vec<Listed>>> + Send;
+    fn list(&self, url: &str) -> impl Future<Output = Option<Vec<StoredBlock>>> + Send;
 }
 
 /// What a worker of a plain service made of a call.
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -47,7 +47,7 @@
 
 /// A block that a store lists.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct StoredBlock {
     /// The block.
     pub id: BlockId,
     /// Its size as the store counts it.
@@ -75,7 +75,7 @@
 
 /// Context that an engine holds after a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Source {
+pub struct ExportSource {
     /// The request.
     pub ask: SlotRequest,
     /// Where the engine listens.
@@ -88,18 +88,18 @@
 
 /// How a write ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum ExportResult {
     /// It is sealed, and takes so many bytes.
     Sealed(Seal, u64),
     /// The engine does not hold the context any more.
-    Gone,
+    ContextGone,
     /// The store or the engine failed.
     Failed,
 }
 
 /// An order to delete a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Delete {
+pub struct BlockDeletion {
     /// The block.
     pub block: BlockId,
     /// Where its store listens.
@@ -108,20 +108,20 @@
 
 /// Kept context of one dispatcher.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct ContextManager {
     policy: KeepPolicy,
     /// Known prompts.
     pub directory: Directory,
     blocks: Blocks,
     stores: BTreeMap<String, Store>,
     shares: BTreeMap<String, f64>,
-    put_off: VecDeque<(u64, Source)>,
+    deferred_exports: VecDeque<(u64, ExportSource)>,
     writer: String,
     next_nonce: u64,
     token_bytes: u64,
 }
 
-impl Keeper {
+impl ContextManager {
     /// Starts without knowledge of prompts or blocks.
     #[must_use]
     pub fn new(
@@ -137,7 +137,7 @@
             blocks: Blocks::default(),
             stores,
             shares: BTreeMap::new(),
-            put_off: VecDeque::new(),
+            deferred_exports: VecDeque::new(),
             writer: writer.to_owned(),
             next_nonce: 1,
             token_bytes,
@@ -146,7 +146,7 @@
 
     /// The best kept block for a prompt, and what bringing it takes.
     #[must_use]
-    pub fn offer(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, Offer)> {
+    pub fn best_import(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, Offer)> {
         let offers = self.directory.matching(&ask.prefix).filter_map(|(record, common)| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.scope == ask.scope)?;
@@ -159,7 +159,7 @@
     }
 
     /// Plans the import of a block that was offered; it spares `spared_ms` of reading.
-    pub fn start_import(
+    pub fn plan_import(
         &mut self,
         now_ms: u64,
         scope: &Scope,
@@ -187,7 +187,7 @@
     }
 
     /// Takes in how an import went.
-    pub fn imported(&mut self, now_ms: u64, course: &PrefixChain, imported: &ImportReport) {
+    pub fn record_import(&mut self, now_ms: u64, course: &PrefixChain, imported: &ImportReport) {
         let Some(block) = self.blocks.get(&imported.block) else {
             return;
         };
@@ -206,21 +206,21 @@
 
     /// Plans to write the context of a finished request, if it is worth it.
     /// While the links are busy it is put off for a little.
-    pub fn plan_export(&mut self, now_ms: u64, source: Source) -> Option<Export> {
+    pub fn plan_export(&mut self, now_ms: u64, source: ExportSource) -> Option<Export> {
         let size_bytes = self.worth_writing(now_ms, &source)?;
         let root = source.ask.prefix.root;
         if let Some(store) = self.store_for(now_ms, root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
-        if self.put_off.len() < MAX_PUT_OFF {
-            self.put_off.push_back((now_ms + PUT_OFF_MS, source));
+        if self.deferred_exports.len() < MAX_PUT_OFF {
+            self.deferred_exports.push_back((now_ms + PUT_OFF_MS, source));
         }
         None
     }
 
     /// Plans one of the writes that were put off.
-    pub fn plan_put_off(&mut self, now_ms: u64) -> Option<Export> {
-        let (until_ms, source) = self.put_off.pop_front()?;
+    pub fn plan_deferred_export(&mut self, now_ms: u64) -> Option<Export> {
+        let (until_ms, source) = self.deferred_exports.pop_front()?;
         if until_ms <= now_ms {
             return None;
         }
@@ -228,13 +228,13 @@
         if let Some(store) = self.store_for(now_ms, source.ask.prefix.root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
-        self.put_off.push_front((until_ms, source));
+        self.deferred_exports.push_front((until_ms, source));
         None
     }
 
     /// Size of the block that would be written; none when it is not worth it.
-    fn worth_writing(&mut self, now_ms: u64, source: &Source) -> Option<u64> {
-        let Source { ask, prefill_ms_per_token: token_ms, .. } = source;
+    fn worth_writing(&mut self, now_ms: u64, source: &ExportSource) -> Option<u64> {
+        let ExportSource { ask, prefill_ms_per_token: token_ms, .. } = source;
         let mark = ask.prefix.last().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
         self.shares.insert(ask.scope.account.clone(), ask.share);
         let record = self.directory.record_mut(&ask.prefix)?;
@@ -258,11 +258,11 @@
     fn begin_export(
         &mut self,
         now_ms: u64,
-        source: Source,
+        source: ExportSource,
         store_name: &str,
         size_bytes: u64,
     ) -> Option<Export> {
-        let Source { ask, engine_url, request, .. } = source;
+        let ExportSource { ask, engine_url, request, .. } = source;
         let store = self.stores.get_mut(store_name)?;
         store.plan(now_ms, exact(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
@@ -285,11 +285,13 @@
     }
 
     /// Takes in how a write ended.
-    pub fn exported(&mut self, now_ms: u64, export: &Export, written: Written) {
-        let failed = written == Written::Failed;
+    pub fn record_export(&mut self, now_ms: u64, export: &Export, written: ExportResult) {
+        let failed = written == ExportResult::Failed;
         let sealed = match written {
-            Written::Sealed(seal, size_bytes) => self.blocks.seal(&export.block, seal, size_bytes),
-            Written::Gone | Written::Failed => false,
+            ExportResult::Sealed(seal, size_bytes) => {
+                self.blocks.seal(&export.block, seal, size_bytes)
+            }
+            ExportResult::ContextGone | ExportResult::Failed => false,
         };
         if sealed {
             return;
@@ -302,7 +304,7 @@
     }
 
     /// Takes over a block that a store lists.
-    pub fn adopt(&mut self, now_ms: u64, store: &str, listed: Listed) {
+    pub fn adopt_block(&mut self, now_ms: u64, store: &str, listed: StoredBlock) {
         let Some(mark) = listed.meta.prefix.last() else {
             return;
         };
@@ -321,12 +323,12 @@
     }
 
     /// Forgets a block that was deleted.
-    pub fn deleted(&mut self, id: &BlockId) {
-        self.blocks.deleted(id);
+    pub fn record_deletion(&mut self, id: &BlockId) {
+        self.blocks.remove(id);
     }
 
     /// Frees what is expired or must give way; returns what to delete now.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Delete> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<BlockDeletion> {
         self.blocks.expire_writes(now_ms);
         for name in self.stores.keys().cloned().collect::<Vec<_>>() {
             self.make_room(now_ms, &name);
@@ -339,8 +341,8 @@
         deletable.into_iter().filter_map(|block| self.delete(block)).collect()
     }
 
-    fn delete(&self, block: BlockId) -> Option<Delete> {
+    fn delete(&self, block: BlockId) -> Option<BlockDeletion> {
         let store = self.stores.get(&self.blocks.get(&block)?.store)?;
-        Some(Delete { block, store_url: store.url.clone() })
+        Some(BlockDeletion { block, store_url: store.url.clone() })
     }
 }
--- a/src/keeper/room.rs
+++ b/src/keeper/room.rs
@@ -5,7 +5,7 @@
 use crate::blocks::{Block, BlockId, Phase};
 use crate::directory::Record;
 use crate::keep::{self, Kept};
-use crate::keeper::Keeper;
+use crate::keeper::ContextManager;
 use crate::owner::owner;
 use crate::store::exact;
 
@@ -16,7 +16,7 @@
 /// Backlog of a link above which nothing is written over it.
 const MAX_WRITE_BACKLOG_MS: f64 = 100.0;
 
-impl Keeper {
+impl ContextManager {
     pub(super) fn make_room(&mut self, now_ms: u64, name: &str) {
         let capacity_bytes = self.stores[name].capacity_bytes;
         // What is being freed needs no more room made for it.
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -21,7 +21,7 @@
     ContextStores, EngineError, EnginePiece, EngineReport, Generate, ModelEngines, Order, Pieces,
     PlainServices, Staged, WorkerReply,
 };
-use crate::keeper::{BlockMeta, Export, Listed, Written};
+use crate::keeper::{BlockMeta, Export, ExportResult, StoredBlock};
 use crate::ledger::{Answer, Outcome};
 use crate::pool::{Connections, Pool, Pools};
 use crate::port::is_closed;
@@ -231,7 +231,7 @@
         Some(EngineReport { version, leaving, loading })
     }
 
-    async fn export(&self, export: &Export) -> Written {
+    async fn export(&self, export: &Export) -> ExportResult {
         let body = json!({
             "block_id": export.block, "store": export.store_url,
             "request_id": export.request, "meta": export.meta,
@@ -239,15 +239,15 @@
         let connections = self.pools.connections(&export.engine_url);
         let call = connections.http.post(format!("{}/kv/export", export.engine_url));
         let Ok(response) = connections.send(call.json(&body).timeout(LONG_TIMEOUT)).await else {
-            return Written::Failed;
+            return ExportResult::Failed;
         };
         if response.status() == StatusCode::NOT_FOUND {
-            return Written::Gone;
+            return ExportResult::ContextGone;
         }
         let done: Value = response.json().await.unwrap_or_default();
         match (read_seal(&done), done["size_bytes"].as_u64()) {
-            (Some(seal), Some(size_bytes)) => Written::Sealed(seal, size_bytes),
-            _ => Written::Failed,
+            (Some(seal), Some(size_bytes)) => ExportResult::Sealed(seal, size_bytes),
+            _ => ExportResult::Failed,
         }
     }
 
@@ -328,14 +328,14 @@
         matches!(status, Ok(StatusCode::OK | StatusCode::NOT_FOUND))
     }
 
-    async fn list(&self, url: &str) -> Option<Vec<Listed>> {
+    async fn list(&self, url: &str) -> Option<Vec<StoredBlock>> {
         let connections = self.pools.connections(url);
         let call = connections.http.get(format!("{url}/blocks")).timeout(LONG_TIMEOUT);
         let blocks: Vec<ListedBlock> = connections.send(call).await.ok()?.json().await.ok()?;
         let listed = blocks.into_iter().map(|block| {
             let ListedSeal { len_bytes, checksum, meta } = block.seal;
             let seal = Seal { len_bytes, checksum };
-            Listed { id: block.id, size_bytes: block.size_bytes, seal, meta }
+            StoredBlock { id: block.id, size_bytes: block.size_bytes, seal, meta }
         });
         Some(listed.collect())
     }
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -125,7 +125,7 @@
             let stored = self.stored.get_mut(&id).unwrap();
             assert!(now_ms >= stored.readers_until_ms + PIN_MARGIN_MS || !stored.whole);
             stored.freed = true;
-            self.blocks.deleted(&id);
+            self.blocks.remove(&id);
         }
     }
 }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -10,7 +10,7 @@
 use coursestile::edge::EngineReport;
 use coursestile::fleet::Engine;
 use coursestile::keep::KeepPolicy;
-use coursestile::keeper::{BlockMeta, Keeper, Listed};
+use coursestile::keeper::{BlockMeta, ContextManager, StoredBlock};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
 use coursestile::trace::TraceId;
@@ -22,7 +22,7 @@
     let engine = |name: &str| Engine::new(name, "http://127.0.0.1:1", 8, 65_536, 0.05);
     let store = Store::new("http://127.0.0.1:2", 4_000_000_000, 2e6);
     let stores = BTreeMap::from([("store1".to_owned(), store)]);
-    let keeper = Keeper::new(KeepPolicy::default(), stores, 100, 20_000, "b1");
+    let keeper = ContextManager::new(KeepPolicy::default(), stores, 100, 20_000, "b1");
     Dispatcher::new(Policies::default(), vec![engine("e1"), engine("e2")], keeper)
 }
 
@@ -35,8 +35,8 @@
     };
     let seal = Seal { len_bytes: 1, checksum: "c".to_owned() };
     let size_bytes = u64::from(ask.prefix.tokens()) * 20_000;
-    let listed = Listed { id: BlockId("kept".to_owned()), size_bytes, seal, meta };
-    dispatcher.keeper.adopt(NOW_MS, "store1", listed);
+    let listed = StoredBlock { id: BlockId("kept".to_owned()), size_bytes, seal, meta };
+    dispatcher.context.adopt_block(NOW_MS, "store1", listed);
 }
 
 /// An ask with always the same prompt.
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -7,7 +7,7 @@
 use coursestile::blocks::Seal;
 use coursestile::context::{PrefixChain, Scope};
 use coursestile::keep::KeepPolicy;
-use coursestile::keeper::{Keeper, Source, Written};
+use coursestile::keeper::{ContextManager, ExportResult, ExportSource};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
 use coursestile::trace::TraceId;
@@ -16,10 +16,10 @@
 const TOKEN_BYTES: u64 = 20_000;
 const RATE: f64 = 2e6;
 
-fn keeper(policy: KeepPolicy, capacity_bytes: u64) -> Keeper {
+fn keeper(policy: KeepPolicy, capacity_bytes: u64) -> ContextManager {
     let store = Store::new("http://s", capacity_bytes, RATE);
     let stores = BTreeMap::from([("s".to_owned(), store)]);
-    Keeper::new(policy, stores, 1000, TOKEN_BYTES, "box")
+    ContextManager::new(policy, stores, 1000, TOKEN_BYTES, "box")
 }
 
 /// An ask for a prompt of 4,000 tokens; context is worth keeping until 1,000 s.
@@ -45,17 +45,17 @@
 }
 
 /// Uses a prompt and has its context written; false when it is not worth it.
-fn write(keeper: &mut Keeper, now_ms: u64, ask: &SlotRequest) -> bool {
+fn write(keeper: &mut ContextManager, now_ms: u64, ask: &SlotRequest) -> bool {
     let account = &ask.scope.account;
     keeper.directory.used(now_ms, account, &ask.prefix, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
-    let source = Source { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
+    let source = ExportSource { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
     let Some(export) = keeper.plan_export(now_ms, source) else {
         return false;
     };
     let seal = Seal { len_bytes: 1, checksum: "c".to_owned() };
     let size_bytes = u64::from(ask.prefix.tokens()) * TOKEN_BYTES;
-    keeper.exported(now_ms, &export, Written::Sealed(seal, size_bytes));
+    keeper.record_export(now_ms, &export, ExportResult::Sealed(seal, size_bytes));
     true
 }
 
@@ -64,19 +64,19 @@
     let mut keeper = keeper(KeepPolicy::Worth, 1 << 40);
     let ask = ask("a", 1);
     assert!(write(&mut keeper, 1000, &ask));
-    let (block, first) = keeper.offer(10_000, &ask).unwrap();
+    let (block, first) = keeper.best_import(10_000, &ask).unwrap();
     for _ in 0..20 {
         let (expected_ms, took_ms, result) = (40, 400, ImportResult::Done);
         let imported = ImportReport { block: block.clone(), expected_ms, took_ms, result };
-        keeper.imported(10_000, &ask.prefix, &imported);
+        keeper.record_import(10_000, &ask.prefix, &imported);
     }
-    let slow = keeper.offer(10_000, &ask).unwrap().1;
+    let slow = keeper.best_import(10_000, &ask).unwrap().1;
     assert!(slow.link_ms > first.link_ms * 3.0, "{slow:?}");
     // Nothing is brought meanwhile, so nothing is measured either.
     for second in 11..60 {
         keeper.tick(second * 1000);
     }
-    let later = keeper.offer(60_000, &ask).unwrap().1;
+    let later = keeper.best_import(60_000, &ask).unwrap().1;
     assert!(later.link_ms < first.link_ms * 1.5, "{later:?}");
 }
 
@@ -94,10 +94,10 @@
     for book in 2..12 {
         write(&mut keeper, 20_000 + book as u64 * 1000, &ask("a", book));
         for delete in keeper.tick(20_500 + book as u64 * 1000) {
-            keeper.deleted(&delete.block);
+            keeper.record_deletion(&delete.block);
         }
     }
-    assert_eq!(usize::from(keeper.offer(60_000, &returning).is_some()), kept);
+    assert_eq!(usize::from(keeper.best_import(60_000, &returning).is_some()), kept);
 }
 
 #[test]
@@ -111,10 +111,10 @@
             write(&mut keeper, 2000 + book as u64 * 1000 + again, &ask("large", book));
         }
         for delete in keeper.tick(2500 + book as u64 * 1000) {
-            keeper.deleted(&delete.block);
+            keeper.record_deletion(&delete.block);
         }
     }
-    assert!(keeper.offer(60_000, &small).is_some(), "a large account pushed out a small one");
+    assert!(keeper.best_import(60_000, &small).is_some(), "a large account pushed out a small one");
 }
 
 #[test]
@@ -123,8 +123,8 @@
     let ask = ask("a", 1);
     assert!(write(&mut keeper, 1000, &ask));
     keeper.tick(999_999);
-    assert!(keeper.offer(999_999, &ask).is_some());
+    assert!(keeper.best_import(999_999, &ask).is_some());
     keeper.tick(1_000_000);
-    assert!(keeper.offer(1_000_000, &ask).is_none());
+    assert!(keeper.best_import(1_000_000, &ask).is_none());
     assert_eq!(keeper.tick(1_010_000).len(), 1, "it is deleted past every pin");
 }
