--- a/src/directory.rs
+++ b/src/directory.rs
@@ -9,35 +9,35 @@
 use crate::blocks::BlockId;
 use crate::cache::Use;
 use crate::context::PrefixChain;
-use crate::keep::{Prior, Returns};
+use crate::keep::{ReusePrior, ReuseStats};
 
 /// Most records that start with the same block.
 const MAX_RECORDS_PER_ROOT: usize = 8;
 
 /// What an engine is believed to hold of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Copy {
+pub struct EngineCopy {
     /// Index of the engine in the fleet.
     pub engine: u16,
     /// Tokens from the start on.
     pub tokens: u32,
     /// When the engine used it last.
-    pub used: Use,
+    pub last_use: Use,
 }
 
 /// A known course of prompts.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct PromptRecord {
     /// Client account that it belongs to.
     pub account: String,
     /// Course of the longest prompt seen.
     pub prefix: PrefixChain,
     /// Engines that are believed to hold some of it.
-    pub copies: Vec<Copy>,
+    pub copies: Vec<EngineCopy>,
     /// Block that a store keeps or is being given.
     pub block: Option<BlockId>,
     /// How often it comes back.
-    pub returns: Returns,
+    pub reuse: ReuseStats,
     /// When its context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
 }
@@ -45,8 +45,8 @@
 /// All records of one dispatcher.
 #[derive(Debug, Default)]
 pub struct Directory {
-    by_root: HashMap<u64, Vec<Record>>,
-    priors: HashMap<String, Prior>,
+    by_root: HashMap<u64, Vec<PromptRecord>>,
+    priors: HashMap<String, ReusePrior>,
     len: usize,
     capacity: usize,
 }
@@ -74,25 +74,25 @@
     pub fn matching<'a>(
         &'a self,
         course: &'a PrefixChain,
-    ) -> impl Iterator<Item = (&'a Record, u32)> {
+    ) -> impl Iterator<Item = (&'a PromptRecord, u32)> {
         let records = self.by_root.get(&course.root).into_iter().flatten();
         records.map(move |record| (record, course.common_tokens(&record.prefix)))
     }
 
     /// What is known of the prompts of an account.
     #[must_use]
-    pub fn prior(&self, account: &str) -> Prior {
+    pub fn prior(&self, account: &str) -> ReusePrior {
         self.priors.get(account).copied().unwrap_or_default()
     }
 
     /// Counts a use of the prompt; its record is made when there is none.
-    pub fn used(
+    pub fn record_use(
         &mut self,
         now_ms: u64,
         account: &str,
         course: &PrefixChain,
         worthless_at_ms: u64,
-    ) -> Option<&mut Record> {
+    ) -> Option<&mut PromptRecord> {
         if course.is_empty() {
             return None;
         }
@@ -100,19 +100,19 @@
         let records = self.by_root.entry(course.root).or_default();
         let index = if let Some(index) = course_of(records, course) {
             let record = &mut records[index];
-            let gap_ms = now_ms.saturating_sub(record.returns.last_used_at_ms);
-            prior.return_after(gap_ms, record.returns.returns == 0);
-            record.returns.used(now_ms);
+            let gap_ms = now_ms.saturating_sub(record.reuse.last_used_at_ms);
+            prior.record_reuse(gap_ms, record.reuse.reuses == 0);
+            record.reuse.record_use(now_ms);
             record.worthless_at_ms = record.worthless_at_ms.max(worthless_at_ms);
             index
         } else {
-            prior.first_use();
+            prior.record_first_use();
             if records.len() >= MAX_RECORDS_PER_ROOT {
                 self.len -= usize::from(drop_oldest(records));
             }
             self.len += 1;
             records.reserve_exact(1);
-            records.push(Record::new(now_ms, account, course, worthless_at_ms));
+            records.push(PromptRecord::new(now_ms, account, course, worthless_at_ms));
             records.len() - 1
         };
         let record = &mut records[index];
@@ -138,21 +138,21 @@
         let index = course_of(records, course).unwrap_or_else(|| {
             self.len += 1;
             records.reserve_exact(1);
-            records.push(Record::new(now_ms, account, course, worthless_at_ms));
+            records.push(PromptRecord::new(now_ms, account, course, worthless_at_ms));
             records.len() - 1
         });
         records[index].block.get_or_insert_with(|| block.clone());
     }
 
     /// The record that `course` belongs to.
-    pub fn record_mut(&mut self, course: &PrefixChain) -> Option<&mut Record> {
+    pub fn record_mut(&mut self, course: &PrefixChain) -> Option<&mut PromptRecord> {
         let records = self.by_root.get_mut(&course.root)?;
         let index = course_of(records, course)?;
         Some(&mut records[index])
     }
 
     /// All records.
-    pub fn iter(&self) -> impl Iterator<Item = &Record> {
+    pub fn iter(&self) -> impl Iterator<Item = &PromptRecord> {
         self.by_root.values().flatten()
     }
 
@@ -175,7 +175,7 @@
     pub fn prune(&mut self, now_ms: u64) {
         let mut oldest_kept_ms = 0;
         if self.len > self.capacity {
-            let mut uses: Vec<_> = self.iter().map(|one| one.returns.last_used_at_ms).collect();
+            let mut uses: Vec<_> = self.iter().map(|one| one.reuse.last_used_at_ms).collect();
             let excess = self.len - self.capacity * 9 / 10;
             let (_, cut, _) = uses.select_nth_unstable(excess);
             oldest_kept_ms = *cut;
@@ -183,7 +183,7 @@
         self.by_root.retain(|_, records| {
             records.retain(|record| {
                 let wanted = record.worthless_at_ms > now_ms
-                    && record.returns.last_used_at_ms >= oldest_kept_ms;
+                    && record.reuse.last_used_at_ms >= oldest_kept_ms;
                 wanted || record.block.is_some()
             });
             !records.is_empty()
@@ -192,27 +192,27 @@
     }
 }
 
-impl Record {
+impl PromptRecord {
     fn new(now_ms: u64, account: &str, course: &PrefixChain, worthless_at_ms: u64) -> Self {
         Self {
             account: account.to_owned(),
             prefix: course.clone(),
             copies: Vec::new(),
             block: None,
-            returns: Returns::new(now_ms),
+            reuse: ReuseStats::new(now_ms),
             worthless_at_ms,
         }
     }
 
     /// When an engine used this course last.
     #[must_use]
-    pub fn used_at(&self, engine: u16) -> Option<Use> {
-        self.copies.iter().find(|copy| copy.engine == engine).map(|copy| copy.used)
+    pub fn last_use_by(&self, engine: u16) -> Option<Use> {
+        self.copies.iter().find(|copy| copy.engine == engine).map(|copy| copy.last_use)
     }
 
     /// Notes that an engine holds `tokens` of this course.
-    pub fn held(&mut self, engine: u16, tokens: u32, used: Use) {
-        let copy = Copy { engine, tokens, used };
+    pub fn record_copy(&mut self, engine: u16, tokens: u32, used: Use) {
+        let copy = EngineCopy { engine, tokens, last_use: used };
         match self.copies.iter_mut().find(|copy| copy.engine == engine) {
             Some(known) => *known = copy,
             None => self.copies.push(copy),
@@ -221,14 +221,14 @@
 }
 
 /// The record that continues `course` or is continued by it.
-fn course_of(records: &[Record], course: &PrefixChain) -> Option<usize> {
+fn course_of(records: &[PromptRecord], course: &PrefixChain) -> Option<usize> {
     records.iter().position(|record| record.prefix.continues(course))
 }
 
 /// Drops the record used longest ago among those without a block.
-fn drop_oldest(records: &mut Vec<Record>) -> bool {
+fn drop_oldest(records: &mut Vec<PromptRecord>) -> bool {
     let free = records.iter().enumerate().filter(|(_, record)| record.block.is_none());
-    let oldest = free.min_by_key(|(_, record)| record.returns.last_used_at_ms);
+    let oldest = free.min_by_key(|(_, record)| record.reuse.last_used_at_ms);
     let index = oldest.map(|(index, _)| index);
     index.map(|index| records.swap_remove(index)).is_some()
 }
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -93,11 +93,11 @@
         used.outstanding += 1;
         used.pending_tokens += u64::from(uncached_tokens);
         let (account, until_ms) = (&ask.scope.account, ask.worthless_at_ms);
-        let record = self.context.directory.used(now_ms, account, &ask.prefix, until_ms);
+        let record = self.context.directory.record_use(now_ms, account, &ask.prefix, until_ms);
         if let (Some(record), Some(mark)) = (record, ask.prefix.last()) {
-            let before = record.used_at(narrow(engine));
+            let before = record.last_use_by(narrow(engine));
             let now = used.cache.touch(before, mark.tokens);
-            record.held(narrow(engine), mark.tokens, now);
+            record.record_copy(narrow(engine), mark.tokens, now);
         }
     }
 
@@ -109,8 +109,8 @@
                 let index = usize::from(copy.engine);
                 let engine = &self.fleet.engines[index];
                 let tokens = copy.tokens.min(common);
-                if engine.cache.holds(copy.used) && tokens > cached[index].tokens {
-                    let depth_tokens = engine.cache.depth_tokens(copy.used);
+                if engine.cache.holds(copy.last_use) && tokens > cached[index].tokens {
+                    let depth_tokens = engine.cache.depth_tokens(copy.last_use);
                     cached[index] = Held { tokens, depth_tokens };
                 }
             }
--- a/src/keep.rs
+++ b/src/keep.rs
@@ -33,84 +33,84 @@
 /// Age at which the fixed-time policy drops a block, in milliseconds.
 pub const FIXED_TTL_MS: u64 = 600_000;
 /// Chance of a return below which context is not written to a store.
-const LEAST_RETURN_CHANCE: f64 = 0.25;
+const MIN_REUSE_PROBABILITY: f64 = 0.25;
 
 /// How often a prompt, or the prompts of an account, come back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Returns {
+pub struct ReuseStats {
     /// First use, in Unix milliseconds.
     pub first_used_at_ms: u64,
     /// Newest use, in Unix milliseconds.
     pub last_used_at_ms: u64,
     /// Uses after the first.
-    pub returns: u32,
+    pub reuses: u32,
 }
 
-impl Returns {
+impl ReuseStats {
     /// Starts with a first use.
     #[must_use]
     pub fn new(now_ms: u64) -> Self {
-        Self { first_used_at_ms: now_ms, last_used_at_ms: now_ms, returns: 0 }
+        Self { first_used_at_ms: now_ms, last_used_at_ms: now_ms, reuses: 0 }
     }
 
     /// Counts a use.
-    pub fn used(&mut self, now_ms: u64) {
+    pub fn record_use(&mut self, now_ms: u64) {
         self.last_used_at_ms = now_ms;
-        self.returns += 1;
+        self.reuses += 1;
     }
 }
 
 /// What is known of an account's prompts together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prior {
+pub struct ReusePrior {
     prompts: f64,
-    returned: f64,
-    gap_ms: f64,
+    reused_prompts: f64,
+    mean_gap_ms: f64,
 }
 
-impl Default for Prior {
+impl Default for ReusePrior {
     fn default() -> Self {
-        Self { prompts: 1.0, returned: 0.5, gap_ms: 60_000.0 }
+        Self { prompts: 1.0, reused_prompts: 0.5, mean_gap_ms: 60_000.0 }
     }
 }
 
 /// Weight of a new gap in the account's mean.
 const GAP_WEIGHT: f64 = 0.05;
 
-impl Prior {
+impl ReusePrior {
     /// Counts a prompt seen for the first time.
-    pub fn first_use(&mut self) {
+    pub fn record_first_use(&mut self) {
         self.prompts += 1.0;
     }
 
     /// Counts a return after `gap_ms`; `first` says that it is the prompt's
     /// first return.
-    pub fn return_after(&mut self, gap_ms: u64, first: bool) {
-        self.returned += if first { 1.0 } else { 0.0 };
-        self.gap_ms += GAP_WEIGHT * (millis(gap_ms) - self.gap_ms);
+    pub fn record_reuse(&mut self, gap_ms: u64, first: bool) {
+        self.reused_prompts += if first { 1.0 } else { 0.0 };
+        self.mean_gap_ms += GAP_WEIGHT * (millis(gap_ms) - self.mean_gap_ms);
     }
 
     /// Share of the account's prompts that come back.
     #[must_use]
-    pub fn return_chance(&self) -> f64 {
-        (self.returned / self.prompts).min(1.0)
+    pub fn reuse_probability(&self) -> f64 {
+        (self.reused_prompts / self.prompts).min(1.0)
     }
 }
 
 /// Returns per millisecond that are expected of a prompt.
 #[must_use]
-pub fn return_rate(now_ms: u64, returns: &Returns, prior: &Prior) -> f64 {
+pub fn reuse_rate(now_ms: u64, returns: &ReuseStats, prior: &ReusePrior) -> f64 {
     let idle_ms = millis(now_ms.saturating_sub(returns.last_used_at_ms));
     let active_ms = millis(returns.last_used_at_ms - returns.first_used_at_ms);
-    let seen = prior.return_chance() + f64::from(returns.returns);
-    seen / (prior.gap_ms + active_ms + idle_ms)
+    let seen = prior.reuse_probability() + f64::from(returns.reuses);
+    seen / (prior.mean_gap_ms + active_ms + idle_ms)
 }
 
 /// A block as the policies see it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Kept {
+pub struct BlockStats {
     /// Use of its prompt.
-    pub returns: Returns,
+    pub reuse: ReuseStats,
     /// When it is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
     /// Recompute that it saves, in milliseconds.
@@ -123,13 +123,13 @@
 
 /// Order in which blocks give way: the least goes first.
 #[must_use]
-pub fn rank(policy: KeepPolicy, now_ms: u64, kept: &Kept, prior: &Prior) -> f64 {
-    let last_used = millis(kept.returns.last_used_at_ms);
+pub fn rank(policy: KeepPolicy, now_ms: u64, kept: &BlockStats, prior: &ReusePrior) -> f64 {
+    let last_used = millis(kept.reuse.last_used_at_ms);
     match policy {
         KeepPolicy::Lru | KeepPolicy::Ttl => last_used,
         KeepPolicy::Worth if now_ms >= kept.worthless_at_ms => -1.0,
         KeepPolicy::Worth => {
-            let rate = return_rate(now_ms, &kept.returns, prior);
+            let rate = reuse_rate(now_ms, &kept.reuse, prior);
             let worth = rate * kept.saved_ms / millis(kept.size_bytes.max(1));
             // An account over its share gives way to all that are within.
             if kept.over_share { worth - 0.5 } else { worth }
@@ -139,30 +139,30 @@
 
 /// Whether a block has outlived its use.
 #[must_use]
-pub fn expired(policy: KeepPolicy, now_ms: u64, kept: &Kept) -> bool {
+pub fn expired(policy: KeepPolicy, now_ms: u64, kept: &BlockStats) -> bool {
     match policy {
         KeepPolicy::Lru => false,
-        KeepPolicy::Ttl => now_ms >= kept.returns.last_used_at_ms + FIXED_TTL_MS,
+        KeepPolicy::Ttl => now_ms >= kept.reuse.last_used_at_ms + FIXED_TTL_MS,
         KeepPolicy::Worth => now_ms >= kept.worthless_at_ms,
     }
 }
 
 /// Whether context is worth writing to a store.
 #[must_use]
-pub fn worth_writing(
+pub fn worth_exporting(
     policy: KeepPolicy,
     now_ms: u64,
-    kept: &Kept,
-    prior: &Prior,
+    kept: &BlockStats,
+    prior: &ReusePrior,
     transfer_ms: f64,
 ) -> bool {
     match policy {
         KeepPolicy::Lru | KeepPolicy::Ttl => true,
         KeepPolicy::Worth => {
             let left_ms = millis(kept.worthless_at_ms.saturating_sub(now_ms));
-            let expected = return_rate(now_ms, &kept.returns, prior) * left_ms;
+            let expected = reuse_rate(now_ms, &kept.reuse, prior) * left_ms;
             let chance = 1.0 - (-expected).exp();
-            chance >= LEAST_RETURN_CHANCE && kept.saved_ms > transfer_ms
+            chance >= MIN_REUSE_PROBABILITY && kept.saved_ms > transfer_ms
         }
     }
 }
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -14,7 +14,7 @@
 use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
 use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
-use crate::keep::{self, KeepPolicy, Kept};
+use crate::keep::{self, BlockStats, KeepPolicy};
 use crate::route::Offer;
 use crate::store::{Store, exact, whole_ms};
 
@@ -242,8 +242,8 @@
             return None;
         }
         let size_bytes = u64::from(mark.tokens) * self.token_bytes;
-        let kept = Kept {
-            returns: record.returns,
+        let kept = BlockStats {
+            reuse: record.reuse,
             worthless_at_ms: record.worthless_at_ms,
             saved_ms: f64::from(mark.tokens) * token_ms,
             size_bytes,
@@ -252,7 +252,7 @@
         let rates = self.stores.values().map(|store| store.bytes_per_ms);
         let transfer_ms = exact(size_bytes) / rates.fold(1.0, f64::max);
         let prior = self.directory.prior(&ask.scope.account);
-        keep::worth_writing(self.policy, now_ms, &kept, &prior, transfer_ms).then_some(size_bytes)
+        keep::worth_exporting(self.policy, now_ms, &kept, &prior, transfer_ms).then_some(size_bytes)
     }
 
     fn begin_export(
--- a/src/keeper/room.rs
+++ b/src/keeper/room.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::blocks::{Block, BlockId, Phase};
-use crate::directory::Record;
-use crate::keep::{self, Kept};
+use crate::directory::PromptRecord;
+use crate::keep::{self, BlockStats};
 use crate::keeper::ContextManager;
 use crate::owner::owner;
 use crate::store::exact;
@@ -82,13 +82,13 @@
     id: BlockId,
     account: String,
     root: u64,
-    kept: Kept,
+    kept: BlockStats,
 }
 
 impl KeptBlock {
-    fn new(id: &BlockId, record: &Record, block: &Block, over_share: bool) -> Self {
-        let kept = Kept {
-            returns: record.returns,
+    fn new(id: &BlockId, record: &PromptRecord, block: &Block, over_share: bool) -> Self {
+        let kept = BlockStats {
+            reuse: record.reuse,
             worthless_at_ms: record.worthless_at_ms,
             saved_ms: f64::from(block.prefix_end.tokens),
             size_bytes: block.size_bytes,
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -47,7 +47,7 @@
 /// Uses a prompt and has its context written; false when it is not worth it.
 fn write(keeper: &mut ContextManager, now_ms: u64, ask: &SlotRequest) -> bool {
     let account = &ask.scope.account;
-    keeper.directory.used(now_ms, account, &ask.prefix, ask.worthless_at_ms);
+    keeper.directory.record_use(now_ms, account, &ask.prefix, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
     let source = ExportSource { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
     let Some(export) = keeper.plan_export(now_ms, source) else {
