--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -4,7 +4,7 @@
 use crate::dispatcher::{Action, Dispatcher, narrow};
 use crate::fleet::Engine;
 use crate::keeper::ExportSource;
-use crate::route::{Demand, choose};
+use crate::route::{RoutingRequest, choose_engine};
 use crate::share::GENERATED_TOKEN_WEIGHT;
 
 /// Time for which a place is held without a renewal.
@@ -47,14 +47,14 @@
 
     fn grant(&mut self, now_ms: u64, ask: SlotRequest, work_tokens: f64) -> Grant {
         let offer = self.context.best_import(now_ms, &ask);
-        let demand = Demand {
+        let demand = RoutingRequest {
             prompt_tokens: ask.prompt_tokens,
             weights: ask.weights,
-            offer: offer.as_ref().map(|(_, offer)| *offer),
+            import: offer.as_ref().map(|(_, offer)| *offer),
         };
         let cached = self.held(&ask);
         let candidates = self.fleet.candidates(now_ms, &ask, |engine| cached[engine].tokens);
-        let choice = choose(self.policies.route, &demand, &candidates, self.turn)
+        let choice = choose_engine(self.policies.route, &demand, &candidates, self.turn)
             .expect("an ask is popped only when an engine fits");
         self.turn += 1;
         let import = offer.filter(|_| choice.import).and_then(|(block, offer)| {
@@ -63,7 +63,7 @@
                 f64::from(spared_tokens) * self.fleet.engines[choice.engine].prefill_ms_per_token;
             self.context.plan_import(now_ms, &ask.scope, &block, &offer, spared_ms)
         });
-        let held_tokens = match (&import, demand.offer) {
+        let held_tokens = match (&import, demand.import) {
             (Some(_), Some(offer)) => offer.tokens,
             _ => cached[choice.engine].tokens,
         };
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::ask::SlotRequest;
 use crate::cache::Cache;
 use crate::edge::EngineReport;
-use crate::route::Candidate;
+use crate::route::EngineCandidate;
 
 /// First wait after a failure.
 const FIRST_COOLDOWN_MS: u64 = 500;
@@ -96,11 +96,17 @@
 
     /// The engine as a candidate that holds `cached_tokens` of the prompt.
     #[must_use]
-    pub fn candidate(&self, engine: usize, cached_tokens: u32) -> Candidate {
+    pub fn candidate(&self, engine: usize, cached_tokens: u32) -> EngineCandidate {
         #[expect(clippy::cast_precision_loss, reason = "token counts stay far below 2^52")]
         let wait_ms = self.pending_tokens as f64 * self.prefill_ms_per_token;
         let (outstanding, token_ms) = (self.outstanding, self.prefill_ms_per_token);
-        Candidate { engine, outstanding, wait_ms, prefill_ms_per_token: token_ms, cached_tokens }
+        EngineCandidate {
+            engine,
+            outstanding,
+            wait_ms,
+            prefill_ms_per_token: token_ms,
+            cached_tokens,
+        }
     }
 
     /// Notes a failure: the engine is left alone for a while.
@@ -229,7 +235,7 @@
         now_ms: u64,
         ask: &SlotRequest,
         cached: impl Fn(usize) -> u32,
-    ) -> Vec<Candidate> {
+    ) -> Vec<EngineCandidate> {
         let all = self.engines.iter().enumerate();
         let fit = all.filter(|(_, engine)| engine.can_run(now_ms, ask));
         fit.map(|(index, engine)| engine.candidate(index, cached(index))).collect()
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -15,7 +15,7 @@
 use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
 use crate::keep::{self, BlockStats, KeepPolicy};
-use crate::route::Offer;
+use crate::route::ImportEstimate;
 use crate::store::{Store, exact, whole_ms};
 
 /// Least context worth a block, in tokens.
@@ -146,7 +146,7 @@
 
     /// The best kept block for a prompt, and what bringing it takes.
     #[must_use]
-    pub fn best_import(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, Offer)> {
+    pub fn best_import(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, ImportEstimate)> {
         let offers = self.directory.matching(&ask.prefix).filter_map(|(record, common)| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.scope == ask.scope)?;
@@ -164,7 +164,7 @@
         now_ms: u64,
         scope: &Scope,
         id: &BlockId,
-        offer: &Offer,
+        offer: &ImportEstimate,
         spared_ms: f64,
     ) -> Option<Import> {
         // Given up before it is late by what reading takes, it would cost more than it may.
--- a/src/route.rs
+++ b/src/route.rs
@@ -37,7 +37,7 @@
 
 /// Kept context that could be brought to an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Offer {
+pub struct ImportEstimate {
     /// Tokens of the prompt that it covers.
     pub tokens: u32,
     /// Time until it is there, with what the link has to do before.
@@ -48,7 +48,7 @@
 
 /// An engine that could run the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Candidate {
+pub struct EngineCandidate {
     /// Index of the engine at the caller's.
     pub engine: usize,
     /// Requests in progress there.
@@ -63,18 +63,18 @@
 
 /// The request to place.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Demand {
+pub struct RoutingRequest {
     /// Length of the prompt.
     pub prompt_tokens: u32,
     /// The account's weights.
     pub weights: Weights,
     /// Kept context, if there is any.
-    pub offer: Option<Offer>,
+    pub import: Option<ImportEstimate>,
 }
 
 /// A place for the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Choice {
+pub struct RoutingChoice {
     /// The engine.
     pub engine: usize,
     /// Whether kept context is brought there first.
@@ -85,12 +85,12 @@
 
 /// Chooses among `candidates`; `turn` counts the choices made so far.
 #[must_use]
-pub fn choose(
+pub fn choose_engine(
     policy: RoutePolicy,
-    demand: &Demand,
-    candidates: &[Candidate],
+    demand: &RoutingRequest,
+    candidates: &[EngineCandidate],
     turn: usize,
-) -> Option<Choice> {
+) -> Option<RoutingChoice> {
     let best = match policy {
         RoutePolicy::RoundRobin => candidates.get(turn % candidates.len().max(1)),
         RoutePolicy::LeastOutstanding => candidates.iter().min_by_key(|one| one.outstanding),
@@ -103,11 +103,11 @@
 }
 
 struct Plan {
-    choice: Choice,
+    choice: RoutingChoice,
     cost: f64,
 }
 
-fn cheapest(demand: &Demand, candidates: &[Candidate]) -> Option<Choice> {
+fn cheapest(demand: &RoutingRequest, candidates: &[EngineCandidate]) -> Option<RoutingChoice> {
     let plans = candidates.iter().map(|one| (plan(demand, one), one.outstanding));
     let best =
         plans.min_by(|left, right| left.0.cost.total_cmp(&right.0.cost).then(left.1.cmp(&right.1)));
@@ -115,14 +115,15 @@
 }
 
 /// The cheaper way to run on one engine: with or without the kept context.
-fn plan(demand: &Demand, candidate: &Candidate) -> Plan {
+fn plan(demand: &RoutingRequest, candidate: &EngineCandidate) -> Plan {
     let weights = &demand.weights;
     let plain = recompute_ms(demand, candidate, candidate.cached_tokens);
     let first_token = candidate.wait_ms + plain;
     let cost = weights.first_token * first_token + weights.recompute * plain;
     let engine = candidate.engine;
-    let without = Plan { choice: Choice { engine, import: false, recompute_ms: plain }, cost };
-    let Some(offer) = demand.offer.filter(|offer| offer.tokens > candidate.cached_tokens) else {
+    let without =
+        Plan { choice: RoutingChoice { engine, import: false, recompute_ms: plain }, cost };
+    let Some(offer) = demand.import.filter(|offer| offer.tokens > candidate.cached_tokens) else {
         return without;
     };
     let rest = recompute_ms(demand, candidate, offer.tokens);
@@ -131,10 +132,10 @@
     let cost = weights.first_token * first_token
         + weights.recompute * rest
         + weights.link * offer.transfer_ms;
-    let with = Plan { choice: Choice { engine, import: true, recompute_ms: rest }, cost };
+    let with = Plan { choice: RoutingChoice { engine, import: true, recompute_ms: rest }, cost };
     if with.cost < without.cost { with } else { without }
 }
 
-fn recompute_ms(demand: &Demand, candidate: &Candidate, held_tokens: u32) -> f64 {
+fn recompute_ms(demand: &RoutingRequest, candidate: &EngineCandidate, held_tokens: u32) -> f64 {
     f64::from(demand.prompt_tokens.saturating_sub(held_tokens)) * candidate.prefill_ms_per_token
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
 //! A store box and its link, as a dispatcher plans with them.
 
 use crate::blocks::Block;
-use crate::route::Offer;
+use crate::route::ImportEstimate;
 
 /// Time for which a store that failed is left alone.
 const COOLDOWN_MS: u64 = 3000;
@@ -49,10 +49,10 @@
 
     /// What bringing a block takes that has `common` tokens of the prompt.
     #[must_use]
-    pub fn offer(&self, now_ms: u64, block: &Block, common: u32) -> Offer {
+    pub fn offer(&self, now_ms: u64, block: &Block, common: u32) -> ImportEstimate {
         let transfer_ms = exact(block.size_bytes) / self.bytes_per_ms;
         let link_ms = self.backlog_ms(now_ms) + transfer_ms;
-        Offer { tokens: common.min(block.prefix_end.tokens), link_ms, transfer_ms }
+        ImportEstimate { tokens: common.min(block.prefix_end.tokens), link_ms, transfer_ms }
     }
 
     /// Plans a transfer.
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,23 +1,25 @@
 //! Where a request runs, case by case.
 
 use coursestile::account::Weights;
-use coursestile::route::{Candidate, Demand, Offer, RoutePolicy, choose};
+use coursestile::route::{
+    EngineCandidate, ImportEstimate, RoutePolicy, RoutingRequest, choose_engine,
+};
 use rstest::rstest;
 
-fn candidate(engine: usize, outstanding: u32, wait_ms: f64, cached_tokens: u32) -> Candidate {
-    Candidate { engine, outstanding, wait_ms, prefill_ms_per_token: 0.03, cached_tokens }
+fn candidate(engine: usize, outstanding: u32, wait_ms: f64, cached_tokens: u32) -> EngineCandidate {
+    EngineCandidate { engine, outstanding, wait_ms, prefill_ms_per_token: 0.03, cached_tokens }
 }
 
-fn demand(offer: Option<Offer>) -> Demand {
-    Demand { prompt_tokens: 6000, weights: Weights::default(), offer }
+fn demand(offer: Option<ImportEstimate>) -> RoutingRequest {
+    RoutingRequest { prompt_tokens: 6000, weights: Weights::default(), import: offer }
 }
 
 #[rstest]
 #[case::warm_wins(&[candidate(0, 0, 0.0, 0), candidate(1, 3, 40.0, 5888)], 1)]
 #[case::too_busy(&[candidate(0, 0, 0.0, 0), candidate(1, 7, 400.0, 5888)], 0)]
 #[case::tie_to_idle(&[candidate(0, 2, 0.0, 0), candidate(1, 1, 0.0, 0)], 1)]
-fn cost_compared(#[case] candidates: &[Candidate], #[case] expected: usize) {
-    let choice = choose(RoutePolicy::Cost, &demand(None), candidates, 0).unwrap();
+fn cost_compared(#[case] candidates: &[EngineCandidate], #[case] expected: usize) {
+    let choice = choose_engine(RoutePolicy::Cost, &demand(None), candidates, 0).unwrap();
     assert_eq!((choice.engine, choice.import), (expected, false));
 }
 
@@ -26,19 +28,19 @@
 #[case::link_busy(500.0, 0, false)]
 #[case::already_there(60.0, 5888, false)]
 fn import_weighed(#[case] link_ms: f64, #[case] cached_tokens: u32, #[case] expected: bool) {
-    let offer = Offer { tokens: 5888, link_ms, transfer_ms: 60.0 };
+    let offer = ImportEstimate { tokens: 5888, link_ms, transfer_ms: 60.0 };
     let candidates = [candidate(0, 0, 0.0, cached_tokens)];
-    let choice = choose(RoutePolicy::Cost, &demand(Some(offer)), &candidates, 0).unwrap();
+    let choice = choose_engine(RoutePolicy::Cost, &demand(Some(offer)), &candidates, 0).unwrap();
     assert_eq!(choice.import, expected);
 }
 
 #[test]
 fn weights_decide() {
-    let offer = Offer { tokens: 5888, link_ms: 200.0, transfer_ms: 60.0 };
+    let offer = ImportEstimate { tokens: 5888, link_ms: 200.0, transfer_ms: 60.0 };
     let candidates = [candidate(0, 0, 0.0, 0)];
     let import = |weights| {
-        let demand = Demand { weights, ..demand(Some(offer)) };
-        choose(RoutePolicy::Cost, &demand, &candidates, 0).unwrap().import
+        let demand = RoutingRequest { weights, ..demand(Some(offer)) };
+        choose_engine(RoutePolicy::Cost, &demand, &candidates, 0).unwrap().import
     };
     assert!(!import(Weights { first_token: 1.0, recompute: 0.0, link: 0.0 }), "slower");
     assert!(import(Weights { first_token: 1.0, recompute: 1.0, link: 0.0 }), "recomputes less");
@@ -52,10 +54,10 @@
 fn baselines_differ(#[case] policy: RoutePolicy, #[case] expected: usize) {
     let candidates =
         [candidate(0, 5, 90.0, 5000), candidate(1, 4, 50.0, 0), candidate(2, 0, 0.0, 0)];
-    assert_eq!(choose(policy, &demand(None), &candidates, 4).unwrap().engine, expected);
+    assert_eq!(choose_engine(policy, &demand(None), &candidates, 4).unwrap().engine, expected);
 }
 
 #[test]
 fn nobody_free() {
-    assert!(choose(RoutePolicy::Cost, &demand(None), &[], 0).is_none());
+    assert!(choose_engine(RoutePolicy::Cost, &demand(None), &[], 0).is_none());
 }
