--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -151,7 +151,7 @@
 
     /// Drops an ask that waits.
     pub fn withdraw(&mut self, id: &SlotRequestId) {
-        self.queue.take_out(|waiting| waiting.item.id == *id);
+        self.queue.remove_where(|waiting| waiting.item.id == *id);
     }
 
     /// Does what is due: places fall free, waiting asks are placed or refused.
@@ -162,9 +162,9 @@
         }
         let mut actions = self.place_waiting(now_ms);
         actions.extend(self.context.plan_deferred_export(now_ms).map(Action::Export));
-        let late = self.queue.take_out(|waiting| waiting.deadline_ms <= now_ms);
+        let late = self.queue.remove_where(|waiting| waiting.deadline_ms <= now_ms);
         let fleet = &self.fleet;
-        let lost = self.queue.take_out(|waiting| !fleet.can_serve(now_ms, &waiting.item));
+        let lost = self.queue.remove_where(|waiting| !fleet.can_serve(now_ms, &waiting.item));
         let late = late.into_iter().map(|ask| (ask, Refusal::not_run(Reason::DeadlinePassed)));
         let lost = lost.into_iter().map(|ask| (ask, no_upstream(now_ms)));
         actions.extend(late.chain(lost).map(|(ask, refusal)| Action::Respond {
--- a/src/share.rs
+++ b/src/share.rs
@@ -12,7 +12,7 @@
 /// Work of a generated token, in prompt tokens.
 pub const GENERATED_TOKEN_WEIGHT: f64 = 4.0;
 /// Smallest share used as a divisor.
-const LEAST_SHARE: f64 = 1e-6;
+const MIN_SHARE: f64 = 1e-6;
 
 /// How waiting work is ordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 /// One piece of waiting work.
 #[derive(Clone, Debug)]
-pub struct Waiting<T> {
+pub struct QueuedItem<T> {
     /// What waits.
     pub item: T,
     /// Work that it is expected to take, in tokens.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct AccountQueue<T> {
     name: String,
-    waiting: VecDeque<Waiting<T>>,
+    waiting: VecDeque<QueuedItem<T>>,
     virtual_tokens: f64,
     share: f64,
     priority: i8,
@@ -65,7 +65,7 @@
 
     fn rank(&self) -> f64 {
         let credit = f64::from(self.priority) * PRIORITY_CREDIT_TOKENS;
-        self.virtual_tokens + credit / self.share.max(LEAST_SHARE)
+        self.virtual_tokens + credit / self.share.max(MIN_SHARE)
     }
 
     fn queued_tokens(&self) -> f64 {
@@ -129,9 +129,9 @@
     ) {
         let index = self.index_of(account);
         if self.active.insert(index) {
-            self.lift(index);
+            self.raise_to_floor(index);
         }
-        let waiting = Waiting { item, work_tokens, deadline_ms, arrival: self.arrivals };
+        let waiting = QueuedItem { item, work_tokens, deadline_ms, arrival: self.arrivals };
         self.arrivals += 1;
         self.len += 1;
         self.waiting.insert(index);
@@ -141,7 +141,7 @@
     }
 
     /// Lifts an account that was away to the least active one.
-    fn lift(&mut self, index: usize) {
+    fn raise_to_floor(&mut self, index: usize) {
         let others = self.active.iter().filter(|other| **other != index);
         let tokens = others.map(|other| self.queues[*other].virtual_tokens);
         if let Some(least) = tokens.min_by(f64::total_cmp) {
@@ -152,7 +152,7 @@
     }
 
     /// Takes the next item that `fits`, and charges its account for it.
-    pub fn pop(&mut self, fits: impl Fn(&T) -> bool) -> Option<(String, Waiting<T>)> {
+    pub fn pop(&mut self, fits: impl Fn(&T) -> bool) -> Option<(String, QueuedItem<T>)> {
         let candidates = self.waiting.iter().filter_map(|index| {
             let queue = &self.queues[*index];
             let place = queue.waiting.iter().position(|waiting| fits(&waiting.item))?;
@@ -167,10 +167,10 @@
         let queue = &mut self.queues[index];
         let waiting = queue.waiting.remove(place)?;
         queue.running += 1;
-        queue.virtual_tokens += waiting.work_tokens / queue.share.max(LEAST_SHARE);
+        queue.virtual_tokens += waiting.work_tokens / queue.share.max(MIN_SHARE);
         let name = queue.name.clone();
         self.len -= 1;
-        self.settle(index);
+        self.drop_if_idle(index);
         Some((name, waiting))
     }
 
@@ -182,8 +182,8 @@
         };
         let queue = &mut self.queues[index];
         queue.running = queue.running.saturating_sub(1);
-        queue.virtual_tokens += extra_tokens / queue.share.max(LEAST_SHARE);
-        self.settle(index);
+        queue.virtual_tokens += extra_tokens / queue.share.max(MIN_SHARE);
+        self.drop_if_idle(index);
     }
 
     /// Whether an item that `wanted` says waits.
@@ -194,14 +194,14 @@
     }
 
     /// Takes out all items that `gone` says are not wanted any more.
-    pub fn take_out(&mut self, mut gone: impl FnMut(&Waiting<T>) -> bool) -> Vec<T> {
+    pub fn remove_where(&mut self, mut gone: impl FnMut(&QueuedItem<T>) -> bool) -> Vec<T> {
         let mut out = Vec::new();
         for index in self.waiting.clone() {
             let all = std::mem::take(&mut self.queues[index].waiting);
             let (lost, kept): (Vec<_>, Vec<_>) = all.into_iter().partition(&mut gone);
             self.queues[index].waiting = kept.into();
             out.extend(lost.into_iter().map(|waiting| waiting.item));
-            self.settle(index);
+            self.drop_if_idle(index);
         }
         self.len -= out.len();
         out
@@ -217,7 +217,7 @@
             return self.waiting.iter().map(queued).sum();
         }
         let own = own_index.map_or(0.0, queued);
-        let share = share.max(LEAST_SHARE);
+        let share = share.max(MIN_SHARE);
         let others = self.waiting.iter().filter(|index| Some(*index) != own_index);
         let meanwhile =
             others.map(|index| queued(index).min(own * self.queues[*index].share / share));
@@ -247,7 +247,7 @@
     }
 
     /// Takes an account off the lists that it no longer belongs to.
-    fn settle(&mut self, index: usize) {
+    fn drop_if_idle(&mut self, index: usize) {
         let queue = &self.queues[index];
         if queue.waiting.is_empty() {
             self.waiting.remove(&index);
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -94,5 +94,5 @@
     queue.push("b", 1.0, 0, 2, 10.0, FAR_MS);
     assert_eq!(queue.pop(|item| *item == 2).unwrap().0, "b");
     assert!(queue.pop(|item| *item == 2).is_none());
-    assert_eq!(queue.take_out(|_| true), [1]);
+    assert_eq!(queue.remove_where(|_| true), [1]);
 }
