--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -242,7 +242,7 @@
     let outcome = Outcome::Answered(answer);
     let time = time_us(10_000, |number| {
         ledger.begin(1, &key(number), 1, u64::MAX);
-        ledger.finish(&key(number), &outcome);
+        ledger.record_outcome(&key(number), &outcome);
     });
     let memory = resident_bytes().saturating_sub(before);
     row("ledger, 10,000 calls with answers of 200 bytes", Some(time), Some(memory));
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -41,7 +41,7 @@
         expires_at_ms: now_ms() + TICKET_TTL_MS,
         serial: kernel.take_number(),
     };
-    (ticket.seal(&kernel.settings.cluster_key, account), ticket.expires_at_ms)
+    (ticket.sign(&kernel.settings.cluster_key, account), ticket.expires_at_ms)
 }
 
 /// Serves a call that its caller may repeat, or that has no key.
@@ -69,7 +69,7 @@
 ) -> Result<Answer, Refusal> {
     let _running = kernel.calls.count_running();
     let key = &kernel.settings.cluster_key;
-    let ticket = Ticket::open(key, &call.key.account, idempotency_key).map_err(bad_ticket)?;
+    let ticket = Ticket::verify(key, &call.key.account, idempotency_key).map_err(bad_ticket)?;
     call.ticket_expires_at_ms = ticket.expires_at_ms;
     let end = if ticket.spender == kernel.me {
         spend(kernel, &call).await
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -48,22 +48,22 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum Spent {
+enum KeyState {
     Running,
     Answered(Answer),
     Unknown,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Line {
+struct LedgerEntry {
     fingerprint: u64,
     expires_at_ms: u64,
-    spent: Spent,
+    state: KeyState,
 }
 
 /// What to do with a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum CallDecision {
     /// Run it: the key is spent now.
     Run,
     /// The first call with this key still runs: wait for it.
@@ -91,7 +91,7 @@
 /// All keys spent by one incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    lines: HashMap<CallKey, Line>,
+    entries: HashMap<CallKey, LedgerEntry>,
     usage: HashMap<String, Usage>,
     closed: bool,
 }
@@ -104,45 +104,46 @@
         key: &CallKey,
         fingerprint: u64,
         expires_at_ms: u64,
-    ) -> Begin {
+    ) -> CallDecision {
         if now_ms >= expires_at_ms {
-            return Begin::Expired;
+            return CallDecision::Expired;
         }
-        if let Some(line) = self.lines.get(key) {
-            return line.begin_again(fingerprint);
+        if let Some(line) = self.entries.get(key) {
+            return line.decide_repeat(fingerprint);
         }
         if self.closed {
-            return Begin::Closed;
+            return CallDecision::Closed;
         }
         let usage = self.usage.entry(key.account.clone()).or_default();
         if usage.keys >= MAX_KEYS_PER_ACCOUNT {
-            return Begin::Full;
+            return CallDecision::Full;
         }
         usage.keys += 1;
-        let line = Line { fingerprint, expires_at_ms, spent: Spent::Running };
-        self.lines.insert(key.clone(), line);
-        Begin::Run
+        let line = LedgerEntry { fingerprint, expires_at_ms, state: KeyState::Running };
+        self.entries.insert(key.clone(), line);
+        CallDecision::Run
     }
 
     /// Records how a call that was told to run has ended.
     ///
     /// # Panics
     /// Panics when the call does not run: a key would be spent twice.
-    pub fn finish(&mut self, key: &CallKey, outcome: &Outcome) {
-        let line = self.lines.get_mut(key).expect("a running call has a line");
-        assert_eq!(line.spent, Spent::Running, "a call ends once");
+    pub fn record_outcome(&mut self, key: &CallKey, outcome: &Outcome) {
+        let line = self.entries.get_mut(key).expect("a running call has a line");
+        assert_eq!(line.state, KeyState::Running, "a call ends once");
         let usage = self.usage.entry(key.account.clone()).or_default();
         match outcome {
             Outcome::NotRun => {
                 usage.keys -= 1;
-                self.lines.remove(key);
+                self.entries.remove(key);
             }
-            Outcome::Unknown => line.spent = Spent::Unknown,
+            Outcome::Unknown => line.state = KeyState::Unknown,
             Outcome::Answered(answer) => {
                 let bytes = answer.body.len();
                 let fits = usage.answer_bytes + bytes <= MAX_ANSWER_BYTES_PER_ACCOUNT;
                 usage.answer_bytes += if fits { bytes } else { 0 };
-                line.spent = if fits { Spent::Answered(answer.clone()) } else { Spent::Unknown };
+                line.state =
+                    if fits { KeyState::Answered(answer.clone()) } else { KeyState::Unknown };
             }
         }
     }
@@ -150,8 +151,8 @@
     /// Forgets keys whose ticket has expired and that do not run.
     pub fn expire(&mut self, now_ms: u64) {
         let usage = &mut self.usage;
-        self.lines.retain(|key, line| {
-            let keep = line.spent == Spent::Running || line.expires_at_ms > now_ms;
+        self.entries.retain(|key, line| {
+            let keep = line.state == KeyState::Running || line.expires_at_ms > now_ms;
             if let Some(usage) = usage.get_mut(&key.account).filter(|_| !keep) {
                 usage.keys -= 1;
                 usage.answer_bytes -= line.answer_bytes();
@@ -169,16 +170,16 @@
     /// Whether a call still runs.
     #[must_use]
     pub fn has_running(&self) -> bool {
-        self.lines.values().any(|line| line.spent == Spent::Running)
+        self.entries.values().any(|line| line.state == KeyState::Running)
     }
 
     /// The ledger as another box keeps it after this one has stopped.
     #[must_use]
-    pub fn handover(&self) -> Self {
+    pub fn handover_copy(&self) -> Self {
         let mut copy = self.clone();
         copy.closed = true;
-        for line in copy.lines.values_mut().filter(|line| line.spent == Spent::Running) {
-            line.spent = Spent::Unknown;
+        for line in copy.entries.values_mut().filter(|line| line.state == KeyState::Running) {
+            line.state = KeyState::Unknown;
         }
         copy
     }
@@ -186,32 +187,32 @@
     /// Number of keys held.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.entries.len()
     }
 
     /// Whether no key is held.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.entries.is_empty()
     }
 }
 
-impl Line {
-    fn begin_again(&self, fingerprint: u64) -> Begin {
+impl LedgerEntry {
+    fn decide_repeat(&self, fingerprint: u64) -> CallDecision {
         if self.fingerprint != fingerprint {
-            return Begin::Mismatch;
+            return CallDecision::Mismatch;
         }
-        match &self.spent {
-            Spent::Running => Begin::Wait,
-            Spent::Answered(answer) => Begin::Replay(answer.clone()),
-            Spent::Unknown => Begin::Unknown,
+        match &self.state {
+            KeyState::Running => CallDecision::Wait,
+            KeyState::Answered(answer) => CallDecision::Replay(answer.clone()),
+            KeyState::Unknown => CallDecision::Unknown,
         }
     }
 
     fn answer_bytes(&self) -> usize {
-        match &self.spent {
-            Spent::Answered(answer) => answer.body.len(),
-            Spent::Running | Spent::Unknown => 0,
+        match &self.state {
+            KeyState::Answered(answer) => answer.body.len(),
+            KeyState::Running | KeyState::Unknown => 0,
         }
     }
 }
--- a/src/spending.rs
+++ b/src/spending.rs
@@ -6,7 +6,7 @@
 use crate::clock::now_ms;
 use crate::invariant::{Invariant, check};
 use crate::kernel::Kernel;
-use crate::ledger::Begin;
+use crate::ledger::CallDecision;
 use crate::refusal::Reason;
 use crate::sync::locked;
 use crate::ticket::BoxRef;
@@ -27,8 +27,8 @@
         let expires_at_ms = call.ticket_expires_at_ms;
         let begin = kernel.calls.ledger().begin(now_ms(), &call.key, fingerprint, expires_at_ms);
         match begin {
-            Begin::Run => break,
-            Begin::Wait => tokio::time::sleep(WAIT_POLL).await,
+            CallDecision::Run => break,
+            CallDecision::Wait => tokio::time::sleep(WAIT_POLL).await,
             begin => return end_of(begin),
         }
     }
@@ -37,20 +37,22 @@
     let spent = tokio::spawn(async move {
         let _running = kernel.calls.count_running();
         let end = run(&kernel, &call, false).await;
-        kernel.calls.ledger().finish(&call.key, &end.outcome);
+        kernel.calls.ledger().record_outcome(&call.key, &end.outcome);
         end
     });
     spent.await.unwrap_or_else(|_| CallEnd::unknown(Reason::UpstreamFailed))
 }
 
-fn end_of(begin: Begin) -> CallEnd {
+fn end_of(begin: CallDecision) -> CallEnd {
     match begin {
-        Begin::Replay(answer) => CallEnd::answered(answer),
-        Begin::Unknown | Begin::Run | Begin::Wait => CallEnd::unknown(Reason::UpstreamFailed),
-        Begin::Mismatch => CallEnd::not_run(Reason::KeyMismatch),
-        Begin::Expired => CallEnd::unknown(Reason::TicketExpired),
-        Begin::Full => CallEnd::not_run(Reason::TooManyKeys),
-        Begin::Closed => CallEnd::not_run(Reason::Stopping),
+        CallDecision::Replay(answer) => CallEnd::answered(answer),
+        CallDecision::Unknown | CallDecision::Run | CallDecision::Wait => {
+            CallEnd::unknown(Reason::UpstreamFailed)
+        }
+        CallDecision::Mismatch => CallEnd::not_run(Reason::KeyMismatch),
+        CallDecision::Expired => CallEnd::unknown(Reason::TicketExpired),
+        CallDecision::Full => CallEnd::not_run(Reason::TooManyKeys),
+        CallDecision::Closed => CallEnd::not_run(Reason::Stopping),
     }
 }
 
@@ -60,6 +62,6 @@
     let mut inherited = locked(&kernel.calls.inherited);
     let ledger = inherited.get_mut(spender)?;
     let begin = ledger.begin(now_ms(), &call.key, fingerprint(call).0, call.ticket_expires_at_ms);
-    check(Invariant::SentOnce, begin != Begin::Run, || call.key.key.clone());
+    check(Invariant::SentOnce, begin != CallDecision::Run, || call.key.key.clone());
     Some(end_of(begin))
 }
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -12,7 +12,7 @@
 pub type ClusterKey = [u8; 32];
 
 /// Hex digits of a seal.
-const SEAL_DIGITS: usize = 32;
+const MAC_HEX_DIGITS: usize = 32;
 
 /// One run of one box's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -54,9 +54,9 @@
 impl Ticket {
     /// The prefix to give to `account`.
     #[must_use]
-    pub fn seal(&self, key: &ClusterKey, account: &str) -> String {
+    pub fn sign(&self, key: &ClusterKey, account: &str) -> String {
         let body = self.body();
-        let seal = seal(key, account, &body);
+        let seal = mac(key, account, &body);
         format!("{body}.{seal}")
     }
 
@@ -69,14 +69,14 @@
     ///
     /// # Errors
     /// Says what is wrong with the key; the call has not run.
-    pub fn open(
+    pub fn verify(
         key: &ClusterKey,
         account: &str,
         idempotency_key: &str,
     ) -> Result<Self, TicketError> {
         let (prefix, _) = idempotency_key.split_once('/').ok_or(TicketError::NoPrefix)?;
         let (body, given) = prefix.rsplit_once('.').ok_or(TicketError::Malformed)?;
-        let expected = seal(key, account, body);
+        let expected = mac(key, account, body);
         if !bool::from(expected.as_bytes().ct_eq(given.as_bytes())) {
             return Err(TicketError::WrongSeal);
         }
@@ -97,10 +97,10 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-fn seal(key: &ClusterKey, account: &str, body: &str) -> String {
+fn mac(key: &ClusterKey, account: &str, body: &str) -> String {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&(account.len() as u64).to_le_bytes());
     hasher.update(account.as_bytes());
     hasher.update(body.as_bytes());
-    hasher.finalize().to_hex()[..SEAL_DIGITS].to_owned()
+    hasher.finalize().to_hex()[..MAC_HEX_DIGITS].to_owned()
 }
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -151,7 +151,7 @@
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_in_force(&boxes, 4, 3).await;
     let ticket = Ticket { spender: leaver.me.clone(), expires_at_ms: now_ms() + 60_000, serial: 1 };
-    let key = format!("{}/1", ticket.seal(&cluster_key(), "petra"));
+    let key = format!("{}/1", ticket.sign(&cluster_key(), "petra"));
     let order = |at: usize| {
         let order = call(&fleet, at, "petra-key", "/orders/1").header("idempotency-key", &key);
         order.header("x-timeout-ms", 8000).send()
@@ -160,7 +160,7 @@
     let mut ledger = Ledger::default();
     let other = CallKey { account: "petra".to_owned(), key: "other".to_owned() };
     ledger.begin(now_ms(), &other, 0, now_ms() + 60_000);
-    let ledger = ledger.handover();
+    let ledger = ledger.handover_copy();
     let (of, ledger) = (leaver.me.clone(), Box::new(ledger));
     leaver.send(Message::Handover { of, ledger });
     for at in [0, 1] {
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use coursestile::ledger::{Answer, Begin, CallKey, Ledger, Outcome};
+use coursestile::ledger::{Answer, CallDecision, CallKey, Ledger, Outcome};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
@@ -72,7 +72,7 @@
         let begin = self.ledger.begin(now_ms, &call_key(key), fingerprint, EXPIRES_AT_MS);
         let truth = self.truth.entry(key).or_default();
         match begin {
-            Begin::Run => {
+            CallDecision::Run => {
                 assert!(!self.closed && now_ms < EXPIRES_AT_MS);
                 *truth = Truth {
                     runs: truth.runs + 1,
@@ -82,13 +82,13 @@
                 };
                 assert_eq!(truth.runs, 1, "key {key} ran twice");
             }
-            Begin::Wait => assert!(truth.running),
-            Begin::Replay(answer) => assert!(truth.answered && answer.body == [key]),
-            Begin::Unknown => assert!(truth.runs == 1 && !truth.answered),
-            Begin::Mismatch => assert_ne!(truth.fingerprint, Some(fingerprint)),
-            Begin::Expired => assert!(now_ms >= EXPIRES_AT_MS),
-            Begin::Closed => assert!(self.closed && truth.runs == 0, "'not run' is true"),
-            Begin::Full => panic!("six keys are not too many"),
+            CallDecision::Wait => assert!(truth.running),
+            CallDecision::Replay(answer) => assert!(truth.answered && answer.body == [key]),
+            CallDecision::Unknown => assert!(truth.runs == 1 && !truth.answered),
+            CallDecision::Mismatch => assert_ne!(truth.fingerprint, Some(fingerprint)),
+            CallDecision::Expired => assert!(now_ms >= EXPIRES_AT_MS),
+            CallDecision::Closed => assert!(self.closed && truth.runs == 0, "'not run' is true"),
+            CallDecision::Full => panic!("six keys are not too many"),
         }
     }
 
@@ -107,11 +107,11 @@
         if end == 0 {
             *truth = Truth::default();
         }
-        self.ledger.finish(&call_key(key), &outcome);
+        self.ledger.record_outcome(&call_key(key), &outcome);
     }
 
     fn hand_over(&mut self) {
-        self.ledger = self.ledger.handover();
+        self.ledger = self.ledger.handover_copy();
         self.closed = true;
         for truth in self.truth.values_mut() {
             truth.running = false;
