--- a/src/crashes.rs
+++ b/src/crashes.rs
@@ -9,7 +9,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::names::number;
-use crate::quarantine::News;
+use crate::quarantine::UpdateUrgency;
 use crate::sync::locked;
 use crate::upstream::refuses_connections;
 use crate::wire::{Envelope, Message};
@@ -38,13 +38,13 @@
     info!(target: "crashes", "Upstream {upstream} has crashed with request {request}.");
     let now_ms = now_ms();
     let crash = number(&format!("{upstream}/{}", now_ms / RESTART_MS));
-    locked(&kernel.quarantine).crashed(now_ms, request, crash, now_ms);
+    locked(&kernel.quarantine).record_crash(now_ms, request, crash, now_ms);
     tell_peers(kernel);
 }
 
 /// Notes that an upstream has answered a request to its end.
 pub fn note_answered(kernel: &Kernel, request: Fingerprint) {
-    if locked(&kernel.quarantine).answered(request, now_ms()) {
+    if locked(&kernel.quarantine).record_answer(request, now_ms()) {
         tell_peers(kernel);
     }
 }
@@ -53,8 +53,8 @@
 fn tell_peers(kernel: &Kernel) {
     let message = {
         let (mut quarantine, now_ms) = (locked(&kernel.quarantine), now_ms());
-        let answers = quarantine.told_answers(now_ms);
-        Message::Crashes { crashes: quarantine.told_crashes(now_ms), answers }
+        let answers = quarantine.answers_to_announce(now_ms);
+        Message::Crashes { crashes: quarantine.crashes_to_announce(now_ms), answers }
     };
     for address in peers(kernel) {
         kernel.send(&address, message.clone());
@@ -72,8 +72,8 @@
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     let Message::Crashes { crashes, answers } = envelope.message else { return };
-    let news = locked(&kernel.quarantine).hear(now_ms(), &crashes, &answers);
-    if news != News::Nothing {
+    let news = locked(&kernel.quarantine).merge_reports(now_ms(), &crashes, &answers);
+    if news != UpdateUrgency::None {
         tell_peers(kernel);
     }
 }
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -13,7 +13,7 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::quarantine;
 use crate::port::is_closed;
-use crate::quarantine::News;
+use crate::quarantine::UpdateUrgency;
 use crate::sync::locked;
 
 /// Records that an upstream aborted a request before its response was complete. A crash aborts all
@@ -46,7 +46,9 @@
     }
     let mut is_urgent = false;
     for request in requests {
-        if state.quarantine.crashed(now_ms, *request, upstream.number(), now_ms) == News::Urgent {
+        if state.quarantine.record_crash(now_ms, *request, upstream.number(), now_ms)
+            == UpdateUrgency::Urgent
+        {
             quarantine::log_quarantined(&state, now_ms, *request);
             is_urgent = true;
         }
@@ -60,7 +62,7 @@
 
 /// Records that an upstream has answered a request completely.
 pub fn record_answered(gateway: &Gateway, request: Fingerprint) {
-    if gateway.state().quarantine.answered(request, now_ms()) {
+    if gateway.state().quarantine.record_answer(request, now_ms()) {
         info!(target: "crashes", "event=suspect_answered fingerprint={request}");
         gateway.gossip_now.notify_one();
     }
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::decisions::upstream::{Load, SILENT_MS};
 use crate::gateway::decisions::view::ViewDigest;
-use crate::quarantine::{ToldAnswer, ToldCrash};
+use crate::quarantine::{AnswerReport, CrashReport};
 
 /// Most upstreams whose load is reported in one message, so that it fits a datagram.
 const MAX_LOADS: usize = 80;
@@ -55,9 +55,9 @@
     /// the time since this is known, in milliseconds.
     pub leader_terms: Vec<(u64, u32)>,
     /// Upstreams that crashed, with the requests that they were running.
-    pub crashes: Vec<ToldCrash>,
+    pub crashes: Vec<CrashReport>,
     /// Requests that were answered although upstreams had crashed while running them.
-    pub answers: Vec<ToldAnswer>,
+    pub answers: Vec<AnswerReport>,
 }
 
 impl Gossip {
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -180,8 +180,8 @@
         engine_versions: versions(state, now_ms),
         named_versions: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
         leader_terms: terms(state, now_ms, handover_pause_ms(&gateway.settings.bounds)),
-        crashes: state.quarantine.told_crashes(now_ms),
-        answers: state.quarantine.told_answers(now_ms),
+        crashes: state.quarantine.crashes_to_announce(now_ms),
+        answers: state.quarantine.answers_to_announce(now_ms),
     }
 }
 
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -18,7 +18,7 @@
 use crate::gateway::metadata::WriteOutcome;
 use crate::phase::Phase;
 use crate::platform::keys;
-use crate::quarantine::News;
+use crate::quarantine::UpdateUrgency;
 
 /// How often the leader compares the stored quarantine with its own, unless it is woken earlier.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
@@ -45,7 +45,9 @@
 
 /// Merges what a peer reports of crashes and complete answers.
 pub fn merge_peer_reports(gateway: &Gateway, state: &mut State, now_ms: u64, gossip: &Gossip) {
-    if state.quarantine.hear(now_ms, &gossip.crashes, &gossip.answers) != News::Urgent {
+    if state.quarantine.merge_reports(now_ms, &gossip.crashes, &gossip.answers)
+        != UpdateUrgency::Urgent
+    {
         return;
     }
     for crash in &gossip.crashes {
@@ -107,7 +109,7 @@
     match read(value) {
         Ok(stored) => {
             for (request, upstreams) in &stored {
-                state.quarantine.hear_listed(now_ms, *request, upstreams);
+                state.quarantine.merge_listed(now_ms, *request, upstreams);
             }
             gateway.quarantine_changed.notify_waiters();
         }
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -17,34 +17,34 @@
 
 /// Upstreams that must crash under a request before it is quarantined: a bystander meets
 /// one with each of its tries at most.
-pub const CRASHES: usize = 3;
+pub const CRASHES_TO_QUARANTINE: usize = 3;
 /// Time for which a request is quarantined.
 pub const QUARANTINE_MS: u64 = 3_600_000;
 /// Time for which a request is suspect after a crash, quarantine included.
 const SUSPECT_MS: u64 = 2 * QUARANTINE_MS;
 /// Time for which a crash is told to other boxes.
-const TELL_MS: u64 = 3000;
+const ANNOUNCE_MS: u64 = 3000;
 /// Crashes told in one message.
-const TOLD_CRASHES: usize = 48;
+const MAX_ANNOUNCED_CRASHES: usize = 48;
 /// Quarantined requests told in one message, in turn.
-const TOLD_QUARANTINED: usize = 8;
+const MAX_ANNOUNCED_QUARANTINED: usize = 8;
 /// Suspects remembered; a crash of a large upstream brings dozens.
 const MAX_SUSPECTS: usize = 4096;
 
 /// What a message brought; later variants matter more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum News {
+pub enum UpdateUrgency {
     /// Nothing that was not known.
-    Nothing,
+    None,
     /// The first crash under a request, which each bystander has.
-    First,
+    FirstCrash,
     /// What others should know at once.
     Urgent,
 }
 
 /// An upstream that crashed while it had a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldCrash {
+pub struct CrashReport {
     /// The request.
     pub request: Fingerprint,
     /// Number of the upstream's run.
@@ -55,7 +55,7 @@
 
 /// A suspect request that an upstream has answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldAnswer {
+pub struct AnswerReport {
     /// The request.
     pub request: Fingerprint,
     /// Time since, in milliseconds.
@@ -83,17 +83,21 @@
 
     /// Until when it is quarantined; 0 if it never was.
     fn until_ms(&self) -> u64 {
-        if self.crashes.len() < CRASHES { 0 } else { self.last_at_ms() + QUARANTINE_MS }
+        if self.crashes.len() < CRASHES_TO_QUARANTINE {
+            0
+        } else {
+            self.last_at_ms() + QUARANTINE_MS
+        }
     }
 
     /// Counts a crash; whether it was not known.
-    fn crashed(&mut self, crash: Crash) -> bool {
+    fn record_crash(&mut self, crash: Crash) -> bool {
         let is_over = self.answered_at_ms.is_some_and(|at_ms| crash.at_ms <= at_ms);
         let is_known = self.crashes.iter().any(|known| known.upstream == crash.upstream);
         if is_over || is_known {
             return false;
         }
-        if self.crashes.len() == CRASHES {
+        if self.crashes.len() == CRASHES_TO_QUARANTINE {
             if crash.at_ms <= self.last_at_ms() {
                 return false;
             }
@@ -105,7 +109,7 @@
     }
 
     /// Notes an answer; whether it clears crashes.
-    fn answered(&mut self, at_ms: u64) -> bool {
+    fn record_answer(&mut self, at_ms: u64) -> bool {
         let before = self.crashes.len();
         self.answered_at_ms = self.answered_at_ms.max(Some(at_ms));
         self.crashes.retain(|crash| crash.at_ms > at_ms);
@@ -122,34 +126,34 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    turn: usize,
+    next_announced: usize,
 }
 
 impl Quarantine {
     /// Counts an upstream that crashed while it had a request.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now_ms: u64,
         request: Fingerprint,
         upstream: u32,
         at_ms: u64,
-    ) -> News {
+    ) -> UpdateUrgency {
         let suspect = self.suspects.entry(request).or_default();
-        let is_new = suspect.crashed(Crash { upstream, at_ms });
+        let is_new = suspect.record_crash(Crash { upstream, at_ms });
         let news = match suspect.crashes.len() {
-            _ if !is_new => News::Nothing,
-            1 => News::First,
-            _ => News::Urgent,
+            _ if !is_new => UpdateUrgency::None,
+            1 => UpdateUrgency::FirstCrash,
+            _ => UpdateUrgency::Urgent,
         };
         if self.suspects.len() > MAX_SUSPECTS {
-            self.forget(now_ms);
+            self.evict(now_ms);
         }
         news
     }
 
     /// Notes that an upstream has answered a request; whether it was a suspect.
-    pub fn answered(&mut self, request: Fingerprint, at_ms: u64) -> bool {
-        self.suspects.get_mut(&request).is_some_and(|suspect| suspect.answered(at_ms))
+    pub fn record_answer(&mut self, request: Fingerprint, at_ms: u64) -> bool {
+        self.suspects.get_mut(&request).is_some_and(|suspect| suspect.record_answer(at_ms))
     }
 
     /// Until when a request is quarantined; `None` if it is not.
@@ -170,76 +174,82 @@
     }
 
     /// Takes a quarantined request from a list that tells no times.
-    pub fn hear_listed(&mut self, now_ms: u64, request: Fingerprint, upstreams: &[u32]) {
+    pub fn merge_listed(&mut self, now_ms: u64, request: Fingerprint, upstreams: &[u32]) {
         let suspect = self.suspects.entry(request).or_default();
         // The list may be older than the answer.
         if suspect.answered_at_ms.is_none() {
             for upstream in upstreams {
-                suspect.crashed(Crash { upstream: *upstream, at_ms: now_ms });
+                suspect.record_crash(Crash { upstream: *upstream, at_ms: now_ms });
             }
         }
     }
 
     /// Takes what another box told.
-    pub fn hear(&mut self, now_ms: u64, crashes: &[ToldCrash], answers: &[ToldAnswer]) -> News {
-        let mut news = News::Nothing;
+    pub fn merge_reports(
+        &mut self,
+        now_ms: u64,
+        crashes: &[CrashReport],
+        answers: &[AnswerReport],
+    ) -> UpdateUrgency {
+        let mut news = UpdateUrgency::None;
         for told in answers {
             let at_ms = now_ms.saturating_sub(told.age_ms.into());
             // It may be told of before the crash that it clears.
-            if self.suspects.entry(told.request).or_default().answered(at_ms) {
-                news = News::Urgent;
+            if self.suspects.entry(told.request).or_default().record_answer(at_ms) {
+                news = UpdateUrgency::Urgent;
             }
         }
         for told in crashes {
             let at_ms = now_ms.saturating_sub(told.age_ms.into());
-            news = news.max(self.crashed(now_ms, told.request, told.upstream, at_ms));
+            news = news.max(self.record_crash(now_ms, told.request, told.upstream, at_ms));
         }
         news
     }
 
     /// The crashes to tell other boxes of: the latest, those first that matter most, and all
     /// of some quarantined requests in turn.
-    pub fn told_crashes(&mut self, now_ms: u64) -> Vec<ToldCrash> {
-        let mut recent: Vec<(usize, ToldCrash)> = Vec::new();
+    pub fn crashes_to_announce(&mut self, now_ms: u64) -> Vec<CrashReport> {
+        let mut recent: Vec<(usize, CrashReport)> = Vec::new();
         for (request, suspect) in &self.suspects {
-            let late = suspect.crashes.iter().filter(|crash| now_ms < crash.at_ms + TELL_MS);
-            recent
-                .extend(late.map(|crash| (suspect.crashes.len(), told(now_ms, *request, *crash))));
+            let late = suspect.crashes.iter().filter(|crash| now_ms < crash.at_ms + ANNOUNCE_MS);
+            recent.extend(
+                late.map(|crash| (suspect.crashes.len(), crash_report(now_ms, *request, *crash))),
+            );
         }
         recent.sort_unstable_by_key(|(crashes, _)| std::cmp::Reverse(*crashes));
-        recent.truncate(TOLD_CRASHES);
+        recent.truncate(MAX_ANNOUNCED_CRASHES);
         let recent = recent.into_iter().map(|(_, crash)| crash);
-        recent.chain(self.told_quarantined(now_ms)).collect()
+        recent.chain(self.quarantined_to_announce(now_ms)).collect()
     }
 
-    fn told_quarantined(&mut self, now_ms: u64) -> Vec<ToldCrash> {
+    fn quarantined_to_announce(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let mut held: Vec<Fingerprint> = self.quarantined(now_ms).map(|(one, _)| one).collect();
         if held.is_empty() {
             return Vec::new();
         }
         held.sort_unstable();
-        let start = self.turn % held.len();
-        self.turn = self.turn.wrapping_add(TOLD_QUARANTINED);
-        let due = held.iter().cycle().skip(start).take(held.len().min(TOLD_QUARANTINED));
+        let start = self.next_announced % held.len();
+        self.next_announced = self.next_announced.wrapping_add(MAX_ANNOUNCED_QUARANTINED);
+        let due = held.iter().cycle().skip(start).take(held.len().min(MAX_ANNOUNCED_QUARANTINED));
         let all = due.filter_map(|request| Some((request, self.suspects.get(request)?)));
         let crashes = all.flat_map(|(request, suspect)| {
-            suspect.crashes.iter().map(|crash| told(now_ms, *request, *crash))
+            suspect.crashes.iter().map(|crash| crash_report(now_ms, *request, *crash))
         });
         crashes.collect()
     }
 
     /// The suspects that were answered lately, to tell other boxes of.
     #[must_use]
-    pub fn told_answers(&self, now_ms: u64) -> Vec<ToldAnswer> {
+    pub fn answers_to_announce(&self, now_ms: u64) -> Vec<AnswerReport> {
         let answered = self.suspects.iter().filter_map(|(request, suspect)| {
-            let at_ms = suspect.answered_at_ms.filter(|at_ms| now_ms < at_ms + TELL_MS)?;
-            Some(ToldAnswer { request: *request, age_ms: age_ms(now_ms, at_ms) })
+            let at_ms = suspect.answered_at_ms.filter(|at_ms| now_ms < at_ms + ANNOUNCE_MS)?;
+            Some(AnswerReport { request: *request, age_ms: age_ms(now_ms, at_ms) })
         });
-        answered.take(TOLD_CRASHES).collect()
+        answered.take(MAX_ANNOUNCED_CRASHES).collect()
     }
 
     /// Forgets what is long ago, and of the rest what has the fewest and oldest crashes.
-    fn forget(&mut self, now_ms: u64) {
+    fn evict(&mut self, now_ms: u64) {
         self.suspects.retain(|_, suspect| suspect.is_recent(now_ms));
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
@@ -256,8 +266,8 @@
     }
 }
 
-fn told(now_ms: u64, request: Fingerprint, crash: Crash) -> ToldCrash {
-    ToldCrash { request, upstream: crash.upstream, age_ms: age_ms(now_ms, crash.at_ms) }
+fn crash_report(now_ms: u64, request: Fingerprint, crash: Crash) -> CrashReport {
+    CrashReport { request, upstream: crash.upstream, age_ms: age_ms(now_ms, crash.at_ms) }
 }
 
 fn age_ms(now_ms: u64, at_ms: u64) -> u32 {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -14,7 +14,7 @@
 use crate::error::{Error, Result};
 use crate::ledger::{Answer, CallKey, Ledger, Outcome};
 use crate::member::Gossip;
-use crate::quarantine::{ToldAnswer, ToldCrash};
+use crate::quarantine::{AnswerReport, CrashReport};
 use crate::refusal::Reason;
 use crate::ticket::{BoxRef, ClusterKey};
 use crate::trace::TraceId;
@@ -116,7 +116,7 @@
     HandoverTaken { of: BoxRef },
     /// Tells of upstreams that crashed with the requests that they had, and of such requests
     /// that were answered since.
-    Crashes { crashes: Vec<ToldCrash>, answers: Vec<ToldAnswer> },
+    Crashes { crashes: Vec<CrashReport>, answers: Vec<AnswerReport> },
 }
 
 /// A message with its sender and receiver.
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -2,7 +2,7 @@
 
 use coursestile::fingerprint::Fingerprint;
 use coursestile::gateway::decisions::gossip_message::Gossip;
-use coursestile::quarantine::{CRASHES, News, QUARANTINE_MS, Quarantine};
+use coursestile::quarantine::{CRASHES_TO_QUARANTINE, QUARANTINE_MS, Quarantine, UpdateUrgency};
 
 const NOW_MS: u64 = 1_000_000;
 const REQUEST: Fingerprint = Fingerprint(7);
@@ -11,7 +11,7 @@
 fn after(upstreams: &[u32]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (at_ms, upstream) in (NOW_MS..).step_by(10).zip(upstreams) {
-        quarantine.crashed(at_ms, REQUEST, *upstream, at_ms);
+        quarantine.record_crash(at_ms, REQUEST, *upstream, at_ms);
     }
     quarantine
 }
@@ -21,10 +21,10 @@
 }
 
 /// One box tells another, as gossip does.
-fn tell(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> News {
-    let crashes = from.told_crashes(now_ms);
-    let answers = from.told_answers(now_ms);
-    to.hear(now_ms, &crashes, &answers)
+fn tell(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
+    let crashes = from.crashes_to_announce(now_ms);
+    let answers = from.answers_to_announce(now_ms);
+    to.merge_reports(now_ms, &crashes, &answers)
 }
 
 #[test]
@@ -39,14 +39,14 @@
 #[test]
 fn answer_clears() {
     let mut quarantine = after(&[1, 2]);
-    assert!(quarantine.answered(REQUEST, NOW_MS + 50));
-    quarantine.crashed(NOW_MS + 60, REQUEST, 3, NOW_MS + 60);
-    quarantine.crashed(NOW_MS + 70, REQUEST, 4, NOW_MS + 70);
+    assert!(quarantine.record_answer(REQUEST, NOW_MS + 50));
+    quarantine.record_crash(NOW_MS + 60, REQUEST, 3, NOW_MS + 60);
+    quarantine.record_crash(NOW_MS + 70, REQUEST, 4, NOW_MS + 70);
     assert!(!is_held(&quarantine, NOW_MS + 100), "two since it was answered");
     let mut held = after(&[1, 2, 3]);
-    assert!(held.answered(REQUEST, NOW_MS + 50));
+    assert!(held.record_answer(REQUEST, NOW_MS + 50));
     assert!(!is_held(&held, NOW_MS + 100));
-    assert!(!held.answered(Fingerprint(8), NOW_MS + 50), "no suspect");
+    assert!(!held.record_answer(Fingerprint(8), NOW_MS + 50), "no suspect");
 }
 
 /// After its time a request may run once more: one crash more holds it back again.
@@ -56,7 +56,7 @@
     let over_ms = NOW_MS + 20 + QUARANTINE_MS;
     assert!(is_held(&quarantine, over_ms - 1));
     assert!(!is_held(&quarantine, over_ms));
-    quarantine.crashed(over_ms + 5, REQUEST, 4, over_ms + 5);
+    quarantine.record_crash(over_ms + 5, REQUEST, 4, over_ms + 5);
     assert_eq!(quarantine.until_ms(over_ms + 6, REQUEST), Some(over_ms + 5 + QUARANTINE_MS));
 }
 
@@ -70,8 +70,8 @@
         for upstream in 1..=5 {
             now_ms += 40;
             // One crash is seen by two boxes, at slightly other times.
-            boxes[random.usize(0..9)].crashed(now_ms, REQUEST, upstream, now_ms);
-            boxes[random.usize(0..9)].crashed(now_ms, REQUEST, upstream, now_ms - 3);
+            boxes[random.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms);
+            boxes[random.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms - 3);
         }
         let mut news = 0;
         for _ in 0..600 {
@@ -81,7 +81,7 @@
             if from != to {
                 let mut sender = std::mem::take(&mut boxes[from]);
                 let told = tell(now_ms, &mut sender, &mut boxes[to]);
-                news += usize::from(told != News::Nothing);
+                news += usize::from(told != UpdateUrgency::None);
                 boxes[from] = sender;
             }
         }
@@ -96,7 +96,7 @@
     let mut known = after(&[1, 2, 3]);
     let mut late = Quarantine::default();
     let now_ms = NOW_MS + 60_000;
-    assert_eq!(tell(now_ms, &mut known, &mut late), News::Urgent);
+    assert_eq!(tell(now_ms, &mut known, &mut late), UpdateUrgency::Urgent);
     assert!(is_held(&late, now_ms));
     let left_ms = late.until_ms(now_ms, REQUEST).unwrap() - now_ms;
     assert_eq!(left_ms, QUARANTINE_MS - 60_000 + 20, "no longer than where it was seen");
@@ -106,13 +106,13 @@
 fn answer_told() {
     let mut cleared = after(&[1, 2, 3]);
     let mut other = after(&[1, 2, 3]);
-    cleared.answered(REQUEST, NOW_MS + 100);
+    cleared.record_answer(REQUEST, NOW_MS + 100);
     tell(NOW_MS + 110, &mut cleared, &mut other);
     assert!(!is_held(&other, NOW_MS + 110));
     // What a third box still tells is older than the answer.
     tell(NOW_MS + 120, &mut after(&[1, 2, 3]), &mut other);
     assert!(!is_held(&other, NOW_MS + 120));
-    other.hear_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
+    other.merge_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
     assert!(!is_held(&other, NOW_MS + 130), "a list tells no times");
 }
 
@@ -121,7 +121,7 @@
     let listed: Vec<_> = after(&[3, 1, 2]).quarantined(NOW_MS + 100).collect();
     assert_eq!(listed, [(REQUEST, vec![1, 2, 3])]);
     let mut restarted = Quarantine::default();
-    restarted.hear_listed(5, REQUEST, &listed[0].1);
+    restarted.merge_listed(5, REQUEST, &listed[0].1);
     assert!(is_held(&restarted, 6));
     assert_eq!(restarted.quarantined(6).collect::<Vec<_>>(), listed);
 }
@@ -131,19 +131,23 @@
 fn many_suspects() {
     let mut quarantine = after(&[1, 2, 3]);
     for number in 100..20_000 {
-        quarantine.crashed(NOW_MS + 30, Fingerprint(number), 4, NOW_MS + 30);
+        quarantine.record_crash(NOW_MS + 30, Fingerprint(number), 4, NOW_MS + 30);
     }
     assert!(is_held(&quarantine, NOW_MS + 40), "what matters is kept");
-    let told = quarantine.told_crashes(NOW_MS + 40);
+    let told = quarantine.crashes_to_announce(NOW_MS + 40);
     assert!(told.len() <= 60, "{} crashes in one message", told.len());
-    assert_eq!(told.iter().filter(|one| one.request == REQUEST).count(), 2 * CRASHES);
-    assert_eq!(quarantine.told_crashes(NOW_MS + 10_000).len(), CRASHES, "quarantined ones only");
+    assert_eq!(told.iter().filter(|one| one.request == REQUEST).count(), 2 * CRASHES_TO_QUARANTINE);
+    assert_eq!(
+        quarantine.crashes_to_announce(NOW_MS + 10_000).len(),
+        CRASHES_TO_QUARANTINE,
+        "quarantined ones only"
+    );
 }
 
 /// Boxes of other halls, which hear little, hear of crashes.
 #[test]
 fn told_to_halls() {
-    let crashes = after(&[1]).told_crashes(NOW_MS + 10);
+    let crashes = after(&[1]).crashes_to_announce(NOW_MS + 10);
     assert_eq!(crashes.len(), 1);
     let gossip = Gossip { crashes: crashes.clone(), ..Gossip::default() };
     assert_eq!(gossip.abridged().crashes, crashes);
@@ -168,10 +172,13 @@
 #[test]
 fn urgent_news() {
     let mut quarantine = Quarantine::default();
-    assert_eq!(quarantine.crashed(NOW_MS, REQUEST, 1, NOW_MS), News::First);
-    assert_eq!(quarantine.crashed(NOW_MS + 10, REQUEST, 2, NOW_MS + 10), News::Urgent);
-    assert_eq!(quarantine.crashed(NOW_MS + 20, REQUEST, 2, NOW_MS + 20), News::Nothing);
+    assert_eq!(quarantine.record_crash(NOW_MS, REQUEST, 1, NOW_MS), UpdateUrgency::FirstCrash);
+    assert_eq!(
+        quarantine.record_crash(NOW_MS + 10, REQUEST, 2, NOW_MS + 10),
+        UpdateUrgency::Urgent
+    );
+    assert_eq!(quarantine.record_crash(NOW_MS + 20, REQUEST, 2, NOW_MS + 20), UpdateUrgency::None);
     let mut other = Quarantine::default();
-    assert_eq!(tell(NOW_MS + 30, &mut quarantine, &mut other), News::Urgent);
-    assert_eq!(tell(NOW_MS + 40, &mut quarantine, &mut other), News::Nothing);
+    assert_eq!(tell(NOW_MS + 30, &mut quarantine, &mut other), UpdateUrgency::Urgent);
+    assert_eq!(tell(NOW_MS + 40, &mut quarantine, &mut other), UpdateUrgency::None);
 }
