--- a/src/callers.rs
+++ b/src/callers.rs
@@ -174,7 +174,7 @@
     let body = read_body(kernel, body, caller.deadline_ms).await?;
     let (job, streamed) = job(kernel, caller, &body)?;
     metrics::counter!("coursestile_requests_total", "kind" => "completion").increment(1);
-    let id = format!("{}-{:x}", kernel.me.name, fastrand::u128(..));
+    let id = format!("{}-{:x}", kernel.box_id.name, fastrand::u128(..));
     let prompt_tokens = token_count(job.prompt.len());
     let stream = kernel.streams.open(id, &job.account, &job.model, prompt_tokens);
     tokio::spawn(completion::serve(kernel.clone(), job, stream.clone()));
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -37,9 +37,9 @@
 #[must_use]
 pub fn give_ticket(kernel: &Kernel, account: &str) -> (String, u64) {
     let ticket = Ticket {
-        spender: kernel.me.clone(),
+        spender: kernel.box_id.clone(),
         expires_at_ms: now_ms() + TICKET_TTL_MS,
-        serial: kernel.take_number(),
+        serial: kernel.unique_number(),
     };
     (ticket.sign(&kernel.settings.cluster_key, account), ticket.expires_at_ms)
 }
@@ -71,7 +71,7 @@
     let key = &kernel.settings.cluster_key;
     let ticket = Ticket::verify(key, &call.key.account, idempotency_key).map_err(bad_ticket)?;
     call.ticket_expires_at_ms = ticket.expires_at_ms;
-    let end = if ticket.spender == kernel.me {
+    let end = if ticket.spender == kernel.box_id {
         spend(kernel, &call).await
     } else {
         forward(kernel, &ticket.spender, call).await
@@ -145,5 +145,8 @@
 /// Names the key of a call that has none of its own.
 #[must_use]
 pub fn single_key(kernel: &Kernel, account: &str) -> CallKey {
-    CallKey { account: account.to_owned(), key: format!("{}-{}", kernel.me, kernel.take_number()) }
+    CallKey {
+        account: account.to_owned(),
+        key: format!("{}-{}", kernel.box_id, kernel.unique_number()),
+    }
 }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -188,8 +188,8 @@
         let terms = &self.job.terms;
         SlotRequest {
             id: SlotRequestId {
-                entry_box: self.kernel.me.clone(),
-                number: self.kernel.take_number(),
+                entry_box: self.kernel.box_id.clone(),
+                number: self.kernel.unique_number(),
             },
             prefix: PrefixChain::new(&scope, &prompt),
             scope,
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -115,7 +115,7 @@
     let membership = kernel.membership();
     let hall = membership.view().hall(&kernel.settings.hall);
     let names = hall.iter().map(|member| member.id.name.as_str());
-    ranked("config watcher", names, WATCHERS_PER_HALL).contains(&kernel.me.name.as_str())
+    ranked("config watcher", names, WATCHERS_PER_HALL).contains(&kernel.box_id.name.as_str())
 }
 
 async fn adopt_head(kernel: &Arc<Kernel>, bytes: &[u8]) -> Result<()> {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -100,7 +100,7 @@
     if last {
         kernel.span(trace, Hop::Owner, asked_at_us, describe(&verdict));
     }
-    kernel.hand(&reply_to, Message::Verdict { model: model.to_owned(), id, verdict });
+    kernel.deliver(&reply_to, Message::Verdict { model: model.to_owned(), id, verdict });
 }
 
 fn describe(verdict: &SlotResponse) -> String {
@@ -202,7 +202,7 @@
             store.url.clone(),
         ));
     }
-    let writer = kernel.me.to_string();
+    let writer = kernel.box_id.to_string();
     let keeper =
         ContextManager::new(settings.keep, stores, settings.prompt_records, token_bytes, &writer);
     let dispatcher = Dispatcher::new(settings.policies, engines, keeper);
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -38,7 +38,7 @@
 /// Forwards a call to the box that may spend its ticket, or to its heir.
 pub async fn forward(kernel: &Arc<Kernel>, spender: &BoxRef, call: Call) -> CallEnd {
     let (began_at_us, trace) = (now_us(), call.trace);
-    let number = kernel.take_number();
+    let number = kernel.unique_number();
     let (waiting, answers) = mpsc::channel(ANSWERS_LEN);
     locked(&kernel.calls.forwarding.waiting).insert(number, waiting);
     let end = forward_until_answered(kernel, spender, &call, number, answers).await;
@@ -61,7 +61,7 @@
     while now_ms() < call.deadline_ms {
         let found = kernel.membership().view().answers_for(spender).cloned();
         let end = match found {
-            Some(member) if member.id == kernel.me => answer_as_heir(kernel, spender, call),
+            Some(member) if member.id == kernel.box_id => answer_as_heir(kernel, spender, call),
             Some(member) => {
                 let (spender, call) = (spender.clone(), Box::new(call.clone()));
                 let resend_at_ms = call.deadline_ms.min(now_ms() + resend_after_ms);
@@ -113,7 +113,7 @@
     let end = match known {
         Some(None) => return,
         Some(Some(not_run)) => not_run,
-        None if spender == kernel.me => spend(&kernel, &call).await,
+        None if spender == kernel.box_id => spend(&kernel, &call).await,
         None => answer_as_heir(&kernel, &spender, &call)
             .unwrap_or_else(|| CallEnd::unknown(Reason::SpenderUnreachable)),
     };
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -23,7 +23,7 @@
             ticks.tick().await;
             let outgoing = kernel.membership().tick(now_ms());
             send_all(&kernel, outgoing);
-            kernel.beat();
+            kernel.send_heartbeats();
         }
     });
 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -33,7 +33,7 @@
     {
         let mut own = kernel.calls.ledger();
         own.close();
-        ledgers.insert(kernel.me.clone(), own.handover_copy());
+        ledgers.insert(kernel.box_id.clone(), own.handover_copy());
     }
     ledgers.retain(|_, ledger| !ledger.is_empty());
     if ledgers.is_empty() {
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -107,7 +107,7 @@
     /// Settings of the box.
     pub settings: Settings,
     /// The box and its incarnation.
-    pub me: BoxRef,
+    pub box_id: BoxRef,
     /// The platform's key-value service.
     pub platform: Consul,
     /// All upstreams.
@@ -130,16 +130,16 @@
     heartbeats: Mutex<Heartbeats>,
     membership: Mutex<Membership>,
     phase: watch::Sender<Phase>,
-    next_number: AtomicU64,
+    next_unique_number: AtomicU64,
 }
 
 impl Kernel {
     /// Prepares a box.
     #[must_use]
     pub fn new(settings: Settings) -> Arc<Self> {
-        let me = BoxRef { name: settings.name.clone(), incarnation: now_ms() };
+        let box_id = BoxRef { name: settings.name.clone(), incarnation: now_ms() };
         let member = Member {
-            id: me.clone(),
+            id: box_id.clone(),
             hall: settings.hall.clone(),
             region: settings.region.clone(),
             address: settings.advertise.clone(),
@@ -149,7 +149,7 @@
         };
         let membership = Membership::new(member, settings.seeds.clone(), fastrand::u64(..));
         Arc::new(Self {
-            me,
+            box_id,
             platform: Consul::new(&settings.platform_url),
             upstreams: HttpUpstreams::default(),
             traces: Traces::default(),
@@ -163,7 +163,7 @@
             heartbeats: Mutex::default(),
             membership: Mutex::new(membership),
             phase: watch::Sender::new(Phase::Serving),
-            next_number: AtomicU64::new(1),
+            next_unique_number: AtomicU64::new(1),
             settings,
         })
     }
@@ -180,7 +180,7 @@
             (plugin.start)(self);
             receivers.extend(plugin.receive);
         }
-        info!(target: "kernel", "Box {} of hall {} serves.", self.me, self.settings.hall);
+        info!(target: "kernel", "Box {} of hall {} serves.", self.box_id, self.settings.hall);
         let mut phase = self.phase.subscribe();
         loop {
             tokio::select! {
@@ -199,9 +199,9 @@
                 return warn!(target: "kernel", "Message dropped: {error}.");
             }
         };
-        let for_me = envelope.to == self.settings.advertise;
-        let fresh = envelope.sent_at_ms + MAX_MESSAGE_AGE_MS > now_ms();
-        if !for_me || !fresh {
+        let for_this_box = envelope.to == self.settings.advertise;
+        let recent = envelope.sent_at_ms + MAX_MESSAGE_AGE_MS > now_ms();
+        if !for_this_box || !recent {
             return debug!(target: "kernel", "Stale message from {} dropped.", envelope.from);
         }
         if envelope.message.is_answer() {
@@ -217,7 +217,7 @@
     }
 
     /// Asks peers that have not answered, and dials anew those that are silent.
-    pub fn beat(&self) {
+    pub fn send_heartbeats(&self) {
         let steps = locked(&self.heartbeats).tick(now_ms());
         for step in steps {
             let peer = match step {
@@ -235,7 +235,7 @@
 
     /// Hands a message to this box's own plug-in when it is for this box, and
     /// else sends it.
-    pub fn hand(self: &Arc<Self>, to: &str, message: Message) {
+    pub fn deliver(self: &Arc<Self>, to: &str, message: Message) {
         if to != self.settings.advertise {
             return self.send(to, message);
         }
@@ -249,7 +249,7 @@
 
     fn envelope(&self, to: &str, message: Message) -> Envelope {
         Envelope {
-            from: self.me.clone(),
+            from: self.box_id.clone(),
             reply_to: self.settings.advertise.clone(),
             to: to.to_owned(),
             sent_at_ms: now_ms(),
@@ -274,8 +274,8 @@
     }
 
     /// A number that this incarnation never gives again.
-    pub fn take_number(&self) -> u64 {
-        self.next_number.fetch_add(1, Ordering::Relaxed)
+    pub fn unique_number(&self) -> u64 {
+        self.next_unique_number.fetch_add(1, Ordering::Relaxed)
     }
 
     /// Where the box is in its life.
@@ -285,7 +285,7 @@
     }
 
     /// Takes the box on in its life.
-    pub(crate) fn enter(&self, phase: Phase) {
+    pub(crate) fn enter_phase(&self, phase: Phase) {
         self.phase.send_replace(phase);
     }
 
@@ -303,7 +303,7 @@
         self.traces.add(Span {
             trace: trace.to_string(),
             hop,
-            entry_box: self.me.name.clone(),
+            entry_box: self.box_id.name.clone(),
             started_at_us,
             ended_at_us: now_us(),
             note,
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -51,7 +51,7 @@
 fn status_of(kernel: &Kernel) -> Status {
     let heard_at_ms = kernel.configuration.platform_heard_at_ms();
     Status {
-        name: kernel.me.to_string(),
+        name: kernel.box_id.to_string(),
         hall: kernel.settings.hall.clone(),
         ready: ready(kernel),
         revision: kernel.configuration.revision(),
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -105,7 +105,7 @@
     let hall = membership.view().hall(&kernel.settings.hall);
     let names = hall.iter().map(|member| member.id.name.as_str());
     let first = ranked("hall lease", names, CANDIDATES);
-    holder.fence.is_some() || first.contains(&kernel.me.name.as_str())
+    holder.fence.is_some() || first.contains(&kernel.box_id.name.as_str())
 }
 
 fn lease_key(kernel: &Kernel) -> String {
@@ -162,7 +162,7 @@
     // Only engines that check refuse a late order of the holder that has gone.
     let checked = engines(kernel).all(|(_, engine)| engine.checks_orders);
     let is_gone = |holder: &BoxRef| checked && kernel.membership().view().is_gone(holder);
-    standing(held, &kernel.me, own, is_gone)
+    standing(held, &kernel.box_id, own, is_gone)
 }
 
 /// Gives the lease back, so that the next holder need not wait for its end.
@@ -183,7 +183,7 @@
         Some(session) => session.id.clone(),
         None => open_session(kernel, holder, sent_at_ms).await?,
     };
-    let me = serde_json::to_vec(&kernel.me).unwrap_or_default();
+    let me = serde_json::to_vec(&kernel.box_id).unwrap_or_default();
     if !kernel.platform.acquire(&key, &session, &me).await? {
         return Ok(());
     }
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -209,7 +209,7 @@
     }
 
     fn send_ask(&self, target: &str) {
-        self.kernel.hand(target, Message::Ask(Box::new(self.ask.clone())));
+        self.kernel.deliver(target, Message::Ask(Box::new(self.ask.clone())));
     }
 
     fn take(&mut self, from: String, grant: Grant) -> Placed {
@@ -228,7 +228,7 @@
             return;
         };
         let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
-        self.kernel.hand(&target, Message::Withdraw { model, id });
+        self.kernel.deliver(&target, Message::Withdraw { model, id });
     }
 
     /// Keeps the refusal that tells the caller most.
@@ -285,7 +285,7 @@
 }
 
 fn send_report(kernel: &Arc<Kernel>, dispatcher: &str, model: &str, report: SlotReport) {
-    kernel.hand(dispatcher, Message::Report { model: model.to_owned(), report });
+    kernel.deliver(dispatcher, Message::Report { model: model.to_owned(), report });
 }
 
 /// Hands a verdict to the search that waits for it. A place that nobody waits
--- a/src/stopping.rs
+++ b/src/stopping.rs
@@ -17,10 +17,10 @@
 /// Stops as planned: no request is cut, and the ledger goes to a peer.
 pub async fn stop(kernel: &Arc<Kernel>) {
     info!(target: "kernel", "Stopping: taking no more requests soon.");
-    kernel.enter(Phase::Leaving);
+    kernel.enter_phase(Phase::Leaving);
     kernel.membership().leave(None);
     tokio::time::sleep(Duration::from_millis(DRAIN_GRACE_MS)).await;
-    kernel.enter(Phase::Draining);
+    kernel.enter_phase(Phase::Draining);
     let deadline_ms = now_ms() + kernel.settings.drain_timeout_ms;
     while busy(kernel) && now_ms() < deadline_ms {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -29,8 +29,8 @@
         warn!(target: "kernel", "Stopping with requests still running.");
     }
     hand_over(kernel).await;
-    info!(target: "kernel", "Box {} has stopped.", kernel.me);
-    kernel.enter(Phase::Stopped);
+    info!(target: "kernel", "Box {} has stopped.", kernel.box_id);
+    kernel.enter_phase(Phase::Stopped);
 }
 
 fn busy(kernel: &Kernel) -> bool {
