--- a/src/calls.rs
+++ b/src/calls.rs
@@ -116,9 +116,9 @@
             if of == envelope.from {
                 kernel.membership().inherit(now_ms(), &of);
             }
-            kernel.send(&envelope.reply_to, Message::HandoverTaken { of });
+            kernel.send(&envelope.reply_to, Message::HandoverConfirmed { of });
         }
-        Message::HandoverTaken { of } => {
+        Message::HandoverConfirmed { of } => {
             kernel.calls.handover_taken.send_replace(Some((envelope.from, of)));
         }
         _ => {}
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -22,10 +22,10 @@
 use crate::import::Bringing;
 use crate::invariant::{Invariant, check};
 use crate::kernel::{Kernel, Plugin};
-use crate::place::PlaceGuard;
 use crate::placing::{Placed, place};
 use crate::refusal::{Ran, Reason, Refusal};
 use crate::retry::RetryBudget;
+use crate::slot_guard::SlotGuard;
 use crate::streams::{Stream, StreamEnd};
 use crate::sync::locked;
 use crate::trace::{Hop, TraceId};
@@ -89,7 +89,7 @@
 pub async fn serve(kernel: Arc<Kernel>, job: Job, stream: Arc<Stream>) {
     let began_at_us = now_us();
     let (trace, deadline_ms) = (job.trace, job.deadline_ms);
-    budget(&kernel.placing.retries).earn();
+    budget(&kernel.placements.retries).earn();
     let mut serving = Serving {
         kernel: &kernel,
         fingerprint: Fingerprint::new(&job.account, &[KIND, &job.model], job.prompt.as_bytes()),
@@ -140,7 +140,7 @@
                         note_broken_off(self.kernel, &engine, &url, self.fingerprint).await;
                     }
                     self.avoid.push(engine);
-                    if !budget(&self.kernel.placing.retries).spend() {
+                    if !budget(&self.kernel.placements.retries).spend() {
                         return StreamEnd::Refused(self.refuse(Reason::RetryBudget));
                     }
                 }
@@ -215,7 +215,7 @@
         self.attempts += 1;
         let run = format!("{}-{}", self.stream.id, self.attempts);
         let first_seq = self.assembler.next_seq();
-        let mut guard = PlaceGuard::new(self.kernel, placed, &run);
+        let mut guard = SlotGuard::new(self.kernel, placed, &run);
         let placed = guard.placed();
         if let Some(import) = placed.grant.import.clone() {
             let (prompt, salt, trace) = (self.prompt(), cache_salt(&self.scope()), self.job.trace);
@@ -224,7 +224,7 @@
         }
         if self.leaves(&placed.grant.engine) {
             self.avoid.push(placed.grant.engine.clone());
-            guard.done(0, SlotEnd::Unused);
+            guard.release(0, SlotEnd::Unused);
             return Attempt::Refused;
         }
         let stream = self.stream;
@@ -248,7 +248,7 @@
         self.may_have_run = ran_before || ran;
         let note = format!("{} on {}: {end:?}", run, placed.grant.engine);
         self.kernel.span(self.job.trace, Hop::Upstream, began_at_us, note);
-        guard.done(u32::try_from(generated).unwrap_or(u32::MAX), end);
+        guard.release(u32::try_from(generated).unwrap_or(u32::MAX), end);
         ended
     }
 
--- a/src/crashes.rs
+++ b/src/crashes.rs
@@ -54,7 +54,7 @@
     let message = {
         let (mut quarantine, now_ms) = (locked(&kernel.quarantine), now_ms());
         let answers = quarantine.answers_to_announce(now_ms);
-        Message::Crashes { crashes: quarantine.crashes_to_announce(now_ms), answers }
+        Message::CrashReport { crashes: quarantine.crashes_to_announce(now_ms), answers }
     };
     for address in peers(kernel) {
         kernel.send(&address, message.clone());
@@ -71,7 +71,7 @@
 }
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
-    let Message::Crashes { crashes, answers } = envelope.message else { return };
+    let Message::CrashReport { crashes, answers } = envelope.message else { return };
     let news = locked(&kernel.quarantine).merge_reports(now_ms(), &crashes, &answers);
     if news != UpdateUrgency::None {
         tell_peers(kernel);
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -71,9 +71,9 @@
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     match envelope.message {
-        Message::Ask(one) => ask(kernel, &envelope.reply_to, *one),
-        Message::Withdraw { model, id } => withdraw(kernel, &model, &id),
-        Message::Report { model, report: one } => report(kernel, &model, &one),
+        Message::SlotRequest(one) => ask(kernel, &envelope.reply_to, *one),
+        Message::WithdrawSlotRequest { model, id } => withdraw(kernel, &model, &id),
+        Message::SlotReport { model, report: one } => report(kernel, &model, &one),
         _ => {}
     }
 }
@@ -81,7 +81,7 @@
 fn carry_out(kernel: &Arc<Kernel>, model: &str, actions: Vec<Action>) {
     for action in actions {
         match action {
-            Action::Respond { to, response: verdict } => answer(kernel, model, to, verdict),
+            Action::Respond { to, response } => answer(kernel, model, to, response),
             Action::Export(export) => {
                 tokio::spawn(write_out(kernel.clone(), model.to_owned(), export));
             }
@@ -89,8 +89,8 @@
     }
 }
 
-fn answer(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, verdict: SlotResponse) {
-    let last = verdict != SlotResponse::Queued;
+fn answer(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, response: SlotResponse) {
+    let last = response != SlotResponse::Queued;
     let found = with(kernel, model, |acting| {
         if last { acting.askers.remove(&id) } else { acting.askers.get(&id).cloned() }
     });
@@ -98,13 +98,13 @@
         return;
     };
     if last {
-        kernel.span(trace, Hop::Owner, asked_at_us, describe(&verdict));
+        kernel.span(trace, Hop::Owner, asked_at_us, describe(&response));
     }
-    kernel.deliver(&reply_to, Message::Verdict { model: model.to_owned(), id, verdict });
+    kernel.deliver(&reply_to, Message::SlotResponse { model: model.to_owned(), id, response });
 }
 
-fn describe(verdict: &SlotResponse) -> String {
-    match verdict {
+fn describe(response: &SlotResponse) -> String {
+    match response {
         SlotResponse::Granted(Grant { engine, import: None, .. }) => format!("run on {engine}"),
         SlotResponse::Granted(Grant { engine, .. }) => format!("run on {engine} with kept context"),
         SlotResponse::Refused(refusal) => format!("refused: {}", refusal.reason),
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -22,7 +22,7 @@
 use crate::member::{Gossip, Health, Member};
 use crate::membership::Membership;
 use crate::phase::Phase;
-use crate::placing_state::Placing;
+use crate::placement_state::Placements;
 use crate::quarantine::Quarantine;
 use crate::settings::Settings;
 use crate::streams::Streams;
@@ -61,13 +61,15 @@
             Self::PullConfig { .. } | Self::ConfigEntries(_) | Self::ConfigState(_) => {
                 Topic::Config
             }
-            Self::Ask(_) | Self::Withdraw { .. } | Self::Report { .. } => Topic::Dispatch,
-            Self::Verdict { .. } => Topic::Placing,
+            Self::SlotRequest(_) | Self::WithdrawSlotRequest { .. } | Self::SlotReport { .. } => {
+                Topic::Dispatch
+            }
+            Self::SlotResponse { .. } => Topic::Placing,
             Self::Call { .. }
             | Self::CallEnd { .. }
             | Self::Handover { .. }
-            | Self::HandoverTaken { .. } => Topic::Calls,
-            Self::Crashes { .. } => Topic::Crashes,
+            | Self::HandoverConfirmed { .. } => Topic::Calls,
+            Self::CrashReport { .. } => Topic::Crashes,
         }
     }
 }
@@ -79,10 +81,10 @@
         matches!(
             self,
             Self::Gossip(Gossip::Ack { .. } | Gossip::Joined { .. })
-                | Self::Verdict { .. }
-                | Self::Report { .. }
+                | Self::SlotResponse { .. }
+                | Self::SlotReport { .. }
                 | Self::CallEnd { .. }
-                | Self::HandoverTaken { .. }
+                | Self::HandoverConfirmed { .. }
         )
     }
 }
@@ -117,7 +119,7 @@
     /// Configuration in force.
     pub configuration: Configuration,
     /// Asks made from this box.
-    pub placing: Placing,
+    pub placements: Placements,
     /// Dispatchers that act on this box.
     pub dispatch: Dispatch,
     /// Calls that run at most once.
@@ -154,7 +156,7 @@
             upstreams: HttpUpstreams::default(),
             traces: Traces::default(),
             configuration: Configuration::default(),
-            placing: Placing::default(),
+            placements: Placements::default(),
             dispatch: Dispatch::default(),
             calls: Calls::default(),
             streams: Streams::default(),
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -18,7 +18,7 @@
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::{owner, ranked};
-use crate::placing_state::Heard;
+use crate::placement_state::ReceivedResponse;
 use crate::refusal::{Reason, Refusal};
 use crate::sync::locked;
 use crate::trace::Hop;
@@ -67,7 +67,7 @@
         let (id, request) = (self.id.clone(), request.to_owned());
         self.report(kernel, SlotReport::Done { id, request, generated_tokens, end });
         let held = (self.dispatcher, self.model, self.id);
-        locked(&kernel.placing.held).remove(&held);
+        locked(&kernel.placements.held_slots).remove(&held);
     }
 }
 
@@ -75,7 +75,7 @@
 struct Search<'a> {
     kernel: &'a Arc<Kernel>,
     ask: SlotRequest,
-    inbox: mpsc::Receiver<Heard>,
+    inbox: mpsc::Receiver<ReceivedResponse>,
     waits_at: Option<String>,
     refusal: Option<Refusal>,
     /// The dispatcher fell silent while the request waited there.
@@ -89,7 +89,7 @@
 pub async fn place(kernel: &Arc<Kernel>, ask: SlotRequest) -> Result<Placed, Refusal> {
     let (sender, inbox) = mpsc::channel(INBOX_LEN);
     let (id, trace) = (ask.id.clone(), ask.trace);
-    locked(&kernel.placing.inboxes).insert(id.clone(), sender);
+    locked(&kernel.placements.response_senders).insert(id.clone(), sender);
     let began_at_us = now_us();
     let mut search =
         Search { kernel, ask, inbox, waits_at: None, refusal: None, lost_dispatcher: false };
@@ -97,7 +97,7 @@
     if std::mem::take(&mut search.lost_dispatcher) {
         result = search.run().await;
     }
-    locked(&kernel.placing.inboxes).remove(&id);
+    locked(&kernel.placements.response_senders).remove(&id);
     if result.is_err() {
         search.withdraw();
     }
@@ -138,16 +138,16 @@
         self.send_ask(target);
         let timeout_at = (Instant::now() + ASK_TIMEOUT).min(instant_at(self.ask.deadline_ms));
         loop {
-            let Ok(Some(heard)) = tokio::time::timeout_at(timeout_at, self.inbox.recv()).await
+            let Ok(Some(received)) = tokio::time::timeout_at(timeout_at, self.inbox.recv()).await
             else {
                 pass_over(self.kernel, target);
                 return None;
             };
-            let from_target = heard.from == target;
-            match heard.verdict {
-                SlotResponse::Granted(grant) => return Some(self.take(heard.from, grant)),
+            let from_target = received.from == target;
+            match received.response {
+                SlotResponse::Granted(grant) => return Some(self.take(received.from, grant)),
                 SlotResponse::Queued if from_target => {
-                    self.waits_at.get_or_insert(heard.from);
+                    self.waits_at.get_or_insert(received.from);
                     return None;
                 }
                 SlotResponse::Refused(refusal) if from_target => {
@@ -171,16 +171,16 @@
         while Instant::now() < deadline {
             let again_at = (Instant::now() + ASK_AGAIN_PERIOD).min(deadline);
             match tokio::time::timeout_at(again_at, self.inbox.recv()).await {
-                Ok(Some(Heard { from, verdict: SlotResponse::Granted(grant) })) => {
+                Ok(Some(ReceivedResponse { from, response: SlotResponse::Granted(grant) })) => {
                     return Ok(self.take(from, grant));
                 }
-                Ok(Some(Heard { from, verdict: SlotResponse::Refused(refusal) }))
+                Ok(Some(ReceivedResponse { from, response: SlotResponse::Refused(refusal) }))
                     if from == target =>
                 {
                     self.waits_at = None;
                     return Err(refusal);
                 }
-                Ok(Some(heard)) => unheard = if heard.from == target { 0 } else { unheard },
+                Ok(Some(received)) => unheard = if received.from == target { 0 } else { unheard },
                 Ok(None) => break,
                 Err(_) => {
                     unheard += 1;
@@ -209,7 +209,7 @@
     }
 
     fn send_ask(&self, target: &str) {
-        self.kernel.deliver(target, Message::Ask(Box::new(self.ask.clone())));
+        self.kernel.deliver(target, Message::SlotRequest(Box::new(self.ask.clone())));
     }
 
     fn take(&mut self, from: String, grant: Grant) -> Placed {
@@ -219,7 +219,7 @@
         self.withdraw();
         let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
         let held = (from.clone(), model.clone(), id.clone());
-        locked(&self.kernel.placing.held).insert(held);
+        locked(&self.kernel.placements.held_slots).insert(held);
         Placed { grant, dispatcher: from, model, id }
     }
 
@@ -228,7 +228,7 @@
             return;
         };
         let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
-        self.kernel.deliver(&target, Message::Withdraw { model, id });
+        self.kernel.deliver(&target, Message::WithdrawSlotRequest { model, id });
     }
 
     /// Keeps the refusal that tells the caller most.
@@ -262,7 +262,7 @@
         halls.sort_by_key(|hall| *hall != own.hall);
     }
     halls.extend(far.difference(&near));
-    let passed_over = locked(&kernel.placing.passed_over);
+    let passed_over = locked(&kernel.placements.dispatcher_cooldowns);
     let now_ms = now_ms();
     let owners = halls.into_iter().filter_map(|hall| {
         let members = membership.view().hall(hall);
@@ -280,12 +280,12 @@
     }
     debug!(target: "placing", "Dispatcher {target} did not answer.");
     metrics::counter!("coursestile_asks_unanswered_total").increment(1);
-    let mut passed_over = locked(&kernel.placing.passed_over);
+    let mut passed_over = locked(&kernel.placements.dispatcher_cooldowns);
     passed_over.insert(target.to_owned(), now_ms() + PASSED_OVER_MS);
 }
 
 fn send_report(kernel: &Arc<Kernel>, dispatcher: &str, model: &str, report: SlotReport) {
-    kernel.deliver(dispatcher, Message::Report { model: model.to_owned(), report });
+    kernel.deliver(dispatcher, Message::SlotReport { model: model.to_owned(), report });
 }
 
 /// Hands a verdict to the search that waits for it. A place that nobody waits
@@ -295,14 +295,14 @@
     from: &str,
     model: &str,
     id: SlotRequestId,
-    verdict: SlotResponse,
+    response: SlotResponse,
 ) {
-    let inbox = locked(&kernel.placing.inboxes).get(&id).cloned();
-    let granted = matches!(verdict, SlotResponse::Granted(_));
-    let heard = Heard { from: from.to_owned(), verdict };
-    let taken = inbox.is_some_and(|inbox| inbox.try_send(heard).is_ok());
+    let inbox = locked(&kernel.placements.response_senders).get(&id).cloned();
+    let granted = matches!(response, SlotResponse::Granted(_));
+    let received = ReceivedResponse { from: from.to_owned(), response };
+    let taken = inbox.is_some_and(|inbox| inbox.try_send(received).is_ok());
     let held = (from.to_owned(), model.to_owned(), id.clone());
-    let in_use = locked(&kernel.placing.held).contains(&held);
+    let in_use = locked(&kernel.placements.held_slots).contains(&held);
     if granted && !taken && !in_use {
         let request = String::new();
         let done = SlotReport::Done { id, request, generated_tokens: 0, end: SlotEnd::Unused };
@@ -311,8 +311,8 @@
 }
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
-    if let Message::Verdict { id, model, verdict } = envelope.message {
-        deliver(kernel, &envelope.reply_to, &model, id, verdict);
+    if let Message::SlotResponse { id, model, response } = envelope.message {
+        deliver(kernel, &envelope.reply_to, &model, id, response);
     }
 }
 
@@ -325,7 +325,7 @@
     loop {
         ticks.tick().await;
         let mut by_dispatcher: BTreeMap<(String, String), Vec<SlotRequestId>> = BTreeMap::new();
-        for (dispatcher, model, id) in locked(&kernel.placing.held).iter() {
+        for (dispatcher, model, id) in locked(&kernel.placements.held_slots).iter() {
             let key = (dispatcher.clone(), model.clone());
             by_dispatcher.entry(key).or_default().push(id.clone());
         }
--- a/src/place.rs
+++ b/src/slot_guard.rs
@@ -8,13 +8,13 @@
 use crate::placing::Placed;
 
 /// Gives a place back also when the attempt is dropped at its deadline.
-pub struct PlaceGuard<'a> {
+pub struct SlotGuard<'a> {
     kernel: &'a Arc<Kernel>,
     placed: Option<Placed>,
     run: &'a str,
 }
 
-impl<'a> PlaceGuard<'a> {
+impl<'a> SlotGuard<'a> {
     /// Holds a place for `run`.
     #[must_use]
     pub fn new(kernel: &'a Arc<Kernel>, placed: Placed, run: &'a str) -> Self {
@@ -31,7 +31,7 @@
     }
 
     /// Gives the place back.
-    pub fn done(&mut self, generated_tokens: u32, end: SlotEnd) {
+    pub fn release(&mut self, generated_tokens: u32, end: SlotEnd) {
         let Some(placed) = self.placed.take() else {
             return;
         };
@@ -44,8 +44,8 @@
     }
 }
 
-impl Drop for PlaceGuard<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        self.done(0, SlotEnd::Cancelled);
+        self.release(0, SlotEnd::Cancelled);
     }
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -99,13 +99,13 @@
     /// A whole configuration, for a box that is too far behind.
     ConfigState(Box<State>),
     /// Asks where a request may run.
-    Ask(Box<SlotRequest>),
+    SlotRequest(Box<SlotRequest>),
     /// Answers an ask.
-    Verdict { model: String, id: SlotRequestId, verdict: SlotResponse },
+    SlotResponse { model: String, id: SlotRequestId, response: SlotResponse },
     /// Takes an ask back.
-    Withdraw { model: String, id: SlotRequestId },
+    WithdrawSlotRequest { model: String, id: SlotRequestId },
     /// Reports on a place.
-    Report { model: String, report: SlotReport },
+    SlotReport { model: String, report: SlotReport },
     /// Forwards a call to the box that may spend its ticket.
     Call { number: u64, spender: BoxRef, call: Box<Call> },
     /// Answers a forwarded call.
@@ -113,10 +113,10 @@
     /// Gives the ledger of a box that stops to its heir.
     Handover { of: BoxRef, ledger: Box<Ledger> },
     /// Confirms a handover.
-    HandoverTaken { of: BoxRef },
+    HandoverConfirmed { of: BoxRef },
     /// Tells of upstreams that crashed with the requests that they had, and of such requests
     /// that were answered since.
-    Crashes { crashes: Vec<CrashReport>, answers: Vec<AnswerReport> },
+    CrashReport { crashes: Vec<CrashReport>, answers: Vec<AnswerReport> },
 }
 
 /// A message with its sender and receiver.
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -62,7 +62,7 @@
             Outcome::Unknown => {
                 note_broken_off(kernel, &name, &url, fingerprint).await;
                 end = CallEnd::unknown(Reason::UpstreamFailed);
-                let budget = &kernel.placing.retries;
+                let budget = &kernel.placements.retries;
                 let may_repeat = repeatable && locked(budget).spend();
                 if !may_repeat {
                     break;
