--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -11,7 +11,7 @@
 
 use crate::ask::{Grant, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::clock::{now_ms, now_us};
-use crate::dispatch_state::{Acting, Asker};
+use crate::dispatch_state::{ActiveDispatcher, Requester};
 use crate::dispatcher::{Action, Dispatcher};
 use crate::edge::{ContextStores, ModelEngines};
 use crate::fleet::Engine;
@@ -35,37 +35,37 @@
 }
 
 /// Runs `act` on the dispatcher of `model`, which is made if need be.
-fn with<T>(kernel: &Arc<Kernel>, model: &str, act: impl FnOnce(&mut Acting) -> T) -> T {
-    kernel.dispatch.with(model, || start_acting(kernel, model), act)
+fn with<T>(kernel: &Arc<Kernel>, model: &str, act: impl FnOnce(&mut ActiveDispatcher) -> T) -> T {
+    kernel.dispatchers.with_dispatcher(model, || start_dispatcher(kernel, model), act)
 }
 
 /// Takes an ask that came from `reply_to`.
 fn ask(kernel: &Arc<Kernel>, reply_to: &str, ask: SlotRequest) {
     let (model, id) = (ask.scope.model.clone(), ask.id.clone());
     let config = kernel.configuration.current();
-    let actions = with(kernel, &model, |acting| {
+    let actions = with(kernel, &model, |active| {
         let now_ms = now_ms();
-        acting.asked_at_ms = now_ms;
-        acting.follow(&model, &config);
+        active.last_request_at_ms = now_ms;
+        active.apply_config(&model, &config);
         let reply_to = reply_to.to_owned();
-        let asker = Asker { reply_to, trace: ask.trace, asked_at_us: now_us() };
-        acting.askers.entry(id).or_insert(asker);
-        acting.dispatcher.request_slot(now_ms, ask)
+        let requester = Requester { reply_to, trace: ask.trace, requested_at_us: now_us() };
+        active.requesters.entry(id).or_insert(requester);
+        active.dispatcher.request_slot(now_ms, ask)
     });
     carry_out(kernel, &model, actions);
 }
 
 /// Takes a report on a place.
 fn report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
-    let actions = with(kernel, model, |acting| acting.dispatcher.report(now_ms(), report));
+    let actions = with(kernel, model, |active| active.dispatcher.report(now_ms(), report));
     carry_out(kernel, model, actions);
 }
 
 /// Takes an ask back.
 fn withdraw(kernel: &Arc<Kernel>, model: &str, id: &SlotRequestId) {
-    with(kernel, model, |acting| {
-        acting.dispatcher.withdraw(id);
-        acting.askers.remove(id);
+    with(kernel, model, |active| {
+        active.dispatcher.withdraw(id);
+        active.requesters.remove(id);
     });
 }
 
@@ -91,14 +91,14 @@
 
 fn answer(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, response: SlotResponse) {
     let last = response != SlotResponse::Queued;
-    let found = with(kernel, model, |acting| {
-        if last { acting.askers.remove(&id) } else { acting.askers.get(&id).cloned() }
+    let found = with(kernel, model, |active| {
+        if last { active.requesters.remove(&id) } else { active.requesters.get(&id).cloned() }
     });
-    let Some(Asker { reply_to, trace, asked_at_us }) = found else {
+    let Some(Requester { reply_to, trace, requested_at_us }) = found else {
         return;
     };
     if last {
-        kernel.span(trace, Hop::Owner, asked_at_us, describe(&response));
+        kernel.span(trace, Hop::Owner, requested_at_us, describe(&response));
     }
     kernel.deliver(&reply_to, Message::SlotResponse { model: model.to_owned(), id, response });
 }
@@ -120,15 +120,15 @@
         ExportResult::Failed => "failed",
     };
     metrics::counter!("coursestile_exports_total", "outcome" => outcome).increment(1);
-    with(&kernel, &model, |acting| {
-        acting.dispatcher.context.record_export(now_ms(), &export, written);
+    with(&kernel, &model, |active| {
+        active.dispatcher.context.record_export(now_ms(), &export, written);
     });
 }
 
 async fn delete(kernel: Arc<Kernel>, model: String, delete: BlockDeletion) {
     if kernel.upstreams.delete(&delete.store_url, &delete.block).await {
-        with(&kernel, &model, |acting| {
-            acting.dispatcher.context.record_deletion(&delete.block);
+        with(&kernel, &model, |active| {
+            active.dispatcher.context.record_deletion(&delete.block);
         });
     }
 }
@@ -142,8 +142,8 @@
     let mut ticks = tokio::time::interval(TICK);
     loop {
         ticks.tick().await;
-        for model in kernel.dispatch.models() {
-            let actions = with(&kernel, &model, |acting| acting.dispatcher.tick(now_ms()));
+        for model in kernel.dispatchers.models() {
+            let actions = with(&kernel, &model, |active| active.dispatcher.tick(now_ms()));
             carry_out(&kernel, &model, actions);
         }
     }
@@ -155,15 +155,15 @@
     for tick in 0_u64.. {
         ticks.tick().await;
         let slow = tick.is_multiple_of(SLOW_REPORT_EVERY);
-        for model in kernel.dispatch.models() {
-            let awaits = with(&kernel, &model, |acting| acting.dispatcher.fleet.awaits_load());
+        for model in kernel.dispatchers.models() {
+            let awaits = with(&kernel, &model, |active| active.dispatcher.fleet.awaits_load());
             if slow || awaits {
                 ask_engines(&kernel, &model);
             }
             if !slow {
                 continue;
             }
-            let deletes = with(&kernel, &model, |acting| acting.dispatcher.context.tick(now_ms()));
+            let deletes = with(&kernel, &model, |active| active.dispatcher.context.tick(now_ms()));
             for one in deletes {
                 tokio::spawn(delete(kernel.clone(), model.clone(), one));
             }
@@ -173,23 +173,23 @@
 
 fn ask_engines(kernel: &Arc<Kernel>, model: &str) {
     let config = kernel.configuration.current();
-    let engines = with(kernel, model, |acting| {
-        acting.follow(model, &config);
-        let engines = acting.dispatcher.fleet.engines.iter();
+    let engines = with(kernel, model, |active| {
+        active.apply_config(model, &config);
+        let engines = active.dispatcher.fleet.engines.iter();
         engines.map(|engine| (engine.name.clone(), engine.url.clone())).collect::<Vec<_>>()
     });
     for (name, url) in engines {
         let (kernel, model) = (kernel.clone(), model.to_owned());
         tokio::spawn(async move {
             let report = kernel.upstreams.report(&url).await;
-            with(&kernel, &model, |acting| {
-                acting.dispatcher.engine_report(now_ms(), &name, report.as_ref());
+            with(&kernel, &model, |active| {
+                active.dispatcher.engine_report(now_ms(), &name, report.as_ref());
             });
         });
     }
 }
 
-fn start_acting(kernel: &Arc<Kernel>, model: &str) -> Acting {
+fn start_dispatcher(kernel: &Arc<Kernel>, model: &str) -> ActiveDispatcher {
     info!(target: "dispatch", "Acting as dispatcher of {model}.");
     let settings = &kernel.settings;
     let (engines, token_bytes) = engines_of(settings, model);
@@ -206,9 +206,10 @@
     let keeper =
         ContextManager::new(settings.keep, stores, settings.prompt_records, token_bytes, &writer);
     let dispatcher = Dispatcher::new(settings.policies, engines, keeper);
-    let mut acting = Acting { dispatcher, asked_at_ms: now_ms(), askers: BTreeMap::new() };
-    acting.follow(model, &kernel.configuration.current());
-    acting
+    let mut active =
+        ActiveDispatcher { dispatcher, last_request_at_ms: now_ms(), requesters: BTreeMap::new() };
+    active.apply_config(model, &kernel.configuration.current());
+    active
 }
 
 fn engines_of(settings: &Settings, model: &str) -> (Vec<Engine>, u64) {
@@ -248,9 +249,9 @@
     let own = listed.into_iter().filter(|block| block.meta.scope.model == model);
     let own: Vec<_> = own.filter(|block| is_home(&kernel, block.meta.prefix.root)).collect();
     info!(target: "dispatch", "Took over {} blocks of store {store}.", own.len());
-    with(&kernel, &model, |acting| {
+    with(&kernel, &model, |active| {
         for block in own {
-            acting.dispatcher.context.adopt_block(now_ms(), &store, block);
+            active.dispatcher.context.adopt_block(now_ms(), &store, block);
         }
     });
 }
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -13,21 +13,21 @@
 use crate::trace::TraceId;
 
 /// Time after its last ask for which a dispatcher acts.
-const ACTS_FOR_MS: u64 = 30_000;
+const ACTIVE_FOR_MS: u64 = 30_000;
 
 /// A dispatcher, and who asked it.
-pub(crate) struct Acting {
+pub(crate) struct ActiveDispatcher {
     /// The dispatcher.
     pub(crate) dispatcher: Dispatcher,
     /// When it was asked last.
-    pub(crate) asked_at_ms: u64,
+    pub(crate) last_request_at_ms: u64,
     /// Who waits, by ask.
-    pub(crate) askers: BTreeMap<SlotRequestId, Asker>,
+    pub(crate) requesters: BTreeMap<SlotRequestId, Requester>,
 }
 
-impl Acting {
+impl ActiveDispatcher {
     /// Takes in what operators want.
-    pub(crate) fn follow(&mut self, model: &str, config: &Config) {
+    pub(crate) fn apply_config(&mut self, model: &str, config: &Config) {
         self.dispatcher.fleet.set_leaving(|name| config.state.leaving.contains(name));
         let version = config.state.models.get(model).map(String::as_str);
         self.dispatcher.fleet.set_version(now_ms(), version);
@@ -36,19 +36,19 @@
 
 /// Who waits for a verdict.
 #[derive(Clone)]
-pub(crate) struct Asker {
+pub(crate) struct Requester {
     /// Where that box listens.
     pub(crate) reply_to: String,
     /// Trace of the request.
     pub(crate) trace: TraceId,
     /// When it asked.
-    pub(crate) asked_at_us: u64,
+    pub(crate) requested_at_us: u64,
 }
 
 /// The dispatchers of this box.
 #[derive(Default)]
-pub struct Dispatch {
-    acting: Mutex<BTreeMap<String, Acting>>,
+pub struct Dispatchers {
+    by_model: Mutex<BTreeMap<String, ActiveDispatcher>>,
 }
 
 /// A dispatcher as the status page shows it.
@@ -68,36 +68,36 @@
     pub served_tokens: BTreeMap<String, f64>,
 }
 
-impl Dispatch {
+impl Dispatchers {
     /// Runs `act` on the dispatcher of `model`, which `make` starts if need be.
-    pub(crate) fn with<T>(
+    pub(crate) fn with_dispatcher<T>(
         &self,
         model: &str,
-        make: impl FnOnce() -> Acting,
-        act: impl FnOnce(&mut Acting) -> T,
+        make: impl FnOnce() -> ActiveDispatcher,
+        act: impl FnOnce(&mut ActiveDispatcher) -> T,
     ) -> T {
-        let mut acting = locked(&self.acting);
-        if !acting.contains_key(model) {
+        let mut by_model = locked(&self.by_model);
+        if !by_model.contains_key(model) {
             let new = make();
-            acting.insert(model.to_owned(), new);
+            by_model.insert(model.to_owned(), new);
         }
-        act(acting.get_mut(model).expect("it was just made"))
+        act(by_model.get_mut(model).expect("it was just made"))
     }
 
     /// Models that were asked for lately.
     pub(crate) fn models(&self) -> Vec<String> {
-        let acting = locked(&self.acting);
-        let asked_after_ms = now_ms().saturating_sub(ACTS_FOR_MS);
-        let live = acting.iter().filter(|(_, one)| one.asked_at_ms > asked_after_ms);
+        let by_model = locked(&self.by_model);
+        let idle_before_ms = now_ms().saturating_sub(ACTIVE_FOR_MS);
+        let live = by_model.iter().filter(|(_, active)| active.last_request_at_ms > idle_before_ms);
         live.map(|(model, _)| model.clone()).collect()
     }
 
     /// What the dispatchers do now.
     #[must_use]
     pub fn status(&self) -> Vec<DispatcherStatus> {
-        let acting = locked(&self.acting);
-        let all = acting.iter().map(|(model, one)| {
-            let dispatcher = &one.dispatcher;
+        let by_model = locked(&self.by_model);
+        let all = by_model.iter().map(|(model, active)| {
+            let dispatcher = &active.dispatcher;
             let engines = dispatcher.fleet.engines.iter();
             let served = dispatcher.virtual_tokens();
             DispatcherStatus {
@@ -105,7 +105,7 @@
                 waiting: dispatcher.queue_len(),
                 places_in_use: dispatcher.slots_in_use(),
                 prompts: dispatcher.context.directory.len(),
-                engines: engines.map(|one| (one.name.clone(), one.outstanding)).collect(),
+                engines: engines.map(|engine| (engine.name.clone(), engine.outstanding)).collect(),
                 served_tokens: served.map(|(name, tokens)| (name.to_owned(), tokens)).collect(),
             }
         });
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -15,7 +15,7 @@
 use crate::clock::{now_ms, now_us};
 use crate::config_in_force::Configuration;
 use crate::consul::Consul;
-use crate::dispatch_state::Dispatch;
+use crate::dispatch_state::Dispatchers;
 use crate::error::Result;
 use crate::heartbeat::{Heartbeats, Step};
 use crate::link::{self, Link};
@@ -121,7 +121,7 @@
     /// Asks made from this box.
     pub placements: Placements,
     /// Dispatchers that act on this box.
-    pub dispatch: Dispatch,
+    pub dispatchers: Dispatchers,
     /// Calls that run at most once.
     pub calls: Calls,
     /// Answers under way.
@@ -157,7 +157,7 @@
             traces: Traces::default(),
             configuration: Configuration::default(),
             placements: Placements::default(),
-            dispatch: Dispatch::default(),
+            dispatchers: Dispatchers::default(),
             calls: Calls::default(),
             streams: Streams::default(),
             quarantine: Mutex::default(),
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -57,7 +57,7 @@
         revision: kernel.configuration.revision(),
         platform_silent_ms: (heard_at_ms > 0).then(|| now_ms().saturating_sub(heard_at_ms)),
         members: kernel.membership().view().members().cloned().collect(),
-        dispatchers: kernel.dispatch.status(),
+        dispatchers: kernel.dispatchers.status(),
         streams: kernel.streams.running(),
         ledger_keys: kernel.calls.keys(),
         violations: violations(),
