--- a/src/callers.rs
+++ b/src/callers.rs
@@ -30,7 +30,7 @@
 use crate::phase::Phase;
 use crate::refusal::{Reason, Refusal};
 use crate::rejection::{Rejection, bad_request, header};
-use crate::streams::{News, Stream, StreamEnd};
+use crate::streams::{AnswerStream, StreamEnd, StreamUpdate};
 use crate::trace::TraceId;
 use crate::wire::Call;
 use crate::workers::repeatable;
@@ -169,7 +169,7 @@
     kernel: &Arc<Kernel>,
     request: &Request,
     body: Body,
-) -> Result<(Arc<Stream>, bool), Rejection> {
+) -> Result<(Arc<AnswerStream>, bool), Rejection> {
     let caller = caller(kernel, request)?;
     let body = read_body(kernel, body, caller.deadline_ms).await?;
     let (job, streamed) = job(kernel, caller, &body)?;
@@ -181,17 +181,17 @@
     Ok((stream, streamed))
 }
 
-async fn send_whole(stream: &Arc<Stream>) -> Response {
-    let _reader = stream.read();
+async fn send_whole(stream: &Arc<AnswerStream>) -> Response {
+    let _reader = stream.add_reader();
     let mut read = 0;
     loop {
         match stream.next(read).await {
-            News::Texts(texts) => read += texts.len(),
-            News::End(StreamEnd::Refused(refusal)) => {
+            StreamUpdate::Texts(texts) => read += texts.len(),
+            StreamUpdate::End(StreamEnd::Refused(refusal)) => {
                 return Rejection::from(refusal).into_response();
             }
-            News::End(StreamEnd::Finished(reason)) => {
-                let (version, text) = (stream.ran_with().0, stream.text());
+            StreamUpdate::End(StreamEnd::Finished(reason)) => {
+                let (version, text) = (stream.version_and_cached_tokens().0, stream.text());
                 let body = Json(last_chunk(stream, &version, read, &text, &reason));
                 return body.with_header(REQUEST_HEADER, &stream.id).into_response();
             }
@@ -200,9 +200,9 @@
 }
 
 /// Sends the answer as events, once it is known that there is one.
-async fn send_events(stream: Arc<Stream>, from: usize) -> Response {
-    let reader = stream.read();
-    if let News::End(StreamEnd::Refused(refusal)) = stream.next(from).await {
+async fn send_events(stream: Arc<AnswerStream>, from: usize) -> Response {
+    let reader = stream.add_reader();
+    if let StreamUpdate::End(StreamEnd::Refused(refusal)) = stream.next(from).await {
         return Rejection::from(refusal).into_response();
     }
     let id = stream.id.clone();
@@ -215,7 +215,7 @@
     from: usize,
 }
 
-fn find(kernel: &Kernel, request: &Request, id: &str) -> Result<Arc<Stream>, Rejection> {
+fn find(kernel: &Kernel, request: &Request, id: &str) -> Result<Arc<AnswerStream>, Rejection> {
     let caller = caller(kernel, request)?;
     Ok(kernel.streams.find(&caller.account, id).ok_or(Reason::NotFound)?)
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -106,11 +106,11 @@
             ));
         }
         Message::CallEnd { number, end } => {
-            kernel.calls.forwarding.answered(number, end);
+            kernel.calls.forwarded.deliver_answer(number, end);
         }
         Message::Handover { of, ledger } => {
             info!(target: "calls", "Took over {} keys of {of}.", ledger.len());
-            let mut inherited = locked(&kernel.calls.inherited);
+            let mut inherited = locked(&kernel.calls.inherited_ledgers);
             inherited.insert(of.clone(), *ledger);
             drop(inherited);
             if of == envelope.from {
@@ -119,7 +119,7 @@
             kernel.send(&envelope.reply_to, Message::HandoverConfirmed { of });
         }
         Message::HandoverConfirmed { of } => {
-            kernel.calls.handover_taken.send_replace(Some((envelope.from, of)));
+            kernel.calls.handover_confirmed.send_replace(Some((envelope.from, of)));
         }
         _ => {}
     }
@@ -132,8 +132,8 @@
         while kernel.phase() != Phase::Stopped {
             ticks.tick().await;
             kernel.calls.ledger().expire(now_ms());
-            kernel.calls.forwarding.expire(now_ms());
-            let mut inherited = locked(&kernel.calls.inherited);
+            kernel.calls.forwarded.expire(now_ms());
+            let mut inherited = locked(&kernel.calls.inherited_ledgers);
             for ledger in inherited.values_mut() {
                 ledger.expire(now_ms());
             }
--- a/src/chunk.rs
+++ b/src/chunk.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use futures_util::{Stream as Events, StreamExt, stream};
+use futures_util::{Stream, StreamExt, stream};
 use poem::web::sse::Event;
 use serde::Serialize;
 
 use crate::rejection::error_body;
-use crate::streams::{News, Reader, Stream, StreamEnd};
+use crate::streams::{AnswerStream, ReaderGuard, StreamEnd, StreamUpdate};
 
 /// Last event of a whole answer.
 const END_MARK: &str = "[DONE]";
@@ -44,7 +44,7 @@
     cached_tokens: u32,
 }
 
-fn chunk<'a>(stream: &'a Stream, version: &'a str, seq: usize, text: &'a str) -> Chunk<'a> {
+fn chunk<'a>(stream: &'a AnswerStream, version: &'a str, seq: usize, text: &'a str) -> Chunk<'a> {
     Chunk {
         id: &stream.id,
         object: "text_completion",
@@ -58,13 +58,14 @@
 
 /// The last piece, which tells the usage.
 pub fn last_chunk<'a>(
-    stream: &'a Stream,
+    stream: &'a AnswerStream,
     version: &'a str,
     seq: usize,
     text: &'a str,
     reason: &'a str,
 ) -> Chunk<'a> {
-    let (prompt_tokens, (_, cached_tokens)) = (stream.prompt_tokens, stream.ran_with());
+    let (prompt_tokens, (_, cached_tokens)) =
+        (stream.prompt_tokens, stream.version_and_cached_tokens());
     let prompt_tokens_details = PromptDetails { cached_tokens };
     let usage = Usage { prompt_tokens, completion_tokens: seq, prompt_tokens_details };
     Chunk {
@@ -79,15 +80,19 @@
 }
 
 struct Cursor {
-    stream: Arc<Stream>,
+    stream: Arc<AnswerStream>,
     version: String,
     next: usize,
     ended: bool,
-    _reader: Reader,
+    _reader: ReaderGuard,
 }
 
 /// The events of an answer from its piece `from` on, for one reader.
-pub fn events(stream: Arc<Stream>, reader: Reader, from: usize) -> impl Events<Item = Event> {
+pub fn events(
+    stream: Arc<AnswerStream>,
+    reader: ReaderGuard,
+    from: usize,
+) -> impl Stream<Item = Event> {
     let version = String::new();
     let cursor = Cursor { stream, version, next: from, ended: false, _reader: reader };
     let batches = stream::unfold(cursor, |mut cursor| async move {
@@ -104,13 +109,13 @@
     /// The next events. The end mark follows only a whole answer.
     async fn next_batch(&mut self) -> Vec<Event> {
         match self.stream.next(self.next).await {
-            News::Texts(texts) => texts.iter().map(|text| self.piece(text)).collect(),
-            News::End(StreamEnd::Finished(reason)) => {
+            StreamUpdate::Texts(texts) => texts.iter().map(|text| self.piece(text)).collect(),
+            StreamUpdate::End(StreamEnd::Finished(reason)) => {
                 self.ended = true;
                 let last = last_chunk(&self.stream, &self.version, self.next, "", &reason);
                 vec![event(&last), Event::message(END_MARK)]
             }
-            News::End(StreamEnd::Refused(refusal)) => {
+            StreamUpdate::End(StreamEnd::Refused(refusal)) => {
                 self.ended = true;
                 let detail = refusal.reason.to_string();
                 vec![Event::message(error_body(&refusal, &detail).to_string())]
@@ -120,7 +125,7 @@
 
     fn piece(&mut self, text: &str) -> Event {
         if self.version.is_empty() {
-            self.version = self.stream.ran_with().0;
+            self.version = self.stream.version_and_cached_tokens().0;
         }
         let piece = event(&chunk(&self.stream, &self.version, self.next, text));
         self.next += 1;
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -26,7 +26,7 @@
 use crate::refusal::{Ran, Reason, Refusal};
 use crate::retry::RetryBudget;
 use crate::slot_guard::SlotGuard;
-use crate::streams::{Stream, StreamEnd};
+use crate::streams::{AnswerStream, StreamEnd};
 use crate::sync::locked;
 use crate::trace::{Hop, TraceId};
 
@@ -77,7 +77,7 @@
 struct Serving<'a> {
     kernel: &'a Arc<Kernel>,
     job: Job,
-    stream: &'a Stream,
+    stream: &'a AnswerStream,
     fingerprint: Fingerprint,
     assembler: Assembler,
     avoid: Vec<String>,
@@ -86,7 +86,7 @@
 }
 
 /// Serves `job` to the end of `stream`.
-pub async fn serve(kernel: Arc<Kernel>, job: Job, stream: Arc<Stream>) {
+pub async fn serve(kernel: Arc<Kernel>, job: Job, stream: Arc<AnswerStream>) {
     let began_at_us = now_us();
     let (trace, deadline_ms) = (job.trace, job.deadline_ms);
     budget(&kernel.placements.retries).earn();
@@ -376,7 +376,7 @@
         let mut ticks = tokio::time::interval(TIDY_PERIOD);
         loop {
             ticks.tick().await;
-            kernel.streams.tidy(now_ms());
+            kernel.streams.remove_expired(now_ms());
         }
     });
 }
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::mpsc;
 
-use crate::call_state::Taken;
+use crate::call_state::ReceivedCall;
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::gossip::send_all;
 use crate::kernel::Kernel;
@@ -40,9 +40,9 @@
     let (began_at_us, trace) = (now_us(), call.trace);
     let number = kernel.unique_number();
     let (waiting, answers) = mpsc::channel(ANSWERS_LEN);
-    locked(&kernel.calls.forwarding.waiting).insert(number, waiting);
+    locked(&kernel.calls.forwarded.answer_senders).insert(number, waiting);
     let end = forward_until_answered(kernel, spender, &call, number, answers).await;
-    locked(&kernel.calls.forwarding.waiting).remove(&number);
+    locked(&kernel.calls.forwarded.answer_senders).remove(&number);
     kernel.span(trace, Hop::Spender, began_at_us, spender.to_string());
     end
 }
@@ -105,9 +105,9 @@
     let name = (from, number);
     let deadline_ms = call.deadline_ms;
     let known = {
-        let mut taken = locked(&kernel.calls.forwarding.taken);
-        let known = taken.get(&name).map(|taken| taken.not_run.clone());
-        taken.entry(name.clone()).or_insert(Taken { not_run: None, deadline_ms });
+        let mut received = locked(&kernel.calls.forwarded.received);
+        let known = received.get(&name).map(|call| call.not_run.clone());
+        received.entry(name.clone()).or_insert(ReceivedCall { not_run: None, deadline_ms });
         known
     };
     let end = match known {
@@ -118,11 +118,11 @@
             .unwrap_or_else(|| CallEnd::unknown(Reason::SpenderUnreachable)),
     };
     {
-        let mut taken = locked(&kernel.calls.forwarding.taken);
+        let mut received = locked(&kernel.calls.forwarded.received);
         if end.outcome == Outcome::NotRun {
-            taken.insert(name, Taken { not_run: Some(end.clone()), deadline_ms });
+            received.insert(name, ReceivedCall { not_run: Some(end.clone()), deadline_ms });
         } else {
-            taken.remove(&name);
+            received.remove(&name);
         }
     }
     kernel.send(&reply_to, Message::CallEnd { number, end });
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -29,7 +29,7 @@
 
 /// Stops spending, and gives the own ledger and those inherited to a peer.
 pub async fn hand_over(kernel: &Arc<Kernel>) {
-    let mut ledgers = std::mem::take(&mut *locked(&kernel.calls.inherited));
+    let mut ledgers = std::mem::take(&mut *locked(&kernel.calls.inherited_ledgers));
     {
         let mut own = kernel.calls.ledger();
         own.close();
@@ -83,7 +83,7 @@
 /// Gives a ledger to an heir until it has confirmed that. Taking it again changes
 /// nothing, and its confirmation may have been lost.
 async fn give_one(kernel: &Arc<Kernel>, heir: &Member, of: &BoxRef, ledger: &Ledger) {
-    let mut taken = kernel.calls.handover_taken.subscribe();
+    let mut taken = kernel.calls.handover_confirmed.subscribe();
     let expected = Some((heir.id.clone(), of.clone()));
     loop {
         let ledger = Box::new(ledger.clone());
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -25,7 +25,7 @@
 use crate::placement_state::Placements;
 use crate::quarantine::Quarantine;
 use crate::settings::Settings;
-use crate::streams::Streams;
+use crate::streams::AnswerStreams;
 use crate::sync::locked;
 use crate::ticket::BoxRef;
 use crate::trace::{Hop, Span, TraceId, Traces};
@@ -125,7 +125,7 @@
     /// Calls that run at most once.
     pub calls: Calls,
     /// Answers under way.
-    pub streams: Streams,
+    pub streams: AnswerStreams,
     /// Requests under which upstreams crash.
     pub quarantine: Mutex<Quarantine>,
     link: Link,
@@ -159,7 +159,7 @@
             placements: Placements::default(),
             dispatchers: Dispatchers::default(),
             calls: Calls::default(),
-            streams: Streams::default(),
+            streams: AnswerStreams::default(),
             quarantine: Mutex::default(),
             link: Link::new(settings.routes.clone()),
             heartbeats: Mutex::default(),
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -58,8 +58,8 @@
         platform_silent_ms: (heard_at_ms > 0).then(|| now_ms().saturating_sub(heard_at_ms)),
         members: kernel.membership().view().members().cloned().collect(),
         dispatchers: kernel.dispatchers.status(),
-        streams: kernel.streams.running(),
-        ledger_keys: kernel.calls.keys(),
+        streams: kernel.streams.running_count(),
+        ledger_keys: kernel.calls.key_count(),
         violations: violations(),
     }
 }
--- a/src/spending.rs
+++ b/src/spending.rs
@@ -59,7 +59,7 @@
 /// Answers from the ledger of a box that has stopped; it is closed, so that
 /// nothing runs.
 pub(crate) fn answer_as_heir(kernel: &Kernel, spender: &BoxRef, call: &Call) -> Option<CallEnd> {
-    let mut inherited = locked(&kernel.calls.inherited);
+    let mut inherited = locked(&kernel.calls.inherited_ledgers);
     let ledger = inherited.get_mut(spender)?;
     let begin = ledger.begin(now_ms(), &call.key, fingerprint(call).0, call.ticket_expires_at_ms);
     check(Invariant::SentOnce, begin != CallDecision::Run, || call.key.key.clone());
--- a/src/stopping.rs
+++ b/src/stopping.rs
@@ -34,5 +34,5 @@
 }
 
 fn busy(kernel: &Kernel) -> bool {
-    kernel.streams.running() > 0 || kernel.calls.running() > 0
+    kernel.streams.running_count() > 0 || kernel.calls.running_count() > 0
 }
--- a/src/streams.rs
+++ b/src/streams.rs
@@ -15,11 +15,11 @@
 use crate::sync::locked;
 
 /// Time for which an ended answer can still be read.
-const KEPT_FOR_MS: u64 = 30_000;
+const RETENTION_MS: u64 = 30_000;
 /// Ended answers that are kept at most.
 const MAX_ENDED: usize = 512;
 /// Time after which an answer that nobody reads is cancelled.
-pub const UNREAD_FOR_MS: u64 = 15_000;
+pub const UNREAD_TIMEOUT_MS: u64 = 15_000;
 
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 }
 
 /// One answer.
-pub struct Stream {
+pub struct AnswerStream {
     /// Name of the request.
     pub id: String,
     /// Client account that it belongs to.
@@ -57,7 +57,7 @@
 }
 
 /// What a reader finds past the place that it has read to.
-pub enum News {
+pub enum StreamUpdate {
     /// More text, one for each piece.
     Texts(Vec<String>),
     /// The end.
@@ -65,16 +65,16 @@
 }
 
 /// Counts a reader for as long as it lives.
-pub struct Reader(Arc<Stream>);
+pub struct ReaderGuard(Arc<AnswerStream>);
 
-impl Drop for Reader {
+impl Drop for ReaderGuard {
     fn drop(&mut self) {
         self.0.readers.fetch_sub(1, Ordering::AcqRel);
         self.0.content().unread_since_ms = now_ms();
     }
 }
 
-impl Stream {
+impl AnswerStream {
     fn content(&self) -> std::sync::MutexGuard<'_, Content> {
         locked(&self.content)
     }
@@ -107,7 +107,7 @@
 
     /// Version that ran and prompt tokens that were cached, once known.
     #[must_use]
-    pub fn ran_with(&self) -> (String, u32) {
+    pub fn version_and_cached_tokens(&self) -> (String, u32) {
         let content = self.content();
         (content.version.clone(), content.cached_tokens)
     }
@@ -119,16 +119,16 @@
     }
 
     /// Waits for news past the first `read` pieces.
-    pub async fn next(&self, read: usize) -> News {
+    pub async fn next(&self, read: usize) -> StreamUpdate {
         let mut changed = self.changed.subscribe();
         loop {
             {
                 let content = self.content();
                 if content.texts.len() > read {
-                    return News::Texts(content.texts[read..].to_vec());
+                    return StreamUpdate::Texts(content.texts[read..].to_vec());
                 }
                 if let Some(end) = &content.end {
-                    return News::End(end.clone());
+                    return StreamUpdate::End(end.clone());
                 }
             }
             // The sender lives as long as this stream.
@@ -137,9 +137,9 @@
     }
 
     /// Counts a reader.
-    pub fn read(self: &Arc<Self>) -> Reader {
+    pub fn add_reader(self: &Arc<Self>) -> ReaderGuard {
         self.readers.fetch_add(1, Ordering::AcqRel);
-        Reader(self.clone())
+        ReaderGuard(self.clone())
     }
 
     /// Cancels the answer.
@@ -160,23 +160,29 @@
         content.end.as_ref().map(|_| content.ended_at_ms)
     }
 
-    fn unread(&self, now_ms: u64) -> bool {
+    fn has_no_readers(&self, now_ms: u64) -> bool {
         let unread_since_ms = self.content().unread_since_ms;
-        self.readers.load(Ordering::Acquire) == 0 && now_ms >= unread_since_ms + UNREAD_FOR_MS
+        self.readers.load(Ordering::Acquire) == 0 && now_ms >= unread_since_ms + UNREAD_TIMEOUT_MS
     }
 }
 
 /// All answers of this box.
 #[derive(Default)]
-pub struct Streams {
-    by_id: Mutex<HashMap<String, Arc<Stream>>>,
+pub struct AnswerStreams {
+    by_id: Mutex<HashMap<String, Arc<AnswerStream>>>,
 }
 
-impl Streams {
+impl AnswerStreams {
     /// Opens an answer.
-    pub fn open(&self, id: String, account: &str, model: &str, prompt_tokens: u32) -> Arc<Stream> {
+    pub fn open(
+        &self,
+        id: String,
+        account: &str,
+        model: &str,
+        prompt_tokens: u32,
+    ) -> Arc<AnswerStream> {
         let content = Content { unread_since_ms: now_ms(), ..Content::default() };
-        let stream = Arc::new(Stream {
+        let stream = Arc::new(AnswerStream {
             id: id.clone(),
             account: account.to_owned(),
             model: model.to_owned(),
@@ -192,29 +198,29 @@
 
     /// The answer called `id`, if it belongs to `account`.
     #[must_use]
-    pub fn find(&self, account: &str, id: &str) -> Option<Arc<Stream>> {
+    pub fn find(&self, account: &str, id: &str) -> Option<Arc<AnswerStream>> {
         let by_id = locked(&self.by_id);
         by_id.get(id).filter(|stream| stream.account == account).cloned()
     }
 
     /// Number of answers that have not ended.
     #[must_use]
-    pub fn running(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         let by_id = locked(&self.by_id);
         by_id.values().filter(|stream| stream.ended_at_ms().is_none()).count()
     }
 
     /// Forgets answers that ended long ago and cancels those that nobody reads.
-    pub fn tidy(&self, now_ms: u64) {
+    pub fn remove_expired(&self, now_ms: u64) {
         let mut by_id = locked(&self.by_id);
         let ended = by_id.values().filter_map(|stream| stream.ended_at_ms());
         let mut ended: Vec<_> = ended.collect();
         ended.sort_unstable_by(|left, right| right.cmp(left));
         // Under a high rate the newest ones are kept only.
-        let crowded_out_ms = ended.get(MAX_ENDED).copied().unwrap_or(0);
-        let forget_before_ms = crowded_out_ms.max(now_ms.saturating_sub(KEPT_FOR_MS));
-        by_id.retain(|_, stream| stream.ended_at_ms().is_none_or(|at_ms| at_ms > forget_before_ms));
-        for stream in by_id.values().filter(|stream| stream.unread(now_ms)) {
+        let over_limit_ms = ended.get(MAX_ENDED).copied().unwrap_or(0);
+        let remove_before_ms = over_limit_ms.max(now_ms.saturating_sub(RETENTION_MS));
+        by_id.retain(|_, stream| stream.ended_at_ms().is_none_or(|at_ms| at_ms > remove_before_ms));
+        for stream in by_id.values().filter(|stream| stream.has_no_readers(now_ms)) {
             stream.cancel();
         }
     }
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -48,7 +48,8 @@
         let began_at_us = now_us();
         let WorkerReply { outcome, rest_ms } = kernel.upstreams.call(&url, call).await;
         if let Some(rest_ms) = rest_ms {
-            locked(&kernel.calls.workers.rests).insert(name.clone(), now_ms() + rest_ms);
+            locked(&kernel.calls.workers.unavailable_until_ms)
+                .insert(name.clone(), now_ms() + rest_ms);
         }
         let note = format!("{} {} on {name}", call.method, call.path);
         kernel.span(call.trace, Hop::Upstream, began_at_us, note);
@@ -94,7 +95,7 @@
 /// Workers of a service that take work, another one first each time.
 fn workers(kernel: &Kernel, service: &str) -> Workers {
     let config = kernel.configuration.current();
-    let cooldowns = locked(&kernel.calls.workers.cooldowns);
+    let cooldowns = locked(&kernel.calls.workers.cooldown_until_ms);
     let now_ms = now_ms();
     let own = kernel.settings.upstreams.iter().filter(|upstream| match &upstream.kind {
         UpstreamKind::Service { service: name, .. } => name == service,
@@ -102,7 +103,7 @@
     });
     let staying = own.filter(|upstream| !config.state.leaving.contains(&upstream.name));
     let all: Vec<_> = staying.map(|one| (one.name.clone(), one.url.clone())).collect();
-    let rests = locked(&kernel.calls.workers.rests);
+    let rests = locked(&kernel.calls.workers.unavailable_until_ms);
     let rest_until_ms = |name: &str| rests.get(name).copied().filter(|until_ms| now_ms < *until_ms);
     let (resting, all): (Vec<_>, Vec<_>) =
         all.into_iter().partition(|(name, _)| rest_until_ms(name).is_some());
@@ -110,7 +111,7 @@
     let (mut ready, cooling): (Vec<_>, Vec<_>) =
         all.into_iter().partition(|(name, _)| cooled(name));
     if !ready.is_empty() {
-        let turn = kernel.calls.workers.turn.fetch_add(1, Ordering::Relaxed) % ready.len();
+        let turn = kernel.calls.workers.round_robin.fetch_add(1, Ordering::Relaxed) % ready.len();
         ready.rotate_left(turn);
     }
     ready.extend(cooling);
@@ -120,7 +121,7 @@
 
 fn cool_down(kernel: &Kernel, worker: String) {
     let until_ms = now_ms() + WORKER_COOLDOWN_MS;
-    locked(&kernel.calls.workers.cooldowns).insert(worker, until_ms);
+    locked(&kernel.calls.workers.cooldown_until_ms).insert(worker, until_ms);
 }
 
 /// Whether calls to `path` of `service` may be repeated; `None` when there is
