--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -8,7 +8,7 @@
 use coursestile::configlog::Head;
 use coursestile::configuration::{BASE_KEY, HEAD_KEY};
 use coursestile::consul::Consul;
-use coursestile::edge::KeyValue;
+use coursestile::external::KeyValueStore;
 use coursestile_standins::fleet::{Fleet, Plan};
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -17,7 +17,7 @@
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::context::{PrefixChain, Scope, cache_salt, token_count};
 use crate::crashes::{note_answered, note_broken_off, quarantined_until_ms};
-use crate::edge::{EngineError, EnginePiece, Generate, ModelEngines, Pieces};
+use crate::external::{EngineError, EnginePiece, GenerateRequest, ModelEngines, PieceStream};
 use crate::fingerprint::Fingerprint;
 use crate::import::Bringing;
 use crate::invariant::{Invariant, check};
@@ -256,7 +256,7 @@
     async fn generate(&mut self, placed: &Placed, run: &str, first_seq: u64) -> Attempt {
         let began_at_ms = now_ms();
         let (scope, prompt) = (self.scope(), self.prompt());
-        let request = Generate {
+        let request = GenerateRequest {
             request_id: run,
             model: &self.job.model,
             weight_version: &self.job.version,
@@ -303,7 +303,7 @@
         &mut self,
         placed: &Placed,
         run: &str,
-        mut pieces: Pieces,
+        mut pieces: PieceStream,
         began_at_ms: u64,
     ) -> Result<String, EngineError> {
         let mut first = true;
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -12,8 +12,8 @@
 
 use crate::clock::now_ms;
 use crate::configlog::{Adopted, Head, State};
-use crate::edge::KeyValue;
 use crate::error::{Error, Result};
+use crate::external::KeyValueStore;
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::ranked;
 use crate::wire::{Envelope, Message};
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Fails when the platform does not answer or its value cannot be read.
-pub async fn read_state(platform: &impl KeyValue, head: &Head) -> Result<State> {
+pub async fn read_state(platform: &impl KeyValueStore, head: &Head) -> Result<State> {
     let mut state = State::default();
     if head.base_revision > 0 {
         let key = format!("{BASE_KEY}{}", head.base_revision);
--- a/src/consul.rs
+++ b/src/consul.rs
@@ -14,9 +14,9 @@
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 
-use crate::edge::{KeyValue, Value};
 use crate::error::{Error, Result};
-use crate::pool::Pool;
+use crate::external::{KeyValueEntry, KeyValueStore};
+use crate::pool::ConnectionPool;
 
 /// Time after which a call counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -30,7 +30,7 @@
 /// A client of the service.
 pub struct Consul {
     url: String,
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 }
 
 struct Reply {
@@ -89,12 +89,12 @@
         timeout: Duration,
     ) -> Result<Reply> {
         metrics::counter!("coursestile_platform_calls_total").increment(1);
-        let connections = self.pool.connections();
-        let call = connections.http.request(method, format!("{}/v1/{path}", self.url));
+        let client = self.pool.client();
+        let call = client.http.request(method, format!("{}/v1/{path}", self.url));
         let call = call.header("content-type", "application/json").body(body).timeout(timeout);
         let reply = Reply::read(call).await.inspect_err(|error| {
             if error.is_timeout() {
-                connections.silent();
+                client.report_silent();
             }
         });
         let reply = reply.map_err(failed)?;
@@ -109,18 +109,18 @@
     }
 }
 
-impl KeyValue for Consul {
-    async fn read(&self, key: &str) -> Result<Value> {
+impl KeyValueStore for Consul {
+    async fn read(&self, key: &str) -> Result<KeyValueEntry> {
         let path = format!("kv/{key}");
         let reply = self.send(Method::GET, &path, Vec::new(), CALL_TIMEOUT).await?;
         if reply.status == StatusCode::NOT_FOUND {
-            return Ok(Value::default());
+            return Ok(KeyValueEntry::default());
         }
         let found: Vec<Found> = reply.json()?;
         let found = found.into_iter().next().ok_or_else(|| failed("an empty list"))?;
         let bytes = STANDARD.decode(found.value.unwrap_or_default()).map_err(failed)?;
         let (index, fence) = (found.modify_index, found.lock_index);
-        Ok(Value { bytes, index, fence, session: found.session })
+        Ok(KeyValueEntry { bytes, index, fence, session: found.session })
     }
 
     async fn watch(&self, key: &str, index: u64) -> Result<u64> {
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::clock::{now_ms, now_us};
 use crate::dispatch_state::{ActiveDispatcher, Requester};
 use crate::dispatcher::{Action, Dispatcher};
-use crate::edge::{ContextStores, ModelEngines};
+use crate::external::{ContextStores, ModelEngines};
 use crate::fleet::Engine;
 use crate::keeper::{BlockDeletion, ContextManager, Export, ExportResult};
 use crate::kernel::{Kernel, Plugin, Topic};
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -13,7 +13,7 @@
 use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 pub use crate::dispatcher::places::GRANT_TTL_MS;
 use crate::dispatcher::places::{Running, work_tokens};
-use crate::edge::EngineReport;
+use crate::external::EngineReport;
 use crate::fleet::{Engine, Fleet};
 use crate::keeper::{ContextManager, Export};
 use crate::refusal::{Reason, Refusal};
--- a/src/edge.rs
+++ b/src/external.rs
@@ -18,7 +18,7 @@
 
 /// A value in the platform's key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Value {
+pub struct KeyValueEntry {
     /// Content; empty when the key does not exist.
     pub bytes: Vec<u8>,
     /// Index of the last write; 0 when the key does not exist.
@@ -30,9 +30,9 @@
 }
 
 /// The platform's key-value service.
-pub trait KeyValue: Send + Sync {
+pub trait KeyValueStore: Send + Sync {
     /// Reads a key.
-    fn read(&self, key: &str) -> impl Future<Output = Result<Value>> + Send;
+    fn read(&self, key: &str) -> impl Future<Output = Result<KeyValueEntry>> + Send;
 
     /// Waits until the key is written after `index`, or for a second; returns its
     /// index then. Index 0 is answered at once.
@@ -71,7 +71,7 @@
 
 /// What a model engine is asked to run.
 #[derive(Clone, Debug, Serialize)]
-pub struct Generate<'a> {
+pub struct GenerateRequest<'a> {
     /// Names the run at the engine.
     pub request_id: &'a str,
     /// Model.
@@ -119,7 +119,8 @@
 }
 
 /// Pieces of a run as they come.
-pub type Pieces = Pin<Box<dyn Stream<Item = std::result::Result<EnginePiece, EngineError>> + Send>>;
+pub type PieceStream =
+    Pin<Box<dyn Stream<Item = std::result::Result<EnginePiece, EngineError>> + Send>>;
 
 /// An engine's own report.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -134,7 +135,7 @@
 
 /// An order to an engine.
 #[derive(Clone, Debug, Serialize)]
-pub struct Order<'a> {
+pub struct LoadOrder<'a> {
     /// Fencing token of the lease under which it is given.
     pub fence: u64,
     /// Version that the order replaces.
@@ -150,10 +151,10 @@
     fn generate(
         &self,
         url: &str,
-        request: &Generate<'_>,
+        request: &GenerateRequest<'_>,
         attempt: u32,
         first_seq: u64,
-    ) -> impl Future<Output = std::result::Result<Pieces, EngineError>> + Send;
+    ) -> impl Future<Output = std::result::Result<PieceStream, EngineError>> + Send;
 
     /// Goes on reading a run from place `from` of that run.
     fn resume(
@@ -163,7 +164,7 @@
         attempt: u32,
         from: u64,
         first_seq: u64,
-    ) -> impl Future<Output = std::result::Result<Pieces, EngineError>> + Send;
+    ) -> impl Future<Output = std::result::Result<PieceStream, EngineError>> + Send;
 
     /// Cancels a run.
     fn cancel(&self, url: &str, request_id: &str) -> impl Future<Output = ()> + Send;
@@ -182,20 +183,20 @@
         block: &BlockId,
         prompt: &str,
         salt: &str,
-    ) -> impl Future<Output = Staged> + Send;
+    ) -> impl Future<Output = StageResult> + Send;
 
     /// Uses the first `tokens` of a staged block; 0 discards it.
     fn commit(&self, url: &str, block: &BlockId, tokens: u32) -> impl Future<Output = bool> + Send;
 
     /// Gives an order; true when it was carried out.
-    fn order(&self, url: &str, order: &Order<'_>) -> impl Future<Output = bool> + Send;
+    fn order(&self, url: &str, order: &LoadOrder<'_>) -> impl Future<Output = bool> + Send;
 }
 
 /// What came of staging a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Staged {
+pub enum StageResult {
     /// The engine has a block, whose content is thus.
-    Arrived(Seal),
+    Staged(Seal),
     /// The store has no such block.
     NotFound,
     /// The store or the engine failed.
@@ -225,12 +226,12 @@
     /// Whether the call can have run, and the answer.
     pub outcome: Outcome,
     /// Time for which the worker, which turned the call away, wants no other.
-    pub rest_ms: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 impl From<Outcome> for WorkerReply {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, rest_ms: None }
+        Self { outcome, retry_after_ms: None }
     }
 }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::ask::SlotRequest;
 use crate::cache::Cache;
-use crate::edge::EngineReport;
+use crate::external::EngineReport;
 use crate::route::EngineCandidate;
 
 /// First wait after a failure.
--- a/src/import.rs
+++ b/src/import.rs
@@ -4,7 +4,7 @@
 
 use crate::ask::{Import, ImportReport, ImportResult, SlotReport};
 use crate::clock::{instant_at, now_ms, now_us};
-use crate::edge::{ContextStores, ModelEngines, Staged};
+use crate::external::{ContextStores, ModelEngines, StageResult};
 use crate::invariant::{Invariant, check};
 use crate::kernel::Kernel;
 use crate::placing::Placed;
@@ -52,9 +52,9 @@
             return ImportResult::NotFound;
         }
         let arrived = match upstreams.stage(url, store_url, block, self.prompt, self.salt).await {
-            Staged::Arrived(arrived) => arrived,
-            Staged::NotFound => return ImportResult::NotFound,
-            Staged::Failed => return ImportResult::TimedOut,
+            StageResult::Staged(arrived) => arrived,
+            StageResult::NotFound => return ImportResult::NotFound,
+            StageResult::Failed => return ImportResult::TimedOut,
         };
         let in_time = now_ms() < *pinned_until_ms;
         if arrived != *seal || !in_time {
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -6,8 +6,8 @@
 
 use crate::configlog::{Head, MAX_HEAD_ENTRIES, Proposal, State};
 use crate::configuration::{BASE_KEY, HEAD_KEY, read_head, read_state};
-use crate::edge::KeyValue;
 use crate::error::{Error, Result};
+use crate::external::KeyValueStore;
 
 /// Changes that stay in the head when the older ones move into a base, so that
 /// a box that is a little behind needs no whole state.
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// Fails when the platform does not answer or its value cannot be read.
-pub async fn read(platform: &impl KeyValue) -> Result<(Head, State)> {
+pub async fn read(platform: &impl KeyValueStore) -> Result<(Head, State)> {
     patiently(async || {
         let head = read_head(&platform.read(HEAD_KEY).await?.bytes)?;
         let state = read_state(platform, &head).await?;
@@ -54,11 +54,11 @@
 /// # Errors
 /// Fails when the object was changed meanwhile, when the change is refused,
 /// or when the platform does not answer for long.
-pub async fn propose(platform: &impl KeyValue, proposal: &Proposal) -> Result<u64> {
+pub async fn propose(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<u64> {
     patiently(async || try_once(platform, proposal).await).await
 }
 
-async fn try_once(platform: &impl KeyValue, proposal: &Proposal) -> Result<Option<u64>> {
+async fn try_once(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<Option<u64>> {
     let value = platform.read(HEAD_KEY).await?;
     let mut head = read_head(&value.bytes)?;
     let state = read_state(platform, &head).await?;
@@ -84,7 +84,7 @@
 }
 
 /// Moves the older entries of a head into a new base.
-async fn compact(platform: &impl KeyValue, head: Head) -> Result<Head> {
+async fn compact(platform: &impl KeyValueStore, head: Head) -> Result<Head> {
     let split = head.entries.len() - KEPT_HEAD_ENTRIES;
     let mut older = head;
     let entries = older.entries.split_off(split);
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -13,8 +13,8 @@
 use log::{info, warn};
 
 use crate::clock::now_ms;
-use crate::edge::{KeyValue, ModelEngines, Order, Value};
 use crate::error::Result;
+use crate::external::{KeyValueEntry, KeyValueStore, LoadOrder, ModelEngines};
 use crate::invariant::{Invariant, check};
 use crate::kernel::{Kernel, Plugin};
 use crate::lease::{
@@ -153,7 +153,7 @@
     }
 }
 
-fn stands(kernel: &Kernel, holder: &Holder, value: &Value) -> Standing {
+fn stands(kernel: &Kernel, holder: &Holder, value: &KeyValueEntry) -> Standing {
     let held = value.session.clone().map(|session| {
         let holder = serde_json::from_slice(&value.bytes).ok();
         Held { session, holder }
@@ -251,7 +251,7 @@
         return;
     }
     let (expect_version, version) = (load.expect_version.as_str(), load.version.as_str());
-    let order = Order { fence: lease.fence, expect_version, version };
+    let order = LoadOrder { fence: lease.fence, expect_version, version };
     let done = kernel.upstreams.order(&upstream.url, &order).await;
     info!(target: "orders", "Load of {version} on {}: {}.", load.engine,
         if done { "done" } else { "refused or lost" });
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -28,54 +28,54 @@
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The connections to one system.
-pub struct Pool {
-    current: Mutex<Generation>,
+pub struct ConnectionPool {
+    current: Mutex<ClientGeneration>,
     max_idle: usize,
 }
 
 /// Connections that are let go together.
 #[derive(Clone)]
-struct Generation {
+struct ClientGeneration {
     http: Client,
     number: u64,
 }
 
 /// The connections that a call uses.
 #[derive(Clone)]
-pub struct Connections {
+pub struct PooledClient {
     /// Client that opens and keeps them.
     pub http: Client,
     number: u64,
-    pool: Arc<Pool>,
+    pool: Arc<ConnectionPool>,
 }
 
-impl Default for Pool {
+impl Default for ConnectionPool {
     fn default() -> Self {
-        Self::keeping(MAX_IDLE_CONNECTIONS)
+        Self::with_max_idle(MAX_IDLE_CONNECTIONS)
     }
 }
 
-impl Pool {
-    fn keeping(max_idle: usize) -> Self {
-        let current = Mutex::new(Generation { http: client(max_idle), number: 0 });
+impl ConnectionPool {
+    fn with_max_idle(max_idle: usize) -> Self {
+        let current = Mutex::new(ClientGeneration { http: build_client(max_idle), number: 0 });
         Self { current, max_idle }
     }
 
     /// A pool that keeps no connection: each call opens its own.
     #[must_use]
-    pub fn unkept() -> Self {
-        Self::keeping(0)
+    pub fn without_reuse() -> Self {
+        Self::with_max_idle(0)
     }
 
     /// The connections to use for a call.
     #[must_use]
-    pub fn connections(self: &Arc<Self>) -> Connections {
-        let Generation { http, number } = locked(&self.current).clone();
-        Connections { http, number, pool: self.clone() }
+    pub fn client(self: &Arc<Self>) -> PooledClient {
+        let ClientGeneration { http, number } = locked(&self.current).clone();
+        PooledClient { http, number, pool: self.clone() }
     }
 }
 
-impl Connections {
+impl PooledClient {
     /// Sends a call; when it is not answered in time, the others are let go.
     ///
     /// # Errors
@@ -83,17 +83,20 @@
     pub async fn send(&self, call: RequestBuilder) -> reqwest::Result<Response> {
         let answer = call.send().await;
         if answer.as_ref().is_err_and(reqwest::Error::is_timeout) {
-            self.silent();
+            self.report_silent();
         }
         answer
     }
 
     /// Lets the kept connections go, since one was silent; does nothing when that
     /// was done since this call began.
-    pub fn silent(&self) {
+    pub fn report_silent(&self) {
         let mut current = locked(&self.pool.current);
         if current.number == self.number {
-            *current = Generation { http: client(self.pool.max_idle), number: self.number + 1 };
+            *current = ClientGeneration {
+                http: build_client(self.pool.max_idle),
+                number: self.number + 1,
+            };
             metrics::counter!("coursestile_silent_connections_total").increment(1);
         }
     }
@@ -101,23 +104,23 @@
 
 /// A pool for each of several systems.
 #[derive(Default)]
-pub struct Pools {
-    by_url: Mutex<HashMap<String, Arc<Pool>>>,
+pub struct ConnectionPools {
+    by_url: Mutex<HashMap<String, Arc<ConnectionPool>>>,
 }
 
-impl Pools {
+impl ConnectionPools {
     /// The connections to use for a call to the system at `url`.
     #[must_use]
-    pub fn connections(&self, url: &str) -> Connections {
+    pub fn client(&self, url: &str) -> PooledClient {
         let mut by_url = locked(&self.by_url);
         if let Some(pool) = by_url.get(url) {
-            return pool.connections();
+            return pool.client();
         }
-        by_url.entry(url.to_owned()).or_default().connections()
+        by_url.entry(url.to_owned()).or_default().client()
     }
 }
 
-fn client(max_idle: usize) -> Client {
+fn build_client(max_idle: usize) -> Client {
     let http = Client::builder()
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
--- a/src/slot_guard.rs
+++ b/src/slot_guard.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use crate::ask::SlotEnd;
-use crate::edge::ModelEngines;
+use crate::external::ModelEngines;
 use crate::kernel::Kernel;
 use crate::placing::Placed;
 
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -17,27 +17,27 @@
 use crate::assembler::Piece;
 use crate::blocks::{BlockId, Seal};
 use crate::clock::{instant_at, now_ms};
-use crate::edge::{
-    ContextStores, EngineError, EnginePiece, EngineReport, Generate, ModelEngines, Order, Pieces,
-    PlainServices, Staged, WorkerReply,
+use crate::external::{
+    ContextStores, EngineError, EnginePiece, EngineReport, GenerateRequest, LoadOrder,
+    ModelEngines, PieceStream, PlainServices, StageResult, WorkerReply,
 };
 use crate::keeper::{BlockMeta, Export, ExportResult, StoredBlock};
 use crate::ledger::{Answer, Outcome};
-use crate::pool::{Connections, Pool, Pools};
+use crate::pool::{ConnectionPool, ConnectionPools, PooledClient};
 use crate::port::is_closed;
 use crate::wire::Call;
 
 /// Time for a short call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for a transfer of context, or a load of weights.
-const LONG_TIMEOUT: Duration = Duration::from_secs(15);
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time without a piece after which a stream counts as broken.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Time in which a stream ends after its end mark.
 const END_TIMEOUT: Duration = Duration::from_millis(100);
 /// Longest rest of a worker that is heeded.
-const MAX_REST_MS: u64 = 600_000;
+const MAX_RETRY_AFTER_MS: u64 = 600_000;
 /// Last event of a stream.
 const END_MARK: &str = "[DONE]";
 
@@ -47,15 +47,18 @@
 /// A client of all upstreams.
 pub struct HttpUpstreams {
     /// Engines and stores.
-    pools: Pools,
+    pools: ConnectionPools,
     /// Workers of plain services. A kept connection saves a call some tenths of a
     /// millisecond; one that has gone silent costs a call that may not be repeated.
-    workers: Arc<Pool>,
+    service_workers: Arc<ConnectionPool>,
 }
 
 impl Default for HttpUpstreams {
     fn default() -> Self {
-        Self { pools: Pools::default(), workers: Arc::new(Pool::unkept()) }
+        Self {
+            pools: ConnectionPools::default(),
+            service_workers: Arc::new(ConnectionPool::without_reuse()),
+        }
     }
 }
 
@@ -93,14 +96,15 @@
     cached_tokens: u32,
 }
 
-fn broken(error: impl std::fmt::Display) -> EngineError {
+fn broken_stream(error: impl std::fmt::Display) -> EngineError {
     EngineError::Broken(error.to_string())
 }
 
 /// Reads a chunk of a stream.
 fn read_chunk(data: &str, attempt: u32, first_seq: u64) -> Result<EnginePiece, EngineError> {
-    let chunk: Chunk = serde_json::from_str(data).map_err(broken)?;
-    let choice = chunk.choices.into_iter().next().ok_or_else(|| broken("a piece without text"))?;
+    let chunk: Chunk = serde_json::from_str(data).map_err(broken_stream)?;
+    let choice =
+        chunk.choices.into_iter().next().ok_or_else(|| broken_stream("a piece without text"))?;
     let details = chunk.usage.and_then(|usage| usage.prompt_tokens_details);
     let seq = first_seq + chunk.seq;
     let piece = Piece { attempt, seq, text: choice.text, finish: choice.finish_reason };
@@ -115,20 +119,20 @@
 /// Reads a stream up to its end mark, its first fault or a silence.
 fn read_stream(
     response: Response,
-    connections: Connections,
+    client: PooledClient,
     attempt: u32,
     first_seq: u64,
-) -> Pieces {
+) -> PieceStream {
     let events = Box::pin(response.bytes_stream().eventsource());
-    Box::pin(stream::unfold(Some((events, connections)), move |open| async move {
-        let (mut events, connections) = open?;
+    Box::pin(stream::unfold(Some((events, client)), move |open| async move {
+        let (mut events, client) = open?;
         match tokio::time::timeout(PIECE_TIMEOUT, events.next()).await {
             Err(_) => {
-                connections.silent();
-                Some((Err(broken("no piece in time")), None))
+                client.report_silent();
+                Some((Err(broken_stream("no piece in time")), None))
             }
             Ok(None) => None,
-            Ok(Some(Err(error))) => Some((Err(broken(error)), None)),
+            Ok(Some(Err(error))) => Some((Err(broken_stream(error)), None)),
             Ok(Some(Ok(event))) if event.data == END_MARK => {
                 // Read to the very end, so that the connection can be used again.
                 let _ = tokio::time::timeout(END_TIMEOUT, events.next()).await;
@@ -136,7 +140,7 @@
             }
             Ok(Some(Ok(event))) => {
                 let piece = read_chunk(&event.data, attempt, first_seq);
-                let rest = piece.is_ok().then_some((events, connections));
+                let rest = piece.is_ok().then_some((events, client));
                 Some((piece, rest))
             }
         }
@@ -156,7 +160,7 @@
 }
 
 /// Passes an accepted run on. Only an engine that says so has not run it.
-async fn accepted(response: Response) -> Result<Response, EngineError> {
+async fn check_accepted(response: Response) -> Result<Response, EngineError> {
     let status = response.status();
     if status == StatusCode::OK {
         return Ok(response);
@@ -166,39 +170,39 @@
             Err(EngineError::OtherVersion)
         }
         Ok(Rejection { error }) if error.not_run => Err(EngineError::Refused),
-        Ok(_) | Err(_) => Err(broken(status)),
+        Ok(_) | Err(_) => Err(broken_stream(status)),
     }
 }
 
 fn send_error(error: &reqwest::Error) -> EngineError {
-    if error.is_connect() { EngineError::Unreachable } else { broken(error) }
+    if error.is_connect() { EngineError::Unreachable } else { broken_stream(error) }
 }
 
 /// Waits for the begin of a run's answer.
-async fn answered(
-    connections: &Connections,
+async fn await_response(
+    client: &PooledClient,
     call: RequestBuilder,
     timeout: Duration,
 ) -> Result<Response, EngineError> {
     let Ok(answer) = tokio::time::timeout(timeout, call.send()).await else {
-        connections.silent();
-        return Err(broken("no answer in time"));
+        client.report_silent();
+        return Err(broken_stream("no answer in time"));
     };
-    accepted(answer.map_err(|error| send_error(&error))?).await
+    check_accepted(answer.map_err(|error| send_error(&error))?).await
 }
 
 impl ModelEngines for HttpUpstreams {
     async fn generate(
         &self,
         url: &str,
-        request: &Generate<'_>,
+        request: &GenerateRequest<'_>,
         attempt: u32,
         first_seq: u64,
-    ) -> Result<Pieces, EngineError> {
-        let connections = self.pools.connections(url);
-        let call = connections.http.post(format!("{url}/v1/completions")).json(request);
-        let response = answered(&connections, call, PIECE_TIMEOUT).await?;
-        Ok(read_stream(response, connections, attempt, first_seq))
+    ) -> Result<PieceStream, EngineError> {
+        let client = self.pools.client(url);
+        let call = client.http.post(format!("{url}/v1/completions")).json(request);
+        let response = await_response(&client, call, PIECE_TIMEOUT).await?;
+        Ok(read_stream(response, client, attempt, first_seq))
     }
 
     async fn resume(
@@ -208,24 +212,24 @@
         attempt: u32,
         from: u64,
         first_seq: u64,
-    ) -> Result<Pieces, EngineError> {
-        let connections = self.pools.connections(url);
+    ) -> Result<PieceStream, EngineError> {
+        let client = self.pools.client(url);
         let url = format!("{url}/v1/completions/{request_id}?from={from}");
-        let response = answered(&connections, connections.http.get(url), CALL_TIMEOUT).await?;
-        Ok(read_stream(response, connections, attempt, first_seq))
+        let response = await_response(&client, client.http.get(url), CALL_TIMEOUT).await?;
+        Ok(read_stream(response, client, attempt, first_seq))
     }
 
     async fn cancel(&self, url: &str, request_id: &str) {
-        let connections = self.pools.connections(url);
+        let client = self.pools.client(url);
         let url = format!("{url}/v1/completions/{request_id}");
         // An engine that cannot be reached has nothing left to cancel.
-        let _ = connections.send(connections.http.delete(url).timeout(CALL_TIMEOUT)).await;
+        let _ = client.send(client.http.delete(url).timeout(CALL_TIMEOUT)).await;
     }
 
     async fn report(&self, url: &str) -> Option<EngineReport> {
-        let connections = self.pools.connections(url);
-        let call = connections.http.get(format!("{url}/load")).timeout(CALL_TIMEOUT);
-        let load: Value = connections.send(call).await.ok()?.json().await.ok()?;
+        let client = self.pools.client(url);
+        let call = client.http.get(format!("{url}/load")).timeout(CALL_TIMEOUT);
+        let load: Value = client.send(call).await.ok()?.json().await.ok()?;
         let version = load["version"].as_str()?.to_owned();
         let (leaving, loading) = (load["leaving"] == true, load["loading"] == true);
         Some(EngineReport { version, leaving, loading })
@@ -236,9 +240,9 @@
             "block_id": export.block, "store": export.store_url,
             "request_id": export.request, "meta": export.meta,
         });
-        let connections = self.pools.connections(&export.engine_url);
-        let call = connections.http.post(format!("{}/kv/export", export.engine_url));
-        let Ok(response) = connections.send(call.json(&body).timeout(LONG_TIMEOUT)).await else {
+        let client = self.pools.client(&export.engine_url);
+        let call = client.http.post(format!("{}/kv/export", export.engine_url));
+        let Ok(response) = client.send(call.json(&body).timeout(TRANSFER_TIMEOUT)).await else {
             return ExportResult::Failed;
         };
         if response.status() == StatusCode::NOT_FOUND {
@@ -258,36 +262,35 @@
         block: &BlockId,
         prompt: &str,
         salt: &str,
-    ) -> Staged {
+    ) -> StageResult {
         let body = json!({
             "block_id": block, "store": store_url, "prompt": prompt, "cache_salt": salt,
         });
-        let connections = self.pools.connections(url);
-        let call = connections.http.post(format!("{url}/kv/import")).json(&body);
-        let Ok(response) = connections.send(call.timeout(LONG_TIMEOUT)).await else {
-            return Staged::Failed;
+        let client = self.pools.client(url);
+        let call = client.http.post(format!("{url}/kv/import")).json(&body);
+        let Ok(response) = client.send(call.timeout(TRANSFER_TIMEOUT)).await else {
+            return StageResult::Failed;
         };
         match response.status() {
             StatusCode::OK => {}
-            StatusCode::NOT_FOUND | StatusCode::GONE => return Staged::NotFound,
-            _ => return Staged::Failed,
+            StatusCode::NOT_FOUND | StatusCode::GONE => return StageResult::NotFound,
+            _ => return StageResult::Failed,
         }
         let staged = response.json::<Value>().await.ok();
-        staged.as_ref().and_then(read_seal).map_or(Staged::Failed, Staged::Arrived)
+        staged.as_ref().and_then(read_seal).map_or(StageResult::Failed, StageResult::Staged)
     }
 
     async fn commit(&self, url: &str, block: &BlockId, tokens: u32) -> bool {
         let body = json!({ "block_id": block, "tokens": tokens });
-        let connections = self.pools.connections(url);
-        let call =
-            connections.http.post(format!("{url}/kv/commit")).json(&body).timeout(CALL_TIMEOUT);
-        connections.send(call).await.is_ok_and(|response| response.status().is_success())
+        let client = self.pools.client(url);
+        let call = client.http.post(format!("{url}/kv/commit")).json(&body).timeout(CALL_TIMEOUT);
+        client.send(call).await.is_ok_and(|response| response.status().is_success())
     }
 
-    async fn order(&self, url: &str, order: &Order<'_>) -> bool {
-        let connections = self.pools.connections(url);
-        let call = connections.http.post(format!("{url}/orders")).json(order).timeout(LONG_TIMEOUT);
-        connections.send(call).await.is_ok_and(|response| response.status().is_success())
+    async fn order(&self, url: &str, order: &LoadOrder<'_>) -> bool {
+        let client = self.pools.client(url);
+        let call = client.http.post(format!("{url}/orders")).json(order).timeout(TRANSFER_TIMEOUT);
+        client.send(call).await.is_ok_and(|response| response.status().is_success())
     }
 }
 
@@ -313,25 +316,25 @@
 
 impl ContextStores for HttpUpstreams {
     async fn pin(&self, url: &str, block: &BlockId, until_ms: u64) -> Option<Seal> {
-        let connections = self.pools.connections(url);
-        let call = connections.http.post(format!("{url}/blocks/{}/pin", block.0));
+        let client = self.pools.client(url);
+        let call = client.http.post(format!("{url}/blocks/{}/pin", block.0));
         let call = call.json(&json!({ "until_ms": until_ms })).timeout(CALL_TIMEOUT);
-        let response = connections.send(call).await.ok()?.error_for_status().ok()?;
+        let response = client.send(call).await.ok()?.error_for_status().ok()?;
         read_seal(&response.json::<Value>().await.ok()?)
     }
 
     async fn delete(&self, url: &str, block: &BlockId) -> bool {
-        let connections = self.pools.connections(url);
-        let call = connections.http.delete(format!("{url}/blocks/{}", block.0));
+        let client = self.pools.client(url);
+        let call = client.http.delete(format!("{url}/blocks/{}", block.0));
         let status =
-            connections.send(call.timeout(CALL_TIMEOUT)).await.map(|response| response.status());
+            client.send(call.timeout(CALL_TIMEOUT)).await.map(|response| response.status());
         matches!(status, Ok(StatusCode::OK | StatusCode::NOT_FOUND))
     }
 
     async fn list(&self, url: &str) -> Option<Vec<StoredBlock>> {
-        let connections = self.pools.connections(url);
-        let call = connections.http.get(format!("{url}/blocks")).timeout(LONG_TIMEOUT);
-        let blocks: Vec<ListedBlock> = connections.send(call).await.ok()?.json().await.ok()?;
+        let client = self.pools.client(url);
+        let call = client.http.get(format!("{url}/blocks")).timeout(TRANSFER_TIMEOUT);
+        let blocks: Vec<ListedBlock> = client.send(call).await.ok()?.json().await.ok()?;
         let listed = blocks.into_iter().map(|block| {
             let ListedSeal { len_bytes, checksum, meta } = block.seal;
             let seal = Seal { len_bytes, checksum };
@@ -346,7 +349,7 @@
         let Ok(method) = Method::from_bytes(call.method.as_bytes()) else {
             return Outcome::NotRun.into();
         };
-        let http = self.workers.connections().http;
+        let http = self.service_workers.client().http;
         let mut request = http.request(method, format!("{url}{}", call.path));
         if let Some(content_type) = &call.content_type {
             request = request.header("content-type", content_type);
@@ -361,9 +364,12 @@
         let answer = tokio::time::timeout_at(instant_at(call.deadline_ms), request.send()).await;
         match answer {
             Ok(Ok(response)) => {
-                let rest_ms = rest_ms(&response);
+                let retry_after_ms = retry_after_ms(&response);
                 let answer = read_answer(response).await;
-                WorkerReply { outcome: answer.map_or(Outcome::Unknown, Outcome::Answered), rest_ms }
+                WorkerReply {
+                    outcome: answer.map_or(Outcome::Unknown, Outcome::Answered),
+                    retry_after_ms,
+                }
             }
             // Without a connection, no byte of the call has left.
             Ok(Err(error)) if error.is_connect() => Outcome::NotRun.into(),
@@ -373,14 +379,14 @@
 }
 
 /// How long a worker that turns a call away wants no other; in whole seconds on the wire.
-fn rest_ms(response: &Response) -> Option<u64> {
-    let told = response.headers().get(RETRY_AFTER);
-    let told = told.filter(|_| response.status() == StatusCode::SERVICE_UNAVAILABLE)?;
-    let seconds: Option<u64> = told.to_str().ok().and_then(|text| text.trim().parse().ok());
+fn retry_after_ms(response: &Response) -> Option<u64> {
+    let header = response.headers().get(RETRY_AFTER);
+    let header = header.filter(|_| response.status() == StatusCode::SERVICE_UNAVAILABLE)?;
+    let seconds: Option<u64> = header.to_str().ok().and_then(|text| text.trim().parse().ok());
     if seconds.is_none() {
-        debug!(target: "upstream", "Time to come back not read: {told:?}.");
+        debug!(target: "upstream", "Time to come back not read: {header:?}.");
     }
-    Some(seconds?.saturating_mul(1000).min(MAX_REST_MS))
+    Some(seconds?.saturating_mul(1000).min(MAX_RETRY_AFTER_MS))
 }
 
 async fn read_answer(response: Response) -> Option<Answer> {
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -5,7 +5,7 @@
 
 use crate::clock::{now_ms, now_us};
 use crate::crashes::{note_answered, note_broken_off, quarantined_until_ms};
-use crate::edge::{PlainServices, WorkerReply};
+use crate::external::{PlainServices, WorkerReply};
 use crate::fingerprint::Fingerprint;
 use crate::invariant::{Invariant, check};
 use crate::kernel::Kernel;
@@ -46,10 +46,10 @@
             break;
         }
         let began_at_us = now_us();
-        let WorkerReply { outcome, rest_ms } = kernel.upstreams.call(&url, call).await;
-        if let Some(rest_ms) = rest_ms {
+        let WorkerReply { outcome, retry_after_ms } = kernel.upstreams.call(&url, call).await;
+        if let Some(retry_after_ms) = retry_after_ms {
             locked(&kernel.calls.workers.unavailable_until_ms)
-                .insert(name.clone(), now_ms() + rest_ms);
+                .insert(name.clone(), now_ms() + retry_after_ms);
         }
         let note = format!("{} {} on {name}", call.method, call.path);
         kernel.span(call.trace, Hop::Upstream, began_at_us, note);
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -7,7 +7,7 @@
 use coursestile::blocks::{BlockId, Seal};
 use coursestile::context::{PrefixChain, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
-use coursestile::edge::EngineReport;
+use coursestile::external::EngineReport;
 use coursestile::fleet::Engine;
 use coursestile::keep::KeepPolicy;
 use coursestile::keeper::{BlockMeta, ContextManager, StoredBlock};
