--- a/src/directory.rs
+++ b/src/directory.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 
 use crate::blocks::BlockId;
-use crate::cache::Use;
+use crate::cache::CacheUse;
 use crate::context::PrefixChain;
 use crate::keep::{ReusePrior, ReuseStats};
 
@@ -22,7 +22,7 @@
     /// Tokens from the start on.
     pub tokens: u32,
     /// When the engine used it last.
-    pub last_use: Use,
+    pub last_use: CacheUse,
 }
 
 /// A known course of prompts.
@@ -206,12 +206,12 @@
 
     /// When an engine used this course last.
     #[must_use]
-    pub fn last_use_by(&self, engine: u16) -> Option<Use> {
+    pub fn last_use_by(&self, engine: u16) -> Option<CacheUse> {
         self.copies.iter().find(|copy| copy.engine == engine).map(|copy| copy.last_use)
     }
 
     /// Notes that an engine holds `tokens` of this course.
-    pub fn record_copy(&mut self, engine: u16, tokens: u32, used: Use) {
+    pub fn record_copy(&mut self, engine: u16, tokens: u32, used: CacheUse) {
         let copy = EngineCopy { engine, tokens, last_use: used };
         match self.copies.iter_mut().find(|copy| copy.engine == engine) {
             Some(known) => *known = copy,
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -96,7 +96,7 @@
         let record = self.context.directory.record_use(now_ms, account, &ask.prefix, until_ms);
         if let (Some(record), Some(mark)) = (record, ask.prefix.last()) {
             let before = record.last_use_by(narrow(engine));
-            let now = used.cache.touch(before, mark.tokens);
+            let now = used.cache.record_use(before, mark.tokens);
             record.record_copy(narrow(engine), mark.tokens, now);
         }
     }
@@ -109,7 +109,7 @@
                 let index = usize::from(copy.engine);
                 let engine = &self.fleet.engines[index];
                 let tokens = copy.tokens.min(common);
-                if engine.cache.holds(copy.last_use) && tokens > cached[index].tokens {
+                if engine.cache.contains(copy.last_use) && tokens > cached[index].tokens {
                     let depth_tokens = engine.cache.depth_tokens(copy.last_use);
                     cached[index] = Held { tokens, depth_tokens };
                 }
@@ -147,7 +147,7 @@
         engine.record_success();
         if running.believed.tokens > 0 {
             let hit = cached_tokens + SLACK_TOKENS >= running.believed.tokens;
-            engine.cache.learn(running.believed.depth_tokens, hit);
+            engine.cache.adjust_size(running.believed.depth_tokens, hit);
         }
     }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The engines of one model in one data hall, as their dispatcher sees them.
 
 use crate::ask::SlotRequest;
-use crate::cache::Cache;
+use crate::cache::CacheModel;
 use crate::external::EngineReport;
 use crate::route::EngineCandidate;
 
@@ -28,7 +28,7 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// What its prefix cache is believed to hold.
-    pub cache: Cache,
+    pub cache: CacheModel,
     /// Weight version that it reported last.
     pub version: Option<String>,
     /// It reports that it leaves.
@@ -56,7 +56,7 @@
             name: name.to_owned(),
             url: url.to_owned(),
             slots,
-            cache: Cache::new(cache_tokens),
+            cache: CacheModel::new(cache_tokens),
             version: None,
             leaving: false,
             loading: false,
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -16,7 +16,7 @@
 use crate::directory::Directory;
 use crate::keep::{self, BlockStats, KeepPolicy};
 use crate::route::ImportEstimate;
-use crate::store::{Store, exact, whole_ms};
+use crate::store::{Store, ceil_ms, to_f64};
 
 /// Least context worth a block, in tokens.
 const LEAST_BLOCK_TOKENS: u32 = 512;
@@ -153,7 +153,7 @@
             let store = self.stores.get(&block.store)?;
             let usable =
                 matches!(block.phase, Phase::Sealed(_)) && now_ms >= store.cooldown_until_ms;
-            usable.then(|| (id.clone(), store.offer(now_ms, block, common)))
+            usable.then(|| (id.clone(), store.import_offer(now_ms, block, common)))
         });
         offers.max_by_key(|(_, offer)| offer.tokens)
     }
@@ -169,18 +169,18 @@
     ) -> Option<Import> {
         // Given up before it is late by what reading takes, it would cost more than it may.
         let least_ms = offer.link_ms * IMPORT_PATIENCE + IMPORT_SLACK_MS;
-        let patience_ms = whole_ms(least_ms.max(offer.link_ms + spared_ms));
+        let patience_ms = ceil_ms(least_ms.max(offer.link_ms + spared_ms));
         let deadline_ms = now_ms + patience_ms;
         let pinned_until_ms = deadline_ms + PIN_EXTRA_MS;
         let (block, seal) = self.blocks.pin(id, scope, pinned_until_ms)?;
         let store = self.stores.get_mut(&block.store)?;
-        store.plan(now_ms, offer.transfer_ms);
+        store.plan_transfer(now_ms, offer.transfer_ms);
         Some(Import {
             block: id.clone(),
             tokens: offer.tokens,
             store_url: store.url.clone(),
             seal: seal.clone(),
-            expected_ms: u32::try_from(whole_ms(offer.link_ms)).unwrap_or(u32::MAX),
+            expected_ms: u32::try_from(ceil_ms(offer.link_ms)).unwrap_or(u32::MAX),
             deadline_ms,
             pinned_until_ms,
         })
@@ -195,8 +195,8 @@
             return;
         };
         match imported.result {
-            ImportResult::Done => store.measured(imported.expected_ms, imported.took_ms),
-            ImportResult::TimedOut => store.fail(now_ms),
+            ImportResult::Done => store.update_rate(imported.expected_ms, imported.took_ms),
+            ImportResult::TimedOut => store.mark_failed(now_ms),
             ImportResult::NotFound => {
                 self.blocks.free(&imported.block);
                 self.directory.forget_block(course.root, &imported.block);
@@ -250,7 +250,7 @@
             over_share: false,
         };
         let rates = self.stores.values().map(|store| store.bytes_per_ms);
-        let transfer_ms = exact(size_bytes) / rates.fold(1.0, f64::max);
+        let transfer_ms = to_f64(size_bytes) / rates.fold(1.0, f64::max);
         let prior = self.directory.prior(&ask.scope.account);
         keep::worth_exporting(self.policy, now_ms, &kept, &prior, transfer_ms).then_some(size_bytes)
     }
@@ -264,7 +264,7 @@
     ) -> Option<Export> {
         let ExportSource { ask, engine_url, request, .. } = source;
         let store = self.stores.get_mut(store_name)?;
-        store.plan(now_ms, exact(size_bytes) / store.bytes_per_ms);
+        store.plan_transfer(now_ms, to_f64(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
         let mark = ask.prefix.last()?;
         let id = BlockId::new(&ask.scope, mark, &self.writer, self.next_nonce);
@@ -299,7 +299,7 @@
         self.drop_block(&export.block, export.meta.prefix.root);
         let store = self.stores.values_mut().find(|store| store.url == export.store_url);
         if let Some(store) = store.filter(|_| failed) {
-            store.fail(now_ms);
+            store.mark_failed(now_ms);
         }
     }
 
@@ -334,7 +334,7 @@
             self.make_room(now_ms, &name);
         }
         for store in self.stores.values_mut() {
-            store.recover();
+            store.restore_rate();
         }
         self.directory.prune(now_ms);
         let deletable = self.blocks.deletable(now_ms);
--- a/src/keeper/room.rs
+++ b/src/keeper/room.rs
@@ -7,7 +7,7 @@
 use crate::keep::{self, BlockStats};
 use crate::keeper::ContextManager;
 use crate::owner::owner;
-use crate::store::exact;
+use crate::store::to_f64;
 
 /// Fill of a store above which blocks are freed, in percent.
 const HIGH_FILL_PERCENT: u64 = 92;
@@ -50,8 +50,8 @@
         let share_of = |account: &str| self.shares.get(account).copied().unwrap_or(1.0);
         let all_shares: f64 = by_account.keys().map(|account| share_of(account)).sum();
         let over = |account: &str| {
-            let fair_bytes = exact(capacity_bytes) * share_of(account) / all_shares.max(1e-6);
-            exact(by_account.get(account).copied().unwrap_or(0)) > fair_bytes
+            let fair_bytes = to_f64(capacity_bytes) * share_of(account) / all_shares.max(1e-6);
+            to_f64(by_account.get(account).copied().unwrap_or(0)) > fair_bytes
         };
         let records = self.directory.iter().filter_map(|record| {
             let id = record.block.as_ref()?;
--- a/src/store.rs
+++ b/src/store.rs
@@ -8,7 +8,7 @@
 /// Weight of a new measurement in a link's mean rate.
 const RATE_WEIGHT: f64 = 0.2;
 /// Part of the way back to the first estimate that a link's rate drifts.
-const RECOVERY_WEIGHT: f64 = 0.1;
+const RESTORE_WEIGHT: f64 = 0.1;
 
 /// A store box as its users see it.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     /// Bytes that this dispatcher may use there.
     pub capacity_bytes: u64,
     /// Rate of its link, as first estimated.
-    pub first_bytes_per_ms: f64,
+    pub initial_bytes_per_ms: f64,
     /// Rate of its link, measured.
     pub bytes_per_ms: f64,
     /// When the link has done what was planned on it, in Unix milliseconds.
@@ -34,7 +34,7 @@
         Self {
             url: url.to_owned(),
             capacity_bytes,
-            first_bytes_per_ms: bytes_per_ms,
+            initial_bytes_per_ms: bytes_per_ms,
             bytes_per_ms,
             busy_until_ms: 0.0,
             cooldown_until_ms: 0,
@@ -44,37 +44,37 @@
     /// Time until the link has done what was planned on it.
     #[must_use]
     pub fn backlog_ms(&self, now_ms: u64) -> f64 {
-        (self.busy_until_ms - exact(now_ms)).max(0.0)
+        (self.busy_until_ms - to_f64(now_ms)).max(0.0)
     }
 
-    /// What bringing a block takes that has `common` tokens of the prompt.
+    /// What bringing a block takes that has `common_tokens` tokens of the prompt.
     #[must_use]
-    pub fn offer(&self, now_ms: u64, block: &Block, common: u32) -> ImportEstimate {
-        let transfer_ms = exact(block.size_bytes) / self.bytes_per_ms;
+    pub fn import_offer(&self, now_ms: u64, block: &Block, common_tokens: u32) -> ImportEstimate {
+        let transfer_ms = to_f64(block.size_bytes) / self.bytes_per_ms;
         let link_ms = self.backlog_ms(now_ms) + transfer_ms;
-        ImportEstimate { tokens: common.min(block.prefix_end.tokens), link_ms, transfer_ms }
+        ImportEstimate { tokens: common_tokens.min(block.prefix_end.tokens), link_ms, transfer_ms }
     }
 
     /// Plans a transfer.
-    pub fn plan(&mut self, now_ms: u64, transfer_ms: f64) {
-        self.busy_until_ms = self.busy_until_ms.max(exact(now_ms)) + transfer_ms;
+    pub fn plan_transfer(&mut self, now_ms: u64, transfer_ms: f64) {
+        self.busy_until_ms = self.busy_until_ms.max(to_f64(now_ms)) + transfer_ms;
     }
 
     /// Corrects the rate by how far the estimate was off; the estimate
     /// includes what the link had to do before.
-    pub fn measured(&mut self, expected_ms: u32, took_ms: u32) {
+    pub fn update_rate(&mut self, expected_ms: u32, took_ms: u32) {
         let ratio = f64::from(expected_ms.max(1)) / f64::from(took_ms.max(1));
         self.bytes_per_ms *= 1.0 + RATE_WEIGHT * (ratio.clamp(0.25, 4.0) - 1.0);
     }
 
     /// Lets the rate drift back, once a second: a link that is believed to be
     /// slow is not used, and so would never be measured again.
-    pub fn recover(&mut self) {
-        self.bytes_per_ms += RECOVERY_WEIGHT * (self.first_bytes_per_ms - self.bytes_per_ms);
+    pub fn restore_rate(&mut self) {
+        self.bytes_per_ms += RESTORE_WEIGHT * (self.initial_bytes_per_ms - self.bytes_per_ms);
     }
 
     /// Notes a failure: the store is left alone for a while.
-    pub fn fail(&mut self, now_ms: u64) {
+    pub fn mark_failed(&mut self, now_ms: u64) {
         self.cooldown_until_ms = now_ms + COOLDOWN_MS;
         self.busy_until_ms = 0.0;
     }
@@ -83,7 +83,7 @@
 /// A whole number as a float.
 #[must_use]
 #[expect(clippy::cast_precision_loss, reason = "times and sizes stay far below 2^52")]
-pub fn exact(value: u64) -> f64 {
+pub fn to_f64(value: u64) -> f64 {
     value as f64
 }
 
@@ -94,6 +94,6 @@
     clippy::cast_sign_loss,
     reason = "waits are positive and far below 2^52"
 )]
-pub fn whole_ms(value: f64) -> u64 {
+pub fn ceil_ms(value: f64) -> u64 {
     value.max(0.0).ceil() as u64
 }
--- a/src/throughput.rs
+++ b/src/throughput.rs
@@ -40,6 +40,6 @@
         let Some(rate) = self.tokens_per_ms else {
             return 0;
         };
-        crate::store::whole_ms(tokens / rate.max(LEAST_RATE))
+        crate::store::ceil_ms(tokens / rate.max(LEAST_RATE))
     }
 }
--- a/tests/caches.rs
+++ b/tests/caches.rs
@@ -1,6 +1,6 @@
 //! The model of an engine's cache against a cache that forgets by recency.
 
-use coursestile::cache::{Cache, Use};
+use coursestile::cache::{CacheModel, CacheUse};
 use proptest::prelude::*;
 
 proptest! {
@@ -8,14 +8,14 @@
 
     #[test]
     fn recency_followed(books in proptest::collection::vec(0..12_usize, 1..200)) {
-        let mut cache = Cache::new(6000);
-        let mut uses: Vec<Option<Use>> = vec![None; 12];
+        let mut cache = CacheModel::new(6000);
+        let mut uses: Vec<Option<CacheUse>> = vec![None; 12];
         // Newest last, six at most.
         let mut truth: Vec<usize> = Vec::new();
         for book in books {
-            let believed = uses[book].is_some_and(|at| cache.holds(at));
+            let believed = uses[book].is_some_and(|at| cache.contains(at));
             prop_assert_eq!(believed, truth.contains(&book));
-            uses[book] = Some(cache.touch(uses[book], 1000));
+            uses[book] = Some(cache.record_use(uses[book], 1000));
             truth.retain(|other| *other != book);
             truth.push(book);
             if truth.len() > 6 {
@@ -27,18 +27,18 @@
 
 #[test]
 fn size_learned() {
-    let mut cache = Cache::new(60_000);
-    let first = cache.touch(None, 1000);
+    let mut cache = CacheModel::new(60_000);
+    let first = cache.record_use(None, 1000);
     for _ in 0..20 {
-        cache.touch(None, 1000);
+        cache.record_use(None, 1000);
     }
-    assert!(cache.holds(first));
+    assert!(cache.contains(first));
     // It was not there: the cache is smaller than believed.
-    cache.learn(cache.depth_tokens(first), false);
-    assert!(!cache.holds(first));
-    let second = cache.touch(None, 1000);
+    cache.adjust_size(cache.depth_tokens(first), false);
+    assert!(!cache.contains(first));
+    let second = cache.record_use(None, 1000);
     for _ in 0..15 {
-        cache.touch(None, 1000);
+        cache.record_use(None, 1000);
     }
-    assert!(cache.holds(second));
+    assert!(cache.contains(second));
 }
