--- a/src/phase.rs
+++ b/src/box_phase.rs
@@ -2,7 +2,7 @@
 
 /// Where the box is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum BoxPhase {
     /// Takes requests.
     Serving,
     /// Still takes requests, but is not ready for more.
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -19,6 +19,7 @@
 use serde_json::json;
 
 use crate::account::Terms;
+use crate::box_phase::BoxPhase;
 use crate::calls::{give_ticket, serve_once, serve_plain, single_key};
 use crate::chunk::{events, last_chunk};
 use crate::clock::{instant_at, now_ms};
@@ -27,7 +28,6 @@
 use crate::kernel::{Kernel, Plugin};
 use crate::ledger::{Answer, CallKey};
 use crate::listen::server;
-use crate::phase::Phase;
 use crate::refusal::{Reason, Refusal};
 use crate::rejection::{Rejection, bad_request, header};
 use crate::streams::{AnswerStream, StreamEnd, StreamUpdate};
@@ -67,7 +67,7 @@
     if config.state.revision == 0 {
         return Err(Refusal::not_run(Reason::NotReady).retry_at(now_ms() + 1000).into());
     }
-    if kernel.phase() >= Phase::Draining {
+    if kernel.phase() >= BoxPhase::Draining {
         return Err(Refusal::not_run(Reason::Stopping).retry_at(now_ms()).into());
     }
     let bearer = request.header("authorization").and_then(|value| value.strip_prefix("Bearer "));
@@ -325,7 +325,7 @@
     request.headers_mut().insert("traceparent", header(&trace.header()));
     let mut response = endpoint.call(request).await?.into_response();
     response.headers_mut().insert(TRACE_HEADER, header(&trace.to_string()));
-    if kernel.phase() > Phase::Serving {
+    if kernel.phase() > BoxPhase::Serving {
         response.headers_mut().insert("connection", header("close"));
     }
     Ok(response)
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -10,11 +10,11 @@
 
 use log::info;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::forwarding::{forward, take_call};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::ledger::{Answer, CallKey, Outcome};
-use crate::phase::Phase;
 use crate::refusal::{Reason, Refusal};
 use crate::spending::spend;
 use crate::sync::locked;
@@ -129,7 +129,7 @@
     let kernel = kernel.clone();
     tokio::spawn(async move {
         let mut ticks = tokio::time::interval(EXPIRE_PERIOD);
-        while kernel.phase() != Phase::Stopped {
+        while kernel.phase() != BoxPhase::Stopped {
             ticks.tick().await;
             kernel.calls.ledger().expire(now_ms());
             kernel.calls.forwarded.expire(now_ms());
--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -6,7 +6,7 @@
 use log::LevelFilter;
 
 use crate::error::{Error, Result};
-use crate::{logging, metering};
+use crate::{logging, prometheus};
 
 /// What to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -82,7 +82,7 @@
             return Ok(());
         }
         logging::start(args.level)?;
-        metering::record();
+        prometheus::install();
         let ended = serve(settings, &args);
         log::logger().flush();
         ended
--- a/src/config_in_force.rs
+++ b/src/config_in_force.rs
@@ -17,7 +17,7 @@
     log: Mutex<ConfigLog>,
     current: watch::Sender<Arc<Config>>,
     revision: AtomicU64,
-    platform_heard_at_ms: AtomicU64,
+    platform_answered_at_ms: AtomicU64,
 }
 
 impl Default for Configuration {
@@ -26,7 +26,7 @@
             log: Mutex::default(),
             current: watch::Sender::new(Arc::default()),
             revision: AtomicU64::new(0),
-            platform_heard_at_ms: AtomicU64::new(0),
+            platform_answered_at_ms: AtomicU64::new(0),
         }
     }
 }
@@ -48,20 +48,20 @@
     }
 
     /// When the platform answered last, in Unix milliseconds; 0 means never.
-    pub fn platform_heard_at_ms(&self) -> u64 {
-        self.platform_heard_at_ms.load(Ordering::Relaxed)
+    pub fn platform_answered_at_ms(&self) -> u64 {
+        self.platform_answered_at_ms.load(Ordering::Relaxed)
     }
 
     /// Notes that the platform has answered.
-    pub(crate) fn heard_platform(&self) {
-        self.platform_heard_at_ms.store(now_ms(), Ordering::Relaxed);
+    pub(crate) fn record_platform_answer(&self) {
+        self.platform_answered_at_ms.store(now_ms(), Ordering::Relaxed);
     }
 
     /// Takes news into the log and, if it is newer, into force.
-    pub(crate) fn adopt(&self, take: impl FnOnce(&mut ConfigLog) -> Adopted) -> Adopted {
+    pub(crate) fn adopt(&self, apply: impl FnOnce(&mut ConfigLog) -> Adopted) -> Adopted {
         let mut log = locked(&self.log);
         let before = log.revision();
-        let adopted = take(&mut log);
+        let adopted = apply(&mut log);
         let after = log.revision();
         check(Invariant::ConfigNeverReverts, after >= before, || format!("{before} to {after}"));
         if adopted == Adopted::Newer {
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -102,7 +102,7 @@
 /// Returns its index.
 async fn look(kernel: &Arc<Kernel>, seen: u64, watch: bool) -> Result<u64> {
     let index = kernel.platform.watch(HEAD_KEY, if watch { seen } else { 0 }).await?;
-    kernel.configuration.heard_platform();
+    kernel.configuration.record_platform_answer();
     if index != seen {
         let head = kernel.platform.read(HEAD_KEY).await?;
         adopt_head(kernel, &head.bytes).await?;
--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -11,6 +11,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::connections::set_socket_options;
@@ -19,7 +20,6 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::settings::Bounds;
 use crate::gateway::store_updates::publish;
-use crate::phase::Phase;
 
 /// Maximum length of a snapshot that is read: room for the metadata store's largest value and
 /// all upstreams.
@@ -49,7 +49,7 @@
 
 /// Fetches missing items from a peer whenever one knows more of the metadata store.
 pub async fn run(gateway: Arc<Gateway>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         // Ends early when gossip shows that a peer is ahead.
         let _ = timeout(COMPARE_PERIOD, gateway.catch_up_now.notified()).await;
         let (peer, own) = {
@@ -98,7 +98,7 @@
 
 /// Answers the queries of peers until the box stops.
 pub async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         let (mut stream, from) = match listener.accept().await {
             Ok(accepted) => accepted,
             Err(error) => {
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -7,6 +7,7 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::kernel::Gateway;
@@ -15,7 +16,6 @@
     catch_up, follow_caches, follow_metadata, gossip, leader, leadership, listener, members,
     quarantine, reachability, store_updates,
 };
-use crate::phase::Phase;
 
 /// Time for which a stopping box still accepts requests: the load balancer checks it every
 /// second and stops sending after two refusals; clients are told by each answer.
@@ -64,7 +64,7 @@
     tokio::spawn(members::run(gateway.clone()));
     tokio::spawn(quarantine::maintain_stored(gateway.clone()));
     tokio::spawn(listener::accept_clients(gateway.clone(), clients));
-    gateway.wait_for_phase(Phase::Stopped).await;
+    gateway.wait_for_phase(BoxPhase::Stopped).await;
     info!(target: "daemon", "event=stopped box={}", gateway.settings.name);
     Ok(())
 }
@@ -73,9 +73,9 @@
 pub async fn stop(gateway: Arc<Gateway>) {
     let stop_at_ms = now_ms() + gateway.settings.bounds.stop_ms - STOP_MARGIN_MS;
     info!(target: "daemon", "event=stopping box={}", gateway.settings.name);
-    gateway.enter(Phase::Leaving);
+    gateway.enter(BoxPhase::Leaving);
     sleep(Duration::from_millis(LEAVE_MS)).await;
-    gateway.enter(Phase::Draining);
+    gateway.enter(BoxPhase::Draining);
     // Lets idle connections close first.
     sleep(STOP_POLL).await;
     while gateway.state().requests_in_flight > 0 && now_ms() < stop_at_ms {
@@ -88,7 +88,7 @@
     // Lets the last answers reach the clients.
     sleep(STOP_POLL).await;
     leadership::resign(&gateway).await;
-    gateway.enter(Phase::Stopped);
+    gateway.enter(BoxPhase::Stopped);
 }
 
 /// Logs whether the settings have changed. Changes apply only at the next start.
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -10,6 +10,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::decisions::cache_contents::CacheContents;
@@ -17,7 +18,6 @@
 use crate::gateway::decisions::upstream::ReportedIncarnation;
 use crate::gateway::entries;
 use crate::gateway::kernel::{Gateway, State};
-use crate::phase::Phase;
 
 /// Maximum time for which a newly started box waits for gossip from its peers; after a power
 /// failure, boxes of a fleet may start seconds apart.
@@ -51,7 +51,7 @@
     // fetch every engine's history: 12 MB over a 10 Mbit/s link. A box that hears of no peer
     // in time assumes that it is the only one.
     let _ = timeout(DISCOVERY_TIMEOUT, wait_for_peers(&gateway)).await;
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         let wanted = holders_to_follow(&gateway);
         followed.retain(|holder_id, task| {
             let keep = wanted.contains(holder_id);
--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -15,6 +15,7 @@
 use log::{debug, info, warn};
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::decisions::units::whole_ms;
@@ -24,7 +25,6 @@
 use crate::gateway::metadata::{Change, Freshness, Item, WatchResult, WatchWait};
 use crate::gateway::settings::Bounds;
 use crate::gateway::{claims, entries, members, quarantine};
-use crate::phase::Phase;
 use crate::platform::keys::{self, KeyKind};
 
 /// A watch waits for at most this fraction (1/n) of the time in which a change must be in
@@ -60,7 +60,7 @@
     let mut listed = false;
     // A stale listing costs the store little; all boxes of a fleet may start at once.
     let mut freshness = Freshness::Stale;
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         if listed && !gateway.state().follows_metadata {
             sleep(TICK).await;
             continue;
@@ -126,7 +126,7 @@
 /// Periodically updates the role of this box, applies removals that are due and expires
 /// outdated state.
 pub async fn tick(gateway: Arc<Gateway>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(TICK).await;
         let mut state = gateway.state();
         let now_ms = now_ms();
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -10,6 +10,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::gateway::claims::handover_pause_ms;
 use crate::gateway::decisions::gossip_message::{
@@ -24,7 +25,6 @@
 use crate::gateway::quarantine;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
 use crate::names::number;
-use crate::phase::Phase;
 
 /// Maximum length of a datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 8192;
@@ -59,7 +59,7 @@
 pub async fn send(gateway: Arc<Gateway>, socket: Arc<UdpSocket>, incarnation: u64) {
     let mut audience = Audience::All;
     let mut sent_loads = Vec::new();
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         for (datagram, targets) in compose(&gateway, incarnation, audience, &mut sent_loads) {
             send_to(&socket, &datagram, &targets).await;
         }
@@ -270,7 +270,7 @@
 /// Receives datagrams from peers until the box stops.
 pub async fn receive(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -5,6 +5,7 @@
 
 use tokio::sync::{Notify, watch};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::Result;
 use crate::fingerprint::Fingerprint;
@@ -26,7 +27,6 @@
 use crate::gateway::leadership::Leadership;
 use crate::gateway::settings::{Bounds, Settings};
 use crate::names::number;
-use crate::phase::Phase;
 use crate::platform::caches::CacheClient;
 use crate::platform::engine::EngineClient;
 use crate::platform::http::HttpClient;
@@ -219,7 +219,7 @@
     /// Serialises writes of claims.
     pub claim_lock: tokio::sync::Mutex<()>,
     state: Mutex<State>,
-    phase: watch::Sender<Phase>,
+    phase: watch::Sender<BoxPhase>,
 }
 
 impl Gateway {
@@ -281,7 +281,7 @@
             unexplained_aborts: Mutex::default(),
             claim_lock: tokio::sync::Mutex::new(()),
             state: Mutex::new(state),
-            phase: watch::Sender::new(Phase::Serving),
+            phase: watch::Sender::new(BoxPhase::Serving),
             settings,
         }))
     }
@@ -293,17 +293,17 @@
 
     /// The lifecycle phase of this box.
     #[must_use]
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> BoxPhase {
         *self.phase.borrow()
     }
 
     /// Advances to a later phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter(&self, phase: BoxPhase) {
         self.phase.send_replace(phase);
     }
 
     /// Waits until `phase` or a later one is reached.
-    pub async fn wait_for_phase(&self, phase: Phase) {
+    pub async fn wait_for_phase(&self, phase: BoxPhase) {
         let mut seen = self.phase.subscribe();
         // The sender lives as long as the gateway, so this cannot fail.
         let _ = seen.wait_for(|now| *now >= phase).await;
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -8,6 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::gateway::claims;
 use crate::gateway::decisions::rollout::{self, RolloutCandidate};
@@ -16,7 +17,6 @@
 use crate::gateway::store_cleanup::StoreCleanup;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, WeightLoad, mark_loading, replace_weights};
 use crate::names::number;
-use crate::phase::Phase;
 
 /// Interval at which the leader checks whether there is anything to do.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
@@ -28,7 +28,7 @@
 
 /// Starts loads of weights while this box is the leader.
 pub async fn run(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(POLL_PERIOD).await;
         let Some(fence) = current_fence(&gateway) else { continue };
         for load in loads_to_start(&gateway, fence) {
@@ -41,7 +41,7 @@
 /// because a store that does not answer must not delay loads.
 pub async fn free_store_space(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
     let mut cleanup = StoreCleanup::default();
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(POLL_PERIOD).await;
         match current_fence(&gateway) {
             Some(fence) => cleanup.step(&gateway, &socket, fence).await,
@@ -52,7 +52,7 @@
 
 /// Removes outdated claims while this box is the leader.
 pub async fn prune_claims(gateway: Arc<Gateway>, socket: Arc<UdpSocket>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(PRUNE_PERIOD).await;
         let Some(fence) = current_fence(&gateway) else { continue };
         if let Err(error) = claims::prune(&gateway, &socket, fence).await {
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -14,6 +14,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::Result;
 use crate::gateway::claims;
@@ -21,7 +22,6 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::leader_calls::{self, CallOutcome, LeaderCall};
 use crate::gateway::metadata::{Lease, WriteOutcome};
-use crate::phase::Phase;
 use crate::platform::keys;
 
 /// Name of the lease.
@@ -65,7 +65,7 @@
         if !may_take_lease(&gateway) {
             continue;
         }
-        let stays = gateway.phase() == Phase::Serving;
+        let stays = gateway.phase() == BoxPhase::Serving;
         let delay_ms = if stays { 0 } else { STOPPING_DELAY_MS };
         sleep(Duration::from_millis(delay_ms + fastrand::u64(0..TAKE_JITTER_MS))).await;
         if !may_take_lease(&gateway) {
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -17,12 +17,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::gateway::connections::set_socket_options;
 use crate::gateway::decisions::configuration::ClientLimits;
 use crate::gateway::kernel::Gateway;
 use crate::gateway::serve::serve;
-use crate::metering;
-use crate::phase::Phase;
+use crate::prometheus;
 
 /// Pause after `accept` failed, usually because file descriptors ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -34,7 +34,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = gateway.wait_for_phase(Phase::Draining) => return,
+            () = gateway.wait_for_phase(BoxPhase::Draining) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -58,7 +58,7 @@
         let gateway = shared.clone();
         async move {
             let mut response = serve(gateway.clone(), request).await;
-            if gateway.phase() >= Phase::Leaving {
+            if gateway.phase() >= BoxPhase::Leaving {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
             }
@@ -69,7 +69,7 @@
         pin!(http_builder(&limits).serve_connection(TokioIo::new(stream), service));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = gateway.wait_for_phase(Phase::Draining) => {
+        () = gateway.wait_for_phase(BoxPhase::Draining) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
@@ -94,7 +94,7 @@
 pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_endpoint(gateway, listener, |gateway| {
         let has_configuration = gateway.state().site.is_some();
-        let ready = has_configuration && gateway.phase() == Phase::Serving;
+        let ready = has_configuration && gateway.phase() == BoxPhase::Serving;
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         (status, String::new())
     })
@@ -103,7 +103,7 @@
 
 /// Serves the metrics.
 pub async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
-    serve_endpoint(gateway, listener, |_| (StatusCode::OK, metering::render())).await;
+    serve_endpoint(gateway, listener, |_| (StatusCode::OK, prometheus::render())).await;
 }
 
 async fn serve_endpoint(
@@ -111,7 +111,7 @@
     listener: TcpListener,
     respond: fn(&Gateway) -> (StatusCode, String),
 ) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -12,12 +12,12 @@
 use log::{info, warn};
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::decisions::peers::{PEER_RETENTION_MS, Peers};
 use crate::gateway::kernel::Gateway;
 use crate::gateway::metadata::WriteOutcome;
-use crate::phase::Phase;
 use crate::platform::keys;
 
 /// Interval at which the leader compares the list with the boxes from which it receives gossip.
@@ -40,7 +40,7 @@
 /// Maintains the list while this box is the leader.
 pub async fn run(gateway: Arc<Gateway>) {
     let started_at_ms = now_ms();
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(COMPARE_PERIOD).await;
         let all_had_time = now_ms() >= started_at_ms + PEER_RETENTION_MS;
         if let Err(error) = update_list(&gateway, all_had_time).await {
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -10,13 +10,13 @@
 use log::{info, warn};
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::fingerprint::Fingerprint;
 use crate::gateway::decisions::gossip_message::Gossip;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::metadata::WriteOutcome;
-use crate::phase::Phase;
 use crate::platform::keys;
 use crate::quarantine::UpdateUrgency;
 
@@ -67,7 +67,7 @@
 
 /// Keeps the stored quarantine up to date while this box leads.
 pub async fn maintain_stored(gateway: Arc<Gateway>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         tokio::select! {
             () = sleep(COMPARE_PERIOD) => {}
             () = gateway.quarantine_changed.notified() => {}
--- a/src/gateway/reachability.rs
+++ b/src/gateway/reachability.rs
@@ -10,16 +10,16 @@
 use log::info;
 use tokio::time::sleep;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::gateway::kernel::Gateway;
-use crate::phase::Phase;
 
 /// Time between probes of an upstream.
 const PROBE_PERIOD: Duration = Duration::from_millis(400);
 
 /// Probes until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(PROBE_PERIOD).await;
         for (id, address) in unreachable(&gateway) {
             tokio::spawn(probe(gateway.clone(), id, address));
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -85,7 +85,7 @@
     /// Fails with a list of all errors found.
     pub fn parse(file: &str, text: &str) -> Result<Self> {
         let mut reader = IniFile::read(file, text);
-        reader.check_names(known_keys);
+        reader.check_known_names(known_keys);
         let unspecified: SocketAddr = ([127, 0, 0, 1], 0).into();
         let metrics: SocketAddr = reader.optional("box", "metrics", unspecified);
         let settings = Self {
@@ -131,7 +131,7 @@
     }
     let duration_ms = reader.optional("bounds", key, 0.0) * unit_ms;
     if !(0.0..MAX_DURATION_MS).contains(&duration_ms) {
-        reader.find_at("bounds", key, format!("{key}: not a valid duration"));
+        reader.add_finding("bounds", key, format!("{key}: not a valid duration"));
         return default_ms;
     }
     #[expect(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked above")]
@@ -142,7 +142,7 @@
 fn required_address(reader: &mut IniFile<'_>, key: &str) -> SocketAddr {
     let unspecified: SocketAddr = ([127, 0, 0, 1], 0).into();
     if reader.text("box", key).is_none() {
-        reader.find_at("box", "", format!("[box] has no {key}"));
+        reader.add_finding("box", "", format!("[box] has no {key}"));
         return unspecified;
     }
     reader.optional("box", key, unspecified)
@@ -155,7 +155,9 @@
         let host = seed.rsplit_once(':').map_or(seed.as_str(), |(host, _)| host);
         match host.parse() {
             Ok(address) => seeds.push(address),
-            Err(_) => reader.find_at("box", "seeds", format!("seeds: invalid address '{seed}'")),
+            Err(_) => {
+                reader.add_finding("box", "seeds", format!("seeds: invalid address '{seed}'"));
+            }
         }
     }
     seeds
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -18,13 +18,13 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
 use crate::gateway::catch_up::PeerQuery;
 use crate::gateway::decisions::cache_contents::CacheUpdate;
 use crate::gateway::kernel::{Gateway, State};
 use crate::names::number;
-use crate::phase::Phase;
 
 /// Interval between two messages while there are changes: short compared with the seconds
 /// after which a part is requested again.
@@ -51,7 +51,7 @@
 
 /// Subscribes to a box that follows the context stores, while this box does not.
 pub async fn subscribe(gateway: Arc<Gateway>) {
-    while gateway.phase() != Phase::Stopped {
+    while gateway.phase() != BoxPhase::Stopped {
         sleep(SUBSCRIBE_PAUSE).await;
         let peer = {
             let state = gateway.state();
@@ -118,7 +118,7 @@
 pub async fn publish(gateway: &Gateway, stream: &mut TcpStream) -> Result<()> {
     let mut sent_up_to: HashMap<u32, u64> = HashMap::new();
     let mut skipped = 0;
-    while gateway.phase() != Phase::Stopped && gateway.state().follows_caches {
+    while gateway.phase() != BoxPhase::Stopped && gateway.state().follows_caches {
         let updates = compose(&gateway.state(), &mut sent_up_to);
         if updates.is_empty() && skipped < SKIPPED_EMPTY_MESSAGES {
             skipped += 1;
--- a/src/ini_file.rs
+++ b/src/ini_file.rs
@@ -69,7 +69,7 @@
 
     /// Finds sections and keys that mean nothing, which are mostly typing
     /// errors; `known_keys` gives the keys of a section.
-    pub fn check_names(&mut self, known_keys: impl Fn(&str) -> &'static [&'static str]) {
+    pub fn check_known_names(&mut self, known_keys: impl Fn(&str) -> &'static [&'static str]) {
         let mut found = Vec::new();
         for (section, properties) in &self.ini {
             let Some(section) = section else {
@@ -92,7 +92,7 @@
             .map(|(section, key, text)| (section.to_owned(), key.to_owned(), text))
             .collect();
         for (section, key, text) in found {
-            self.find_at(&section, &key, text);
+            self.add_finding(&section, &key, text);
         }
     }
 
@@ -110,7 +110,7 @@
     /// A value that must be there.
     pub fn required<T: FromStr + Default>(&mut self, section: &str, key: &str) -> T {
         if self.text(section, key).is_none() {
-            self.find_at(section, "", format!("[{section}] has no {key}"));
+            self.add_finding(section, "", format!("[{section}] has no {key}"));
             return T::default();
         }
         self.optional(section, key, T::default())
@@ -125,7 +125,7 @@
             return value;
         }
         let text = format!("{key}: '{value}' cannot be read");
-        self.find_at(section, key, text);
+        self.add_finding(section, key, text);
         default
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Adds a finding at a key, or at its section's head when `key` is empty.
-    pub fn find_at(&mut self, section: &str, key: &str, text: String) {
+    pub fn add_finding(&mut self, section: &str, key: &str, text: String) {
         let line = line_of(self.text, section, key);
         self.findings.push(Finding { file: self.file.to_owned(), line, text });
     }
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -41,13 +41,13 @@
 }
 
 /// Counts and logs a violation when `holds` is false; returns `holds`.
-pub fn check(invariant: Invariant, holds: bool, place: impl FnOnce() -> String) -> bool {
+pub fn check(invariant: Invariant, holds: bool, context: impl FnOnce() -> String) -> bool {
     if !holds {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
         metrics::counter!("coursestile_invariant_violations_total",
             "invariant" => format!("{invariant:?}"))
         .increment(1);
-        error!(target: "invariant", "Violated: {invariant}. Place: {}.", place());
+        error!(target: "invariant", "Violated: {invariant}. Place: {}.", context());
     }
     holds
 }
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -11,6 +11,7 @@
 use log::{debug, info, warn};
 use tokio::sync::watch;
 
+use crate::box_phase::BoxPhase;
 use crate::call_state::Calls;
 use crate::clock::{now_ms, now_us};
 use crate::config_in_force::Configuration;
@@ -21,7 +22,6 @@
 use crate::link::{self, Link};
 use crate::member::{Gossip, Health, Member};
 use crate::membership::Membership;
-use crate::phase::Phase;
 use crate::placement_state::Placements;
 use crate::quarantine::Quarantine;
 use crate::settings::Settings;
@@ -131,7 +131,7 @@
     link: Link,
     heartbeats: Mutex<Heartbeats>,
     membership: Mutex<Membership>,
-    phase: watch::Sender<Phase>,
+    phase: watch::Sender<BoxPhase>,
     next_unique_number: AtomicU64,
 }
 
@@ -164,7 +164,7 @@
             link: Link::new(settings.routes.clone()),
             heartbeats: Mutex::default(),
             membership: Mutex::new(membership),
-            phase: watch::Sender::new(Phase::Serving),
+            phase: watch::Sender::new(BoxPhase::Serving),
             next_unique_number: AtomicU64::new(1),
             settings,
         })
@@ -187,7 +187,7 @@
         loop {
             tokio::select! {
                 Some(bytes) = received.recv() => self.receive(&receivers, &bytes),
-                _ = phase.wait_for(|phase| *phase == Phase::Stopped) => return Ok(()),
+                _ = phase.wait_for(|phase| *phase == BoxPhase::Stopped) => return Ok(()),
             }
         }
     }
@@ -282,12 +282,12 @@
 
     /// Where the box is in its life.
     #[must_use]
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> BoxPhase {
         *self.phase.borrow()
     }
 
     /// Takes the box on in its life.
-    pub(crate) fn enter_phase(&self, phase: Phase) {
+    pub(crate) fn enter_phase(&self, phase: BoxPhase) {
         self.phase.send_replace(phase);
     }
 
@@ -296,7 +296,7 @@
         let mut phase = self.phase.subscribe();
         async move {
             // The sender lives as long as the process.
-            let _ = phase.wait_for(|phase| *phase == Phase::Stopped).await;
+            let _ = phase.wait_for(|phase| *phase == BoxPhase::Stopped).await;
         }
     }
 
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -8,14 +8,14 @@
 use poem::{EndpointExt, Route, get, handler, post};
 use serde::Serialize;
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::dispatch_state::DispatcherStatus;
 use crate::invariant::violations;
 use crate::kernel::{Kernel, Plugin};
 use crate::listen::server;
 use crate::member::Member;
-use crate::metering::render;
-use crate::phase::Phase;
+use crate::prometheus::render;
 use crate::stopping::stop;
 use crate::trace::Span;
 
@@ -49,7 +49,7 @@
 }
 
 fn status_of(kernel: &Kernel) -> Status {
-    let heard_at_ms = kernel.configuration.platform_heard_at_ms();
+    let heard_at_ms = kernel.configuration.platform_answered_at_ms();
     Status {
         name: kernel.box_id.to_string(),
         hall: kernel.settings.hall.clone(),
@@ -65,7 +65,7 @@
 }
 
 fn ready(kernel: &Kernel) -> bool {
-    kernel.phase() == Phase::Serving && kernel.configuration.revision() > 0
+    kernel.phase() == BoxPhase::Serving && kernel.configuration.revision() > 0
 }
 
 #[handler]
@@ -85,7 +85,7 @@
 
 #[handler]
 fn trace(Path(id): Path<String>, Data(kernel): Data<&Arc<Kernel>>) -> Json<Vec<Span>> {
-    Json(kernel.traces.of(&id))
+    Json(kernel.traces.spans(&id))
 }
 
 #[handler]
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -12,6 +12,7 @@
 use futures_util::future::join_all;
 use log::{info, warn};
 
+use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::Result;
 use crate::external::{KeyValueEntry, KeyValueStore, LoadOrder, ModelEngines};
@@ -22,7 +23,6 @@
     Standing, standing,
 };
 use crate::owner::ranked;
-use crate::phase::Phase;
 use crate::settings::{EngineSettings, Upstream, UpstreamKind};
 use crate::sync::locked;
 use crate::ticket::BoxRef;
@@ -98,7 +98,7 @@
 /// not asked by every box; one that holds it keeps it, so that a change of the view
 /// costs no time without orders.
 fn is_candidate(kernel: &Kernel, holder: &Holder) -> bool {
-    if kernel.phase() != Phase::Serving {
+    if kernel.phase() != BoxPhase::Serving {
         return false;
     }
     let membership = kernel.membership();
--- a/src/metering.rs
+++ b/src/prometheus.rs
@@ -11,7 +11,7 @@
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
 /// Starts to record metrics; a second call does nothing.
-pub fn record() {
+pub fn install() {
     if RECORDER.get().is_some() {
         return;
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -124,7 +124,7 @@
 
 impl Reader<'_> {
     fn settings(&mut self) -> Settings {
-        self.0.check_names(known_keys);
+        self.0.check_known_names(known_keys);
         let name: String = self.0.required("box", "name");
         let local: SocketAddr = ([127, 0, 0, 1], 0).into();
         let peers = self.0.optional("box", "peers", local);
@@ -188,11 +188,11 @@
             }),
             Some(kind) => {
                 let text = format!("kind '{kind}' is none of engine, store and service");
-                self.0.find_at(section, "kind", text);
+                self.0.add_finding(section, "kind", text);
                 None
             }
             None => {
-                self.0.find_at(section, "", format!("[{section}] has no kind"));
+                self.0.add_finding(section, "", format!("[{section}] has no kind"));
                 None
             }
         }
@@ -203,7 +203,7 @@
             return T::default();
         };
         from_name(&value).unwrap_or_else(|| {
-            self.0.find_at("policy", key, format!("{key}: there is no policy '{value}'"));
+            self.0.add_finding("policy", key, format!("{key}: there is no policy '{value}'"));
             T::default()
         })
     }
@@ -215,7 +215,7 @@
                 routes.insert(address.to_owned(), way.to_owned());
             } else {
                 let text = format!("routes: '{pair}' is not address>way");
-                self.0.find_at("box", "routes", text);
+                self.0.add_finding("box", "routes", text);
             }
         }
         routes
@@ -224,7 +224,7 @@
     fn url(&mut self, section: &str) -> String {
         let url: String = self.0.required(section, "url");
         if !url.is_empty() && !url.starts_with("http://") && !url.starts_with("https://") {
-            self.0.find_at(section, "url", format!("url: '{url}' begins with no http://"));
+            self.0.add_finding(section, "url", format!("url: '{url}' begins with no http://"));
         }
         url.trim_end_matches('/').to_owned()
     }
@@ -233,7 +233,7 @@
         let parsed = blake3::Hash::from_hex(digits).map(|hash| *hash.as_bytes());
         if parsed.is_err() && !digits.is_empty() {
             let text = "cluster_key: 64 hex digits are needed".to_owned();
-            self.0.find_at("box", "cluster_key", text);
+            self.0.add_finding("box", "cluster_key", text);
         }
         parsed.unwrap_or_default()
     }
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Spans that a box remembers.
-const RING_LEN: usize = 8192;
+const MAX_SPANS: usize = 8192;
 
 /// Names a trace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -83,7 +83,7 @@
     /// Adds a span.
     pub fn add(&self, span: Span) {
         let mut ring = locked(&self.ring);
-        if ring.len() >= RING_LEN {
+        if ring.len() >= MAX_SPANS {
             ring.pop_front();
         }
         ring.push_back(span);
@@ -91,7 +91,7 @@
 
     /// The spans of a trace, in order of their start.
     #[must_use]
-    pub fn of(&self, trace: &str) -> Vec<Span> {
+    pub fn spans(&self, trace: &str) -> Vec<Span> {
         let ring = locked(&self.ring);
         let mut spans: Vec<_> = ring.iter().filter(|span| span.trace == trace).cloned().collect();
         spans.sort_by_key(|span| (span.started_at_us, span.hop));
