--- a/src/completion.rs
+++ b/src/completion.rs
@@ -22,7 +22,7 @@
 use crate::import::Bringing;
 use crate::invariant::{Invariant, check};
 use crate::kernel::{Kernel, Plugin};
-use crate::placing::{Placed, place};
+use crate::placing::{HeldSlot, acquire_slot};
 use crate::refusal::{Ran, Reason, Refusal};
 use crate::retry::RetryBudget;
 use crate::slot_guard::SlotGuard;
@@ -121,12 +121,12 @@
                 let refusal = Refusal::unknown(Reason::Quarantined).retry_at(until_ms);
                 return StreamEnd::Refused(self.as_it_ran(refusal));
             }
-            let placed = match place(self.kernel, self.ask()).await {
-                Ok(placed) => placed,
+            let slot = match acquire_slot(self.kernel, self.ask()).await {
+                Ok(slot) => slot,
                 Err(refusal) => return StreamEnd::Refused(self.as_it_ran(refusal)),
             };
-            let (engine, url) = (placed.grant.engine.clone(), placed.grant.url.clone());
-            match self.attempt(placed).await {
+            let (engine, url) = (slot.grant.engine.clone(), slot.grant.url.clone());
+            match self.attempt(slot).await {
                 Attempt::Finished(reason) => {
                     note_answered(self.kernel, self.fingerprint);
                     return StreamEnd::Finished(reason);
@@ -210,27 +210,27 @@
         self.kernel.configuration.current().state.leaving.contains(engine)
     }
 
-    async fn attempt(&mut self, placed: Placed) -> Attempt {
+    async fn attempt(&mut self, slot: HeldSlot) -> Attempt {
         let began_at_us = now_us();
         self.attempts += 1;
         let run = format!("{}-{}", self.stream.id, self.attempts);
         let first_seq = self.assembler.next_seq();
-        let mut guard = SlotGuard::new(self.kernel, placed, &run);
-        let placed = guard.placed();
-        if let Some(import) = placed.grant.import.clone() {
+        let mut guard = SlotGuard::new(self.kernel, slot, &run);
+        let slot = guard.slot();
+        if let Some(import) = slot.grant.import.clone() {
             let (prompt, salt, trace) = (self.prompt(), cache_salt(&self.scope()), self.job.trace);
             let (prompt, salt) = (prompt.as_str(), salt.as_str());
-            Bringing { kernel: self.kernel, placed, prompt, salt, trace }.import(&import).await;
+            Bringing { kernel: self.kernel, slot, prompt, salt, trace }.import(&import).await;
         }
-        if self.leaves(&placed.grant.engine) {
-            self.avoid.push(placed.grant.engine.clone());
+        if self.leaves(&slot.grant.engine) {
+            self.avoid.push(slot.grant.engine.clone());
             guard.release(0, SlotEnd::Unused);
             return Attempt::Refused;
         }
         let stream = self.stream;
         let ran_before = std::mem::replace(&mut self.may_have_run, true);
         let ended = tokio::select! {
-            ended = self.generate(placed, &run, first_seq) => ended,
+            ended = self.generate(slot, &run, first_seq) => ended,
             () = stream.cancelled() => Attempt::Cancelled,
         };
         let generated = self.assembler.next_seq() - first_seq;
@@ -246,14 +246,14 @@
             }
         };
         self.may_have_run = ran_before || ran;
-        let note = format!("{} on {}: {end:?}", run, placed.grant.engine);
+        let note = format!("{} on {}: {end:?}", run, slot.grant.engine);
         self.kernel.span(self.job.trace, Hop::Upstream, began_at_us, note);
         guard.release(u32::try_from(generated).unwrap_or(u32::MAX), end);
         ended
     }
 
     /// Runs on one engine, resuming there once when the stream breaks off.
-    async fn generate(&mut self, placed: &Placed, run: &str, first_seq: u64) -> Attempt {
+    async fn generate(&mut self, slot: &HeldSlot, run: &str, first_seq: u64) -> Attempt {
         let began_at_ms = now_ms();
         let (scope, prompt) = (self.scope(), self.prompt());
         let request = GenerateRequest {
@@ -266,15 +266,15 @@
             cache_salt: &cache_salt(&scope),
             stream: true,
         };
-        let url = &placed.grant.url;
-        let stays = !self.leaves(&placed.grant.engine);
-        if !check(Invariant::NoWorkWhenLeaving, stays, || placed.grant.engine.clone()) {
+        let url = &slot.grant.url;
+        let stays = !self.leaves(&slot.grant.engine);
+        if !check(Invariant::NoWorkWhenLeaving, stays, || slot.grant.engine.clone()) {
             return Attempt::Refused;
         }
         let number = self.assembler.start_attempt();
         let pieces = self.kernel.upstreams.generate(url, &request, number, first_seq).await;
         let ended = match pieces {
-            Ok(pieces) => self.read(placed, run, pieces, began_at_ms).await,
+            Ok(pieces) => self.read(slot, run, pieces, began_at_ms).await,
             Err(error) => Err(error),
         };
         let ended = match ended {
@@ -283,7 +283,7 @@
                 let number = self.assembler.start_attempt();
                 let upstreams = &self.kernel.upstreams;
                 match upstreams.resume(url, run, number, from, first_seq).await {
-                    Ok(pieces) => self.read(placed, run, pieces, began_at_ms).await,
+                    Ok(pieces) => self.read(slot, run, pieces, began_at_ms).await,
                     Err(error) => Err(error),
                 }
             }
@@ -301,7 +301,7 @@
 
     async fn read(
         &mut self,
-        placed: &Placed,
+        slot: &HeldSlot,
         run: &str,
         mut pieces: PieceStream,
         began_at_ms: u64,
@@ -310,12 +310,12 @@
         while let Some(piece) = pieces.next().await {
             let piece = piece?;
             if std::mem::take(&mut first) {
-                self.first_piece(placed, &piece, began_at_ms);
+                self.first_piece(slot, &piece, began_at_ms);
             }
             if piece.version != self.job.version {
                 // The engine did not check; nothing of this run is let through.
                 metrics::counter!("coursestile_other_version_runs_total").increment(1);
-                self.kernel.upstreams.cancel(&placed.grant.url, run).await;
+                self.kernel.upstreams.cancel(&slot.grant.url, run).await;
                 return Err(EngineError::RanOtherVersion);
             }
             self.take(run, piece)?;
@@ -329,10 +329,10 @@
         Err(EngineError::Broken("the stream ended early".to_owned()))
     }
 
-    fn first_piece(&self, placed: &Placed, piece: &EnginePiece, began_at_ms: u64) {
+    fn first_piece(&self, slot: &HeldSlot, piece: &EnginePiece, began_at_ms: u64) {
         let took_ms = u32::try_from(now_ms() - began_at_ms).unwrap_or(u32::MAX);
-        let (id, cached_tokens) = (placed.id().clone(), piece.cached_tokens);
-        placed.report(self.kernel, SlotReport::FirstToken { id, cached_tokens, took_ms });
+        let (id, cached_tokens) = (slot.id().clone(), piece.cached_tokens);
+        slot.report(self.kernel, SlotReport::FirstToken { id, cached_tokens, took_ms });
     }
 
     fn take(&mut self, run: &str, piece: EnginePiece) -> Result<(), EngineError> {
--- a/src/import.rs
+++ b/src/import.rs
@@ -7,7 +7,7 @@
 use crate::external::{ContextStores, ModelEngines, StageResult};
 use crate::invariant::{Invariant, check};
 use crate::kernel::Kernel;
-use crate::placing::Placed;
+use crate::placing::HeldSlot;
 use crate::trace::{Hop, TraceId};
 
 /// Context that is brought for a run.
@@ -15,7 +15,7 @@
     /// This box.
     pub kernel: &'a Arc<Kernel>,
     /// The place of the run.
-    pub placed: &'a Placed,
+    pub slot: &'a HeldSlot,
     /// Prompt of the run.
     pub prompt: &'a str,
     /// Salt of the account's context.
@@ -27,20 +27,20 @@
 impl Bringing<'_> {
     /// Brings kept context to the engine; without it, the run recomputes.
     pub async fn import(&self, import: &Import) {
-        let (kernel, placed) = (self.kernel, self.placed);
+        let (kernel, slot) = (self.kernel, self.slot);
         let (span_at_us, began_at_ms) = (now_us(), now_ms());
         let deadline = instant_at(import.deadline_ms);
-        let bring = self.bring(&placed.grant.url, import);
+        let bring = self.bring(&slot.grant.url, import);
         let brought = tokio::time::timeout_at(deadline, bring).await;
         let result = brought.unwrap_or(ImportResult::TimedOut);
         let took_ms = u32::try_from(now_ms() - began_at_ms).unwrap_or(u32::MAX);
         metrics::counter!("coursestile_imports_total", "result" => format!("{result:?}"))
             .increment(1);
-        let note = format!("{} to {}: {result:?}", import.block.0, placed.grant.engine);
+        let note = format!("{} to {}: {result:?}", import.block.0, slot.grant.engine);
         kernel.span(self.trace, Hop::Import, span_at_us, note);
         let (block, expected_ms) = (import.block.clone(), import.expected_ms);
         let imported = ImportReport { block, expected_ms, took_ms, result };
-        placed.report(kernel, SlotReport::Imported { id: placed.id().clone(), imported });
+        slot.report(kernel, SlotReport::Imported { id: slot.id().clone(), imported });
     }
 
     /// Pins the block, has it staged, and uses it only as it was sealed.
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -42,7 +42,7 @@
 }
 
 /// A place that this box holds.
-pub struct Placed {
+pub struct HeldSlot {
     /// The place.
     pub grant: Grant,
     dispatcher: String,
@@ -50,7 +50,7 @@
     id: SlotRequestId,
 }
 
-impl Placed {
+impl HeldSlot {
     /// Name of the ask that got this place.
     #[must_use]
     pub fn id(&self) -> &SlotRequestId {
@@ -63,7 +63,7 @@
     }
 
     /// Gives the place back.
-    pub fn done(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
+    pub fn release(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
         let (id, request) = (self.id.clone(), request.to_owned());
         self.report(kernel, SlotReport::Done { id, request, generated_tokens, end });
         let held = (self.dispatcher, self.model, self.id);
@@ -86,7 +86,7 @@
 ///
 /// # Errors
 /// Fails with a refusal; the request has not run.
-pub async fn place(kernel: &Arc<Kernel>, ask: SlotRequest) -> Result<Placed, Refusal> {
+pub async fn acquire_slot(kernel: &Arc<Kernel>, ask: SlotRequest) -> Result<HeldSlot, Refusal> {
     let (sender, inbox) = mpsc::channel(INBOX_LEN);
     let (id, trace) = (ask.id.clone(), ask.trace);
     locked(&kernel.placements.response_senders).insert(id.clone(), sender);
@@ -102,7 +102,7 @@
         search.withdraw();
     }
     let note = match &result {
-        Ok(placed) => format!("{} by {}", placed.grant.engine, placed.dispatcher),
+        Ok(slot) => format!("{} by {}", slot.grant.engine, slot.dispatcher),
         Err(refusal) => format!("refused: {}", refusal.reason),
     };
     kernel.span(trace, Hop::Ask, began_at_us, note);
@@ -110,18 +110,18 @@
 }
 
 impl Search<'_> {
-    async fn run(&mut self) -> Result<Placed, Refusal> {
+    async fn run(&mut self) -> Result<HeldSlot, Refusal> {
         let mut targets = targets(self.kernel, &self.ask);
         for target in targets.clone() {
-            if let Some(placed) = self.ask_target(&target).await {
-                return Ok(placed);
+            if let Some(slot) = self.ask_target(&target).await {
+                return Ok(slot);
             }
         }
         let own = self.kernel.settings.advertise.clone();
         if self.waits_at.is_none() && self.refusal.is_none() && !targets.contains(&own) {
             // Nobody answered: this box decides for itself.
-            if let Some(placed) = self.ask_target(&own).await {
-                return Ok(placed);
+            if let Some(slot) = self.ask_target(&own).await {
+                return Ok(slot);
             }
             targets.push(own);
         }
@@ -133,7 +133,7 @@
 
     /// Asks one dispatcher; once one lets the request wait, the others are
     /// asked for a free place only.
-    async fn ask_target(&mut self, target: &str) -> Option<Placed> {
+    async fn ask_target(&mut self, target: &str) -> Option<HeldSlot> {
         self.ask.no_wait = self.waits_at.is_some();
         self.send_ask(target);
         let timeout_at = (Instant::now() + ASK_TIMEOUT).min(instant_at(self.ask.deadline_ms));
@@ -164,7 +164,7 @@
     }
 
     /// Waits for the turn of the request.
-    async fn wait(&mut self, target: &str, targets: &[String]) -> Result<Placed, Refusal> {
+    async fn wait(&mut self, target: &str, targets: &[String]) -> Result<HeldSlot, Refusal> {
         let deadline = instant_at(self.ask.deadline_ms);
         let mut unheard = 0;
         let mut turn = 0;
@@ -212,7 +212,7 @@
         self.kernel.deliver(target, Message::SlotRequest(Box::new(self.ask.clone())));
     }
 
-    fn take(&mut self, from: String, grant: Grant) -> Placed {
+    fn take(&mut self, from: String, grant: Grant) -> HeldSlot {
         if self.waits_at.as_ref() == Some(&from) {
             self.waits_at = None;
         }
@@ -220,7 +220,7 @@
         let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
         let held = (from.clone(), model.clone(), id.clone());
         locked(&self.kernel.placements.held_slots).insert(held);
-        Placed { grant, dispatcher: from, model, id }
+        HeldSlot { grant, dispatcher: from, model, id }
     }
 
     fn withdraw(&mut self) {
--- a/src/slot_guard.rs
+++ b/src/slot_guard.rs
@@ -5,20 +5,20 @@
 use crate::ask::SlotEnd;
 use crate::external::ModelEngines;
 use crate::kernel::Kernel;
-use crate::placing::Placed;
+use crate::placing::HeldSlot;
 
 /// Gives a place back also when the attempt is dropped at its deadline.
 pub struct SlotGuard<'a> {
     kernel: &'a Arc<Kernel>,
-    placed: Option<Placed>,
+    slot: Option<HeldSlot>,
     run: &'a str,
 }
 
 impl<'a> SlotGuard<'a> {
     /// Holds a place for `run`.
     #[must_use]
-    pub fn new(kernel: &'a Arc<Kernel>, placed: Placed, run: &'a str) -> Self {
-        Self { kernel, placed: Some(placed), run }
+    pub fn new(kernel: &'a Arc<Kernel>, slot: HeldSlot, run: &'a str) -> Self {
+        Self { kernel, slot: Some(slot), run }
     }
 
     /// The place.
@@ -26,21 +26,21 @@
     /// # Panics
     /// Panics when it was given back.
     #[must_use]
-    pub fn placed(&self) -> &Placed {
-        self.placed.as_ref().expect("the place is held until it is given back")
+    pub fn slot(&self) -> &HeldSlot {
+        self.slot.as_ref().expect("the place is held until it is given back")
     }
 
     /// Gives the place back.
     pub fn release(&mut self, generated_tokens: u32, end: SlotEnd) {
-        let Some(placed) = self.placed.take() else {
+        let Some(slot) = self.slot.take() else {
             return;
         };
         if end == SlotEnd::Cancelled {
             let (kernel, run) = (self.kernel.clone(), self.run.to_owned());
-            let url = placed.grant.url.clone();
+            let url = slot.grant.url.clone();
             tokio::spawn(async move { kernel.upstreams.cancel(&url, &run).await });
         }
-        placed.done(self.kernel, self.run, generated_tokens, end);
+        slot.release(self.kernel, self.run, generated_tokens, end);
     }
 }
 
