--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -113,7 +113,7 @@
 
 fn is_watcher(kernel: &Kernel) -> bool {
     let membership = kernel.membership();
-    let hall = membership.view().hall(&kernel.settings.hall);
+    let hall = membership.view().available_in_hall(&kernel.settings.hall);
     let names = hall.iter().map(|member| member.id.name.as_str());
     ranked("config watcher", names, WATCHERS_PER_HALL).contains(&kernel.box_id.name.as_str())
 }
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -59,7 +59,7 @@
     let mut resend_after_ms = RESEND_AFTER_MS;
     let mut ask_at_ms = now_ms();
     while now_ms() < call.deadline_ms {
-        let found = kernel.membership().view().answers_for(spender).cloned();
+        let found = kernel.membership().view().ledger_holder(spender).cloned();
         let end = match found {
             Some(member) if member.id == kernel.box_id => answer_as_heir(kernel, spender, call),
             Some(member) => {
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -109,7 +109,7 @@
 
     /// Announces that this box keeps the ledger of `leaver`.
     pub fn inherit(&mut self, now_ms: u64, leaver: &BoxRef) {
-        self.view.inherit(now_ms, leaver);
+        self.view.record_inheritance(now_ms, leaver);
     }
 
     /// Asks some peers who keeps the ledger of a box. Who was away when that was told
@@ -124,7 +124,7 @@
     }
 
     fn tell_heirs(&self, to: &str, of: &BoxRef) -> Vec<Outgoing> {
-        let members: Vec<_> = self.view.heirs(of).into_iter().cloned().collect();
+        let members: Vec<_> = self.view.heir_chain(of).into_iter().cloned().collect();
         if members.iter().all(|member| member.heir.is_none()) {
             return Vec::new();
         }
@@ -141,7 +141,7 @@
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = self.relay_late_probes(now_ms);
         self.suspect_unanswered(now_ms);
-        self.view.age(now_ms);
+        self.view.expire_members(now_ms);
         if now_ms >= self.next_probe_at_ms {
             self.next_probe_at_ms = now_ms + PROBE_PERIOD_MS;
             outgoing.extend(self.probe_next(now_ms));
@@ -154,19 +154,19 @@
     pub fn receive(&mut self, now_ms: u64, from: &str, gossip: Gossip) -> Vec<Outgoing> {
         match gossip {
             Gossip::Ping { seq, digest, updates } => {
-                self.view.merge_all(now_ms, updates);
+                self.view.merge_members(now_ms, updates);
                 let mut outgoing = vec![self.ack(from, seq)];
                 outgoing.extend(self.sync(now_ms, from, digest));
                 outgoing
             }
             Gossip::Ack { seq, digest, updates } => {
-                self.view.merge_all(now_ms, updates);
+                self.view.merge_members(now_ms, updates);
                 let mut outgoing = self.acknowledge(seq);
                 outgoing.extend(self.sync(now_ms, from, digest));
                 outgoing
             }
             Gossip::PingReq { seq, target, updates } => {
-                self.view.merge_all(now_ms, updates);
+                self.view.merge_members(now_ms, updates);
                 self.relay(now_ms, from, seq, &target)
             }
             Gossip::Compare { digests } => self.differing(from, &digests),
@@ -176,11 +176,11 @@
             }
             Gossip::Joined { members } => {
                 self.joined = true;
-                self.view.merge_all(now_ms, members);
+                self.view.merge_members(now_ms, members);
                 Vec::new()
             }
             Gossip::Table { members } => {
-                self.view.merge_all(now_ms, members);
+                self.view.merge_members(now_ms, members);
                 Vec::new()
             }
             Gossip::Heirs { of } => self.tell_heirs(from, &of),
@@ -311,7 +311,7 @@
     /// Compares the table with a peer whose view differs, when no news under
     /// way explains that: views converge whatever was lost.
     fn sync(&mut self, now_ms: u64, to: &str, digest: u64) -> Option<Outgoing> {
-        if self.view.has_news(now_ms)
+        if self.view.changed_recently(now_ms)
             || now_ms < self.next_sync_at_ms
             || digest == self.view.digest()
         {
@@ -329,7 +329,7 @@
         let mut buckets: Vec<_> = (0..SYNC_BUCKETS).filter(differ).collect();
         self.rng.shuffle(&mut buckets);
         buckets.truncate(MAX_SYNCED_BUCKETS);
-        let members = self.view.in_buckets(&buckets);
+        let members = self.view.members_in_buckets(&buckets);
         vec![Outgoing { to: to.to_owned(), gossip: Gossip::Table { members } }]
     }
 
@@ -351,7 +351,7 @@
             waits
         });
         for name in lost {
-            self.view.suspect(now_ms, &name);
+            self.view.mark_suspect(now_ms, &name);
         }
         self.relays.retain(|_, relay| relay.expires_at_ms > now_ms);
     }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -102,7 +102,7 @@
         return false;
     }
     let membership = kernel.membership();
-    let hall = membership.view().hall(&kernel.settings.hall);
+    let hall = membership.view().available_in_hall(&kernel.settings.hall);
     let names = hall.iter().map(|member| member.id.name.as_str());
     let first = ranked("hall lease", names, CANDIDATES);
     holder.fence.is_some() || first.contains(&kernel.box_id.name.as_str())
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -265,7 +265,7 @@
     let passed_over = locked(&kernel.placements.dispatcher_cooldowns);
     let now_ms = now_ms();
     let owners = halls.into_iter().filter_map(|hall| {
-        let members = membership.view().hall(hall);
+        let members = membership.view().available_in_hall(hall);
         let name = owner(&ask.scope.model, members.iter().map(|one| one.id.name.as_str()))?;
         let address = &membership.view().member(name)?.address;
         let answers = passed_over.get(address).is_none_or(|until_ms| *until_ms <= now_ms);
--- a/src/view.rs
+++ b/src/view.rs
@@ -76,22 +76,22 @@
 
     /// Boxes of `hall` that take work, this one among them.
     #[must_use]
-    pub fn hall(&self, hall: &str) -> Vec<&Member> {
+    pub fn available_in_hall(&self, hall: &str) -> Vec<&Member> {
         self.members().filter(|member| member.hall == hall && member.takes_work()).collect()
     }
 
     /// The box that answers for the ledger of `spender`: itself, or the last of
     /// its heirs.
     #[must_use]
-    pub fn answers_for(&self, spender: &BoxRef) -> Option<&Member> {
-        let last = self.heirs(spender).into_iter().last()?;
+    pub fn ledger_holder(&self, spender: &BoxRef) -> Option<&Member> {
+        let last = self.heir_chain(spender).into_iter().last()?;
         let answers = last.heir.is_none() && last.health != Health::Dead;
         answers.then_some(last)
     }
 
     /// A box and its heirs, as far as they are known.
     #[must_use]
-    pub fn heirs(&self, of: &BoxRef) -> Vec<&Member> {
+    pub fn heir_chain(&self, of: &BoxRef) -> Vec<&Member> {
         let next = |member: &&Member| member.heir.as_ref().and_then(|heir| self.run(heir));
         std::iter::successors(self.run(of), next).take(MAX_HEIRS).collect()
     }
@@ -110,7 +110,7 @@
 
     /// Takes note that this box keeps the ledger of `leaver`, which may have had no
     /// time to say so.
-    pub fn inherit(&mut self, now_ms: u64, leaver: &BoxRef) {
+    pub fn record_inheritance(&mut self, now_ms: u64, leaver: &BoxRef) {
         let known = self.others.get(&leaver.name).map(|known| &known.member);
         if let Some(member) = known.filter(|member| member.id == *leaver) {
             let health = member.health.max(Health::Leaving);
@@ -137,7 +137,7 @@
     }
 
     /// Lets suspects and leavers die, and forgets the dead.
-    pub fn age(&mut self, now_ms: u64) {
+    pub fn expire_members(&mut self, now_ms: u64) {
         for known in self.others.values_mut() {
             let timeout_ms = match known.member.health {
                 Health::Suspect => SUSPECT_TIMEOUT_MS,
@@ -157,7 +157,7 @@
     }
 
     /// Takes what is said of some members.
-    pub fn merge_all(&mut self, now_ms: u64, members: Vec<Member>) {
+    pub fn merge_members(&mut self, now_ms: u64, members: Vec<Member>) {
         for member in members {
             self.merge(now_ms, member);
         }
@@ -237,12 +237,12 @@
 
     /// Whether news came a moment ago, which explains why views differ.
     #[must_use]
-    pub fn has_news(&self, now_ms: u64) -> bool {
+    pub fn changed_recently(&self, now_ms: u64) -> bool {
         self.others.values().any(|known| now_ms < known.since_ms + NEWS_TIME_MS)
     }
 
     /// Takes note that a member did not answer.
-    pub fn suspect(&mut self, now_ms: u64, name: &str) {
+    pub fn mark_suspect(&mut self, now_ms: u64, name: &str) {
         let known = self.others.get(name).map(|known| &known.member);
         if let Some(member) = known.filter(|member| member.health == Health::Alive) {
             let suspect = Member { health: Health::Suspect, ..member.clone() };
@@ -252,7 +252,7 @@
 
     /// The members of some buckets, of [`SYNC_BUCKETS`].
     #[must_use]
-    pub fn in_buckets(&self, buckets: &[usize]) -> Vec<Member> {
+    pub fn members_in_buckets(&self, buckets: &[usize]) -> Vec<Member> {
         let wanted = |member: &&Member| buckets.contains(&member.bucket(SYNC_BUCKETS));
         self.members().filter(wanted).cloned().collect()
     }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -147,7 +147,7 @@
     let old = BoxRef { name: "b0".to_owned(), incarnation: 1 };
     for at in 0..6 {
         let keeper =
-            network.boxes[at].view().answers_for(&old).map(|member| member.id.name.as_str());
+            network.boxes[at].view().ledger_holder(&old).map(|member| member.id.name.as_str());
         assert_eq!(keeper, Some("b4"), "as b{at} sees it");
     }
 }
@@ -163,7 +163,7 @@
     view.merge(1000, member(2, 1, 1));
     let (left, heir) = (member(1, 1, 1), member(2, 1, 1).id);
     view.merge(2000, Member { health: Health::Leaving, heir: Some(heir.clone()), ..left.clone() });
-    assert_eq!(view.answers_for(&left.id).map(|member| &member.id), Some(&heir));
+    assert_eq!(view.ledger_holder(&left.id).map(|member| &member.id), Some(&heir));
     assert!(!view.member("b1").unwrap().takes_work());
 }
 
@@ -183,7 +183,7 @@
         network.run(10);
     }
     let old = BoxRef { name: "b0".to_owned(), incarnation: 1 };
-    let unaware = (0..6).filter(|at| network.boxes[*at].view().answers_for(&old).is_none());
+    let unaware = (0..6).filter(|at| network.boxes[*at].view().ledger_holder(&old).is_none());
     assert_eq!(unaware.collect::<Vec<_>>(), Vec::<usize>::new(), "boxes that know no heir");
 }
 
