--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -74,7 +74,7 @@
     body: Incoming,
     arrived_at_ms: u64,
 ) -> Result<AdmittedRequest, Reason> {
-    let site = wait_for_configuration(gateway).await.ok_or(Reason::NotReady)?;
+    let configuration = wait_for_configuration(gateway).await.ok_or(Reason::NotReady)?;
     if has_ambiguous_framing(&parts.headers) {
         return Err(Reason::BadRequest);
     }
@@ -82,9 +82,9 @@
         return Err(Reason::BadRequest);
     };
     let target = parts.uri.path_and_query().cloned().map(Uri::from).ok_or(Reason::BadRequest)?;
-    let route = site.route(host, target.path()).ok_or(Reason::NoRoute)?.clone();
-    let account = authenticate(&site, &route, head)?.cloned();
-    let body = read_body(&site, body).await?;
+    let route = configuration.route(host, target.path()).ok_or(Reason::NoRoute)?.clone();
+    let account = authenticate(&configuration, &route, head)?.cloned();
+    let body = read_body(&configuration, body).await?;
     // Chosen only now, since a configuration change may have come into force while the body
     // arrived.
     let service = route.service(routing_hash(request_id)).ok_or(Reason::NoUpstream)?;
@@ -96,7 +96,7 @@
     Ok(AdmittedRequest {
         prompt: head.prompt.clone(),
         service: service.to_owned(),
-        config_version: site.version,
+        config_version: configuration.version,
         isolated_account: isolated_account.map(|account| account.name.clone()),
         arrived_at_ms,
         tried: Vec::new(),
@@ -131,14 +131,14 @@
 /// The configuration in force. A box that has just started waits for it briefly, since fetching it
 /// takes a few round trips.
 async fn wait_for_configuration(gateway: &Gateway) -> Option<Arc<Configuration>> {
-    let known = gateway.state().site.clone();
+    let known = gateway.state().configuration.clone();
     if known.is_some() {
         return known;
     }
     let mut changed = gateway.upstreams_changed.subscribe();
     // On a timeout the state read below decides.
     let _ = timeout(FIRST_CONFIGURATION_TIMEOUT, changed.changed()).await;
-    gateway.state().site.clone()
+    gateway.state().configuration.clone()
 }
 
 /// Hash that spreads requests evenly over the target services of a route.
@@ -156,19 +156,19 @@
 }
 
 fn authenticate<'a>(
-    site: &'a Configuration,
+    configuration: &'a Configuration,
     route: &Route,
     head: &RequestHead,
 ) -> Result<Option<&'a Account>, Reason> {
-    let account = head.api_key.as_deref().and_then(|key| site.account(key));
-    if account.is_none() && site.requires_keys() && !route.public {
+    let account = head.api_key.as_deref().and_then(|key| configuration.account(key));
+    if account.is_none() && configuration.requires_keys() && !route.public {
         return Err(Reason::UnknownKey);
     }
     Ok(account)
 }
 
-async fn read_body(site: &Configuration, body: Incoming) -> Result<Bytes, Reason> {
-    let limited = Limited::new(body, site.limits.max_body_bytes);
+async fn read_body(configuration: &Configuration, body: Incoming) -> Result<Bytes, Reason> {
+    let limited = Limited::new(body, configuration.limits.max_body_bytes);
     match timeout(BODY_TIMEOUT, limited.collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -24,7 +24,7 @@
     /// Digest of the sender's view of the metadata store.
     pub view_digest: ViewDigest,
     /// Version of the configuration that is in force at the box.
-    pub site_version: u64,
+    pub config_version: u64,
     pub metadata_store: MetadataStoreStatus,
     /// Whether the box follows the context stores itself.
     pub follows_caches: bool,
@@ -70,7 +70,7 @@
             hall: self.hall,
             millicores: self.millicores,
             view_digest: self.view_digest,
-            site_version: self.site_version,
+            config_version: self.config_version,
             metadata_store: self.metadata_store,
             follows_caches: self.follows_caches,
             limits: self.limits.clone(),
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -81,7 +81,7 @@
 /// The holders that this box should follow, with their addresses.
 fn holders_to_follow(gateway: &Gateway) -> Vec<(HolderId, SocketAddr)> {
     let state = gateway.state();
-    let Some(site) = &state.site else {
+    let Some(configuration) = &state.configuration else {
         return Vec::new();
     };
     if !state.follows_caches {
@@ -91,7 +91,7 @@
     let follows_engines = state.small_fleet;
     let engines = state.upstreams.current().filter(|upstream| {
         follows_engines
-            && site
+            && configuration
                 .services
                 .get(&upstream.entry.service)
                 .is_some_and(|service| service.engine.is_some())
--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -384,25 +384,25 @@
 
 /// Applies a configuration if it is newer than the one in force; returns whether it was.
 fn apply_configuration(state: &mut State, value: &[u8]) -> bool {
-    let site = match keys::read_site(value) {
-        Ok(site) => site,
+    let configuration = match keys::read_configuration(value) {
+        Ok(configuration) => configuration,
         Err(error) => {
             warn!(target: "follow", "event=configuration_unreadable kept=last cause=\"{error}\"");
             return false;
         }
     };
-    let in_force = state.site.as_ref().map_or(0, |site| site.version);
-    if state.site.is_some() && site.version <= in_force {
+    let in_force = state.configuration.as_ref().map_or(0, |configuration| configuration.version);
+    if state.configuration.is_some() && configuration.version <= in_force {
         warn!(target: "follow",
-            "event=configuration_older version={} in_force={in_force}", site.version);
+            "event=configuration_older version={} in_force={in_force}", configuration.version);
         return false;
     }
     info!(target: "follow",
         "event=configuration_in_force version={} before={in_force} routes={} accounts={}",
-        site.version, site.routes.len(), site.accounts.len());
-    state.stores.configure(&site.stores);
-    state.usual_limits.retain(|route| site.has_route(route));
-    state.site = Some(Arc::new(site));
+        configuration.version, configuration.routes.len(), configuration.accounts.len());
+    state.stores.configure(&configuration.stores);
+    state.usual_limits.retain(|route| configuration.has_route(route));
+    state.configuration = Some(Arc::new(configuration));
     true
 }
 
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -163,7 +163,10 @@
         hall: state.peers.local().hall,
         millicores: state.peers.local().millicores,
         view_digest: state.view.digest(),
-        site_version: state.site.as_ref().map_or(0, |site| site.version),
+        config_version: state
+            .configuration
+            .as_ref()
+            .map_or(0, |configuration| configuration.version),
         metadata_store: state.metadata_store_status(),
         follows_caches: state.follows_caches,
         peers: state.peers.addresses_to_share(now_ms),
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -47,7 +47,7 @@
     /// Items of the metadata store, as this box knows them.
     pub view: MetadataView,
     /// The configuration in force; `None` until the first one arrives.
-    pub site: Option<Arc<Configuration>>,
+    pub configuration: Option<Arc<Configuration>>,
     /// Target weight versions set by operators, by model.
     pub weights: HashMap<String, NamedVersions>,
     /// Upstreams of all services, by id.
@@ -237,7 +237,7 @@
         let http = HttpClient::new()?;
         let state = State {
             view: MetadataView::new(min_outage_ms(bounds)),
-            site: None,
+            configuration: None,
             weights: HashMap::new(),
             upstreams: Upstreams::default(),
             stores: Stores::default(),
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -100,7 +100,7 @@
         && !*gateway.resigned.borrow()
         && !is_cut_off_from_engines(&state)
         && state.metadata_store_status() == MetadataStoreStatus::Available
-        && state.site.is_some()
+        && state.configuration.is_some()
         && !state.view.contains_key(&keys::lease(LEASE_NAME))
 }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -52,7 +52,12 @@
     if let Err(error) = set_socket_options(&stream) {
         debug!(target: "listener", "event=socket_option_refused cause=\"{error}\"");
     }
-    let limits = gateway.state().site.as_ref().map(|site| site.limits.clone()).unwrap_or_default();
+    let limits = gateway
+        .state()
+        .configuration
+        .as_ref()
+        .map(|configuration| configuration.limits.clone())
+        .unwrap_or_default();
     let shared = gateway.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let gateway = shared.clone();
@@ -93,7 +98,7 @@
 /// Answers the load balancer's readiness check: whether to send new connections to this box.
 pub async fn serve_readiness(gateway: Arc<Gateway>, listener: TcpListener) {
     serve_endpoint(gateway, listener, |gateway| {
-        let has_configuration = gateway.state().site.is_some();
+        let has_configuration = gateway.state().configuration.is_some();
         let ready = has_configuration && gateway.phase() == BoxPhase::Serving;
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         (status, String::new())
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -73,7 +73,11 @@
         Ok(request) => request,
         Err(reason) => {
             let retry_after_ms = (reason == Reason::NotReady).then_some(RETRY_AFTER_MS);
-            let config_version = gateway.state().site.as_ref().map_or(0, |site| site.version);
+            let config_version = gateway
+                .state()
+                .configuration
+                .as_ref()
+                .map_or(0, |configuration| configuration.version);
             log_early_refusal(request_id.as_deref(), reason, config_version, arrived_at_ms);
             return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
@@ -387,8 +391,8 @@
 ) -> Option<Choice> {
     let now_ms = now_ms();
     let boxes = u32::try_from(state.peers.live_boxes(now_ms)).unwrap_or(u32::MAX);
-    let site = state.site.as_ref()?;
-    let service = site.services.get(&request.service)?;
+    let configuration = state.configuration.as_ref()?;
+    let service = configuration.services.get(&request.service)?;
     let weights = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let demand = Demand {
         service: &request.service,
@@ -414,7 +418,7 @@
         tried: &request.tried,
         max_requests_per_upstream: (service.max_connections / (boxes + 1)).max(MIN_CONNECTIONS),
         admission: AdmissionCriteria {
-            higher_priority_ranks: site
+            higher_priority_ranks: configuration
                 .higher_priority_ranks(&request.service, request.route.priority),
             objective_ms: request.route.latency_objective_ms,
             objective_missed: now_ms >= request.outgoing.objective_at_ms,
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -130,23 +130,23 @@
 }
 
 /// Decodes the configuration.
-pub(super) fn site(bytes: &[u8]) -> serde_json::Result<Configuration> {
+pub(super) fn configuration(bytes: &[u8]) -> serde_json::Result<Configuration> {
     let document: Document = serde_json::from_slice(bytes)?;
-    let mut site = Configuration::default();
-    site.version = document.version;
-    site.routes = document.routes.into_iter().map(route).collect();
-    site.limits = document.limits.as_ref().map(limits).unwrap_or_default();
-    site.accounts = document.tenants.into_iter().map(account).collect();
+    let mut configuration = Configuration::default();
+    configuration.version = document.version;
+    configuration.routes = document.routes.into_iter().map(route).collect();
+    configuration.limits = document.limits.as_ref().map(limits).unwrap_or_default();
+    configuration.accounts = document.tenants.into_iter().map(account).collect();
     for service in document.services {
         if let Some(address) = service.kv_store {
-            site.stores.push(store(service, address));
+            configuration.stores.push(store(service, address));
         } else {
             let engine = service.engine.as_ref().map(engine);
             let max_connections = service.max_conns.unwrap_or(u32::MAX);
-            site.services.insert(service.name, Service { max_connections, engine });
+            configuration.services.insert(service.name, Service { max_connections, engine });
         }
     }
-    Ok(site.indexed())
+    Ok(configuration.indexed())
 }
 
 /// Decodes a named weights version.
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -99,8 +99,8 @@
 ///
 /// # Errors
 /// Fails with the key and the position of the error.
-pub fn read_site(bytes: &[u8]) -> Result<Configuration> {
-    document::site(bytes).map_err(|error| decode_error(CONFIGURATION, &error))
+pub fn read_configuration(bytes: &[u8]) -> Result<Configuration> {
+    document::configuration(bytes).map_err(|error| decode_error(CONFIGURATION, &error))
 }
 
 /// Decodes a named weights version.
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -174,7 +174,7 @@
     fn readers_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         // What they say of such bytes is of no concern here.
         let _ = keys::read_upstream("u", &bytes);
-        let _ = keys::read_site(&bytes);
+        let _ = keys::read_configuration(&bytes);
         let _ = keys::read_weights("m", &bytes);
         take(&bytes);
     }
