--- a/src/gateway/decisions/mod.rs
+++ b/src/gateway/decisions/mod.rs
@@ -1,14 +1,19 @@
-//! What the gateway decides, and what it decides by: no clock, no I/O, no tasks. Time is an
-//! argument, and randomness is seeded.
+//! Routing, caching, admission and roll-out decisions, free of clocks, I/O and tasks: time is an
+//! argument, and random choices take a seed.
 //!
-//! - Where a request runs: `choose`, by `candidates`, `demand`, `prompt`, `upstream`, `upstreams`,
-//!   `notice` and `incarnation`.
-//! - Where its context comes from and goes: `sources`, `stores`, `cache_contents`, `cache_reports`, `context`.
-//! - Who is served and who has had its share: `admission`, `budget`, `urgency`.
-//! - Which weights engines get, and when old context may go: `rollout`, `weights`, `orders`,
-//!   `claims`, `release`.
-//! - What is known, from whom: `view`, `peers`, `configuration`, `gossip_message`, `hall_summary`.
-//! - Units that all share: `units`.
+//! Context here is the KV cache that an engine computes from a prompt. A prompt consists of parts,
+//! and the context of each part can be cached and transferred on its own.
+//!
+//! - Upstream of a request: `choose`, with `candidates`, `demand`, `prompt`, `upstream`,
+//!   `upstreams`, `notice` and `incarnation`.
+//! - Sources and destinations of context: `sources`, `stores`, `cache_contents`, `cache_reports`,
+//!   `context`.
+//! - Admission, retries and priorities: `admission`, `budget`, `urgency`.
+//! - Weight versions of engines, and the release of context of old weights: `rollout`, `weights`,
+//!   `orders`, `claims`, `release`.
+//! - State received from the metadata store and from other boxes: `view`, `peers`, `configuration`,
+//!   `gossip_message`, `hall_summary`.
+//! - Shared constants and conversions: `units`.
 
 pub mod admission;
 pub mod budget;
--- a/src/gateway/decisions/units.rs
+++ b/src/gateway/decisions/units.rs
@@ -1,16 +1,16 @@
-//! Figures that decisions share, and whole numbers as they weigh them.
+//! Constants and conversions shared by the decisions.
 
-/// Prompt tokens that an engine reads in a millisecond; engines tell no such figure.
+/// Prompt tokens that an engine computes per millisecond; engines do not report this rate.
 pub const PREFILL_TOKENS_PER_MS: f64 = 50.0;
 
-/// A count or a time as a fraction.
+/// Converts a count, or a time in milliseconds, to floating point.
 #[expect(clippy::cast_precision_loss, reason = "counts and times are far below 2^52")]
 #[must_use]
 pub fn as_f64(count: u64) -> f64 {
     count as f64
 }
 
-/// A time as whole milliseconds.
+/// Rounds a time to whole milliseconds.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
