--- a/src/gateway/decisions/candidates.rs
+++ b/src/gateway/decisions/candidates.rs
@@ -1,71 +1,78 @@
-//! Which upstreams a request looks at before it chooses.
+//! Selects the upstreams among which a request is routed.
 //!
-//! What boxes know of each other's load is some ten to some hundred milliseconds old. When
-//! dozens of boxes all look at all engines, those that choose within that time choose the
-//! same one, which then reads their prompts one after the other while others idle. So a box
-//! of a large fleet weighs a few that it draws for each request, mostly of its own hall, and
-//! more only when these have no room.
+//! Each box knows the load from other boxes with a delay of tens to hundreds of milliseconds. If
+//! dozens of boxes compared all engines, those that decide within that delay would pick the same
+//! engine, which would queue their prompts while others idle. In a large fleet, a box therefore
+//! compares a few upstreams drawn at random for each request, mostly in its own hall, and more only
+//! if these have no capacity left.
 
 use fastrand::Rng;
 
 use crate::gateway::decisions::upstream::Upstream;
 
-/// Upstreams of the own hall that are drawn first.
-const NEAR: usize = 2;
-/// Those of another hall that are drawn beside them.
-const FAR: usize = 1;
-/// Those of the hall in which the prompt's context is kept.
-const AT_CONTEXT: usize = 2;
-/// Those that are drawn from all halls when none of the first has room.
-const WIDE: usize = 16;
+/// Upstreams drawn from the box's own hall.
+const LOCAL_SAMPLE: usize = 2;
+/// Upstreams drawn from other halls.
+const OTHER_HALL_SAMPLE: usize = 1;
+/// Upstreams drawn from the hall that stores the prompt's context.
+const CONTEXT_HALL_SAMPLE: usize = 2;
+/// Upstreams drawn from all halls if none of the others has capacity.
+const WIDE_SAMPLE: usize = 16;
 
-/// How a request looks for an upstream.
+/// The upstreams that are compared for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidates {
-    /// At all: the few boxes of a small fleet know at once what each other does.
+    /// All upstreams. For small fleets, whose boxes learn of each other's load almost at once.
     All,
-    /// At some that are drawn, and at more only when there is need.
+    /// A random sample, extended only if it contains no suitable upstream.
     Sampled {
-        /// Seed of the draw, another for each try of each request.
+        /// Seed of the sample; differs between the attempts of a request.
         seed: u64,
     },
 }
 
-/// Draws upstreams for one request.
+/// Draws random samples of upstreams for one request.
 pub struct CandidateSampler<'u, 'a> {
     random: Rng,
     usable: &'u [&'a Upstream],
 }
 
 impl<'u, 'a> CandidateSampler<'u, 'a> {
-    /// Draws from those that can be used.
+    /// Samples from `usable`.
     #[must_use]
     pub fn new(seed: u64, usable: &'u [&'a Upstream]) -> Self {
         Self { random: Rng::with_seed(seed), usable }
     }
 
-    /// Some of the own hall.
-    pub fn near(&mut self, hall: &str) -> Vec<&'a Upstream> {
-        self.some(NEAR, |one| one.entry.hall == hall)
+    /// Upstreams in `hall`.
+    pub fn from_hall(&mut self, hall: &str) -> Vec<&'a Upstream> {
+        self.sample(LOCAL_SAMPLE, |upstream| upstream.entry.hall == hall)
     }
 
-    /// Some of other halls: of the one in which the prompt's context is kept, since it crosses
-    /// halls in twice the time, else of any.
-    pub fn far(&mut self, hall: &str, context_hall: Option<&str>) -> Vec<&'a Upstream> {
+    /// Upstreams outside `hall`: in the hall that stores the prompt's context if that is known,
+    /// since a transfer between halls takes twice as long, or else in any other hall. Empty if the
+    /// context is stored in `hall`.
+    pub fn from_other_halls(
+        &mut self,
+        hall: &str,
+        context_hall: Option<&str>,
+    ) -> Vec<&'a Upstream> {
         match context_hall {
             Some(context_hall) if context_hall == hall => Vec::new(),
-            Some(context_hall) => self.some(AT_CONTEXT, |one| one.entry.hall == context_hall),
-            None => self.some(FAR, |one| one.entry.hall != hall),
+            Some(context_hall) => {
+                self.sample(CONTEXT_HALL_SAMPLE, |upstream| upstream.entry.hall == context_hall)
+            }
+            None => self.sample(OTHER_HALL_SAMPLE, |upstream| upstream.entry.hall != hall),
         }
     }
 
-    /// Many of all halls.
-    pub fn wide(&mut self) -> Vec<&'a Upstream> {
-        self.some(WIDE, |_| true)
+    /// A larger sample, from all halls.
+    pub fn from_all_halls(&mut self) -> Vec<&'a Upstream> {
+        self.sample(WIDE_SAMPLE, |_| true)
     }
 
-    fn some(&mut self, count: usize, is_wanted: impl Fn(&Upstream) -> bool) -> Vec<&'a Upstream> {
-        let wanted = self.usable.iter().copied().filter(|one| is_wanted(one));
+    fn sample(&mut self, count: usize, is_wanted: impl Fn(&Upstream) -> bool) -> Vec<&'a Upstream> {
+        let wanted = self.usable.iter().copied().filter(|upstream| is_wanted(upstream));
         self.random.choose_multiple(wanted, count)
     }
 }
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -1,9 +1,8 @@
-//! Where a request runs, and where each part of its prompt comes from.
+//! Chooses the upstream of a request and the source of each part of its prompt.
 //!
-//! The cost of an engine is the time to the first token as it is expected
-//! there: what it has to read before, what of the prompt it must fetch, and
-//! what it must read again. A part read again although it is kept somewhere
-//! costs more than its time, since it takes the engine from others.
+//! The cost of an engine is the expected time to the first token there: the prefill work queued
+//! before the request, the transfer of cached parts and the prefill of the rest. Recomputing a part
+//! that is cached somewhere costs more than its time, since it delays other requests on the engine.
 
 use crate::gateway::decisions::admission::{Capacity, Occupancy, occupancy};
 use crate::gateway::decisions::candidates::{CandidateSampler, Candidates};
@@ -18,67 +17,68 @@
 use crate::gateway::decisions::upstream::{Load, Upstream};
 use crate::gateway::decisions::upstreams::Upstreams;
 
-/// Cost of another running request: an engine's step grows by 0.1 ms for each,
-/// over some thirty steps.
+/// Cost of each running request: each lengthens a decoding step by 0.1 ms, over about thirty steps.
 const RUNNING_COST_MS: f64 = 3.0;
-/// Cost of an upstream in another hall, for the bytes and for what a cut between
-/// halls would lose.
+/// Cost of an upstream in another hall: the traffic between halls, and the requests lost if the
+/// halls are cut off from each other.
 const OTHER_HALL_COST_MS: f64 = 25.0;
-/// Cost of an upstream whose places are all taken, a part of it for each.
-const FULL_COST_MS: f64 = 100.0;
-/// Cost of each request that waits for a place: the work of a usual one.
+/// Cost of an upstream without a model engine that has all slots in use; each slot in use costs an
+/// equal share of it.
+const BUSY_SLOTS_COST_MS: f64 = 100.0;
+/// Cost of each request that waits for a slot: the work of a typical request.
 const QUEUED_COST_MS: f64 = 30.0;
-/// Time for which a request holds its memory on a busy engine, by the held times
-/// seen on days of high load.
+/// Time for which a request occupies memory on a busy engine under high load.
 const MEMORY_HELD_MS: f64 = 800.0;
-/// Part of an engine's memory that requests can fill: the rest holds the parts
-/// that most of them share.
-const MEMORY_PART: f64 = 0.8;
-/// Weight of fetching beside its time, for the use of links.
+/// Part of an engine's memory that requests can fill; the rest holds the prompt parts that most
+/// requests share.
+const USABLE_MEMORY_PART: f64 = 0.8;
+/// Weight of the transfer time beyond its effect on the first token, for the load on network links.
 const FETCH_WEIGHT: f64 = 0.5;
-/// Cost of a doubtful upstream; it is chosen when all are.
+/// Cost of an unhealthy upstream; it is chosen only if all are unhealthy.
 const UNHEALTHY_COST_MS: f64 = 100_000.0;
-/// Cost of an engine that has no room: any other goes before, but for doubtful ones.
-const NO_ROOM_COST_MS: f64 = 10_000.0;
-/// Cost of weights that are older than the newest named: below the wait that
-/// makes a first token late.
+/// Cost of a full engine; any other is preferred except unhealthy ones.
+const FULL_ENGINE_COST_MS: f64 = 10_000.0;
+/// Cost of weights older than the newest named version; below the wait that would make a first
+/// token late.
 const OLD_WEIGHTS_COST_MS: f64 = 60.0;
-/// Time for which older weights are as good as new ones, as the platform has it.
+/// Time after a new version is named during which the platform treats older weights as current.
 const OLD_WEIGHTS_GRACE_MS: u64 = 1500;
-/// Cost of weights that should not be there any more, where they are not barred: any other
-/// engine goes before, but for doubtful ones.
+/// Cost of weights past their replacement deadline, if they are not excluded; any other engine is
+/// preferred except unhealthy ones.
 const OVERDUE_COST_MS: f64 = 20_000.0;
-/// Most that an upstream costs one box more than another box: boxes that know of
-/// no load would all choose the same one. Less than the work of a short prompt.
+/// Upper bound of a cost that differs per box and upstream, so that boxes without load information
+/// do not all choose the same upstream. Less than the work of a short prompt.
 const SPREAD_MS: f64 = 5.0;
-/// Expected wait for an engine below which a late first token speaks against the
-/// store that sent a part: less than the usual fetch from a large store.
+/// Expected wait at an engine below which a late first token is attributed to the store that sent a
+/// part; less than a typical fetch from a large store.
 const NEGLIGIBLE_WAIT_MS: f64 = 20.0;
 
-/// A choice.
+/// The chosen upstream, with the expectations that led to the choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// The upstream.
     pub upstream: Incarnation,
-    /// What it is told about kept context.
+    /// Cached context that the engine is told to use; `None` for services without
+    /// model engines.
     pub context: Option<ContextPlan>,
     /// Expected time to the first token.
     pub expected_first_token_ms: f64,
-    /// Whether nothing but fetches should keep the first token waiting.
+    /// Whether the expected wait at the engine is negligible, so that a late first token is
+    /// attributed to the stores.
     pub engine_wait_negligible: bool,
-    /// Room that there is for it.
+    /// Occupancy of the upstream.
     pub occupancy: Occupancy,
-    /// Until when the first token is wanted, if that can be met still.
+    /// Time by which the latency objective requires the first token; `None` if that time has passed
+    /// already, or without a prompt.
     pub objective_at_ms: Option<u64>,
-    /// Memory that the request takes.
+    /// Engine memory that the request occupies.
     pub memory_tokens: u32,
-    /// Load of the upstream as it was believed to be.
+    /// Load of the upstream assumed for the choice.
     pub load: Load,
-    /// When it was chosen: what it names may be gone some time later.
+    /// Time of the choice; stored context that it names may be freed some time later.
     pub chosen_at_ms: u64,
 }
 
-/// Chooses an upstream; `None` when none can take the request.
+/// Chooses an upstream; `None` if none can take the request.
 #[must_use]
 pub fn choose<'a>(
     now_ms: u64,
@@ -87,13 +87,15 @@
     engine: Option<&EngineSpec>,
     demand: &Demand<'a>,
 ) -> Option<Choice> {
-    let usable: Vec<&Upstream> =
-        upstreams.of_service(demand.service).filter(|one| is_usable(now_ms, one, demand)).collect();
+    let usable: Vec<&Upstream> = upstreams
+        .of_service(demand.service)
+        .filter(|upstream| is_usable(now_ms, upstream, demand))
+        .collect();
     let mut chooser = Chooser { now_ms, upstreams, stores, engine, demand, lookups: Vec::new() };
     let best = match demand.candidates {
         Candidates::All => chooser.best(&usable),
         Candidates::Sampled { seed } => {
-            chooser.best_drawn(&mut CandidateSampler::new(seed, &usable), &usable)
+            chooser.best_sampled(&mut CandidateSampler::new(seed, &usable), &usable)
         }
     };
     best.map(|best| best.into_choice(now_ms, demand))
@@ -101,32 +103,32 @@
 
 /// Whether a request may be sent to an upstream at all.
 fn is_usable(now_ms: u64, upstream: &Upstream, demand: &Demand<'_>) -> bool {
-    let tried = demand.tried.iter().any(|one| upstream.is_incarnation(one));
+    let tried = demand.tried.iter().any(|incarnation| upstream.is_incarnation(incarnation));
     if tried
         || upstream.own_load.requests >= demand.max_requests_per_upstream
         || upstream.is_loading(now_ms)
     {
         return false;
     }
-    if upstream.rests_until_ms(now_ms).is_some() {
+    if upstream.resting_until_ms(now_ms).is_some() {
         return false;
     }
-    // A request must not begin on such weights, also where no other engine is left.
+    // Requests must not start on overdue weights even if no other engine is left.
     let version = demand.prompt.map_or(0, |prompt| upstream.weight_version(&prompt.model));
     !(demand.excludes_overdue && demand.is_overdue(now_ms, version))
 }
 
-/// The best of some upstreams.
-struct Best<'a> {
+/// An upstream that is compared with others.
+struct Candidate<'a> {
     cost: f64,
     upstream: &'a Upstream,
     context: Option<ContextPlan>,
     expected: Expected,
 }
 
-impl Best<'_> {
-    /// Whether there is no need to look at others.
-    fn is_good(&self, now_ms: u64) -> bool {
+impl Candidate<'_> {
+    /// Whether it is healthy and not full, so that no more candidates are needed.
+    fn is_suitable(&self, now_ms: u64) -> bool {
         self.expected.occupancy != Occupancy::Full && !self.upstream.is_unhealthy(now_ms)
     }
 
@@ -148,49 +150,50 @@
     }
 }
 
-/// Weighs upstreams for one request.
+/// Compares upstreams for one request.
 struct Chooser<'a, 'b> {
     now_ms: u64,
     upstreams: &'a Upstreams,
     stores: &'a Stores,
     engine: Option<&'b EngineSpec>,
     demand: &'b Demand<'a>,
-    /// Where the prompt's parts are kept, by weight version.
+    /// Locations of the prompt's parts, one entry for each weight version.
     lookups: Vec<Lookup<'a>>,
 }
 
 impl<'a> Chooser<'a, '_> {
-    fn best(&mut self, candidates: &[&'a Upstream]) -> Option<Best<'a>> {
-        let weighed = candidates.iter().map(|upstream| self.weigh(upstream));
-        weighed.min_by(|one, other| one.cost.total_cmp(&other.cost))
+    fn best(&mut self, candidates: &[&'a Upstream]) -> Option<Candidate<'a>> {
+        let evaluated = candidates.iter().map(|upstream| self.evaluate(upstream));
+        evaluated.min_by(|left, right| left.cost.total_cmp(&right.cost))
     }
 
-    /// The best of a few, and of more only when none of these is good.
-    fn best_drawn(
+    /// The cheapest of a sample; larger samples are drawn only if it is full or unhealthy.
+    fn best_sampled(
         &mut self,
-        draw: &mut CandidateSampler<'_, 'a>,
+        sampler: &mut CandidateSampler<'_, 'a>,
         usable: &[&'a Upstream],
-    ) -> Option<Best<'a>> {
-        let mut few = draw.near(self.demand.hall);
-        let context_hall = few.first().and_then(|upstream| self.context_hall(upstream));
-        few.extend(draw.far(self.demand.hall, context_hall));
-        let mut best = self.best(&few);
-        if !best.as_ref().is_some_and(|best| best.is_good(self.now_ms)) {
-            best = self.best(&draw.wide());
+    ) -> Option<Candidate<'a>> {
+        let mut sample = sampler.from_hall(self.demand.hall);
+        let context_hall = sample.first().and_then(|upstream| self.context_hall(upstream));
+        sample.extend(sampler.from_other_halls(self.demand.hall, context_hall));
+        let mut best = self.best(&sample);
+        if !best.as_ref().is_some_and(|best| best.is_suitable(self.now_ms)) {
+            best = self.best(&sampler.from_all_halls());
         }
-        if !best.as_ref().is_some_and(|best| best.is_good(self.now_ms)) {
+        if !best.as_ref().is_some_and(|best| best.is_suitable(self.now_ms)) {
             best = self.best(usable);
         }
         best
     }
 
-    /// The hall in which the longest part of the prompt is kept, for the weights of an engine.
+    /// The hall that stores the longest cached part of the prompt for the weight version of
+    /// `upstream`.
     fn context_hall(&mut self, upstream: &Upstream) -> Option<&'a str> {
         let prompt = self.demand.prompt.filter(|_| self.engine.is_some())?;
         self.lookup(prompt, upstream).context_hall()
     }
 
-    fn weigh(&mut self, upstream: &'a Upstream) -> Best<'a> {
+    fn evaluate(&mut self, upstream: &'a Upstream) -> Candidate<'a> {
         let (now_ms, demand) = (self.now_ms, self.demand);
         let (cost, context, expected) = match (demand.prompt, self.engine) {
             (Some(prompt), Some(engine)) => {
@@ -198,49 +201,49 @@
                 let (cost, expected) = engine_cost(now_ms, upstream, engine, &plan, demand);
                 (cost, Some(plan), expected)
             }
-            _ => (plain_cost(upstream), None, Expected::UNKNOWN),
+            _ => (plain_upstream_cost(upstream), None, Expected::UNKNOWN),
         };
         let hall_cost = if upstream.entry.hall == demand.hall { 0.0 } else { OTHER_HALL_COST_MS };
         let unhealthy_cost = if upstream.is_unhealthy(now_ms) { UNHEALTHY_COST_MS } else { 0.0 };
         let cost =
             cost + hall_cost + unhealthy_cost + spread_ms(demand.box_number, upstream.number);
-        Best { cost, upstream, context, expected }
+        Candidate { cost, upstream, context, expected }
     }
 
-    /// Where the prompt's parts are kept, for the weights of an engine.
+    /// Locations of the prompt's parts for the weight version of `upstream`.
     fn lookup(&mut self, prompt: &'a Prompt, upstream: &Upstream) -> &Lookup<'a> {
         let version = upstream.weight_version(&prompt.model);
-        let known = self.lookups.iter().position(|lookup| lookup.version == version);
-        let place = known.unwrap_or_else(|| {
+        let known_index = self.lookups.iter().position(|lookup| lookup.version == version);
+        let index = known_index.unwrap_or_else(|| {
             let (upstreams, stores) = (self.upstreams, self.stores);
             let lookup = Lookup::new(self.now_ms, upstreams, stores, prompt, self.demand, version);
             self.lookups.push(lookup);
             self.lookups.len() - 1
         });
-        &self.lookups[place]
+        &self.lookups[index]
     }
 }
 
-/// A part of [`SPREAD_MS`] that depends on the box and the upstream only.
+/// A cost below [`SPREAD_MS`] that depends only on the box and the upstream.
 fn spread_ms(box_number: u32, upstream_number: u32) -> f64 {
     // Fibonacci hashing: the upper bits depend on all lower ones.
-    let mixed = (box_number ^ upstream_number).wrapping_mul(0x9e37_79b9);
-    f64::from(mixed) / f64::from(u32::MAX) * SPREAD_MS
+    let hash = (box_number ^ upstream_number).wrapping_mul(0x9e37_79b9);
+    f64::from(hash) / f64::from(u32::MAX) * SPREAD_MS
 }
 
-/// What is expected of an engine.
+/// Expected times and occupancy at an engine.
 #[derive(Clone, Copy, Debug)]
 struct Expected {
-    /// Time until it begins with the prompt, if nothing is fetched.
+    /// Time until the engine starts on the prompt, without transfers.
     wait_ms: f64,
     /// Time to the first token.
     first_token_ms: f64,
-    /// Room that there is.
+    /// Occupancy of the engine.
     occupancy: Occupancy,
 }
 
 impl Expected {
-    /// Nothing is known of a plain service's times.
+    /// For services without model engines, whose times are not modelled.
     const UNKNOWN: Self =
         Self { wait_ms: 0.0, first_token_ms: 0.0, occupancy: Occupancy::Available };
 }
@@ -252,13 +255,13 @@
     }
 }
 
-/// Cost of an upstream of a plain service, in milliseconds.
-fn plain_cost(upstream: &Upstream) -> f64 {
+/// Cost of an upstream without a model engine, in milliseconds.
+fn plain_upstream_cost(upstream: &Upstream) -> f64 {
     let slots = upstream.entry.slots.max(1);
     let requests = upstream.total_load().requests;
-    let full =
+    let queue_cost =
         if requests >= slots { f64::from(requests - slots + 1) * QUEUED_COST_MS } else { 0.0 };
-    f64::from(requests) * FULL_COST_MS / f64::from(slots) + full
+    f64::from(requests) * BUSY_SLOTS_COST_MS / f64::from(slots) + queue_cost
 }
 
 fn engine_cost(
@@ -269,16 +272,16 @@
     demand: &Demand<'_>,
 ) -> (f64, Expected) {
     let load = upstream.total_load();
-    let waiting_ms = f64::from(load.pending_prefill_tokens) / PREFILL_TOKENS_PER_MS;
+    let prefill_wait_ms = f64::from(load.pending_prefill_tokens) / PREFILL_TOKENS_PER_MS;
     let prefill_ms = f64::from(plan.prefill_tokens) / PREFILL_TOKENS_PER_MS;
     let recompute_ms = f64::from(plan.recomputed_tokens) / PREFILL_TOKENS_PER_MS;
-    let over = load.requests.saturating_sub(engine.slots);
-    let memory_ms = memory_wait_ms(load.memory_tokens, engine, demand);
-    let wait_ms = waiting_ms.max(memory_ms);
+    let queued = load.requests.saturating_sub(engine.slots);
+    let memory_wait_ms = memory_wait_ms(load.memory_tokens, engine, demand);
+    let wait_ms = prefill_wait_ms.max(memory_wait_ms);
     let first_token_ms = wait_ms.max(plan.fetch_ms) + prefill_ms;
     let occupancy = occupancy(load, capacity(engine), demand.admission);
-    let behind = demand.behind_since_ms(plan.version);
-    let old_cost = match behind {
+    let behind_since_ms = demand.behind_since_ms(plan.version);
+    let old_weights_cost = match behind_since_ms {
         Some(_) if demand.is_overdue(now_ms, plan.version) => OVERDUE_COST_MS,
         Some(since_ms) if now_ms >= since_ms + OLD_WEIGHTS_GRACE_MS => OLD_WEIGHTS_COST_MS,
         Some(_) | None => 0.0,
@@ -287,20 +290,21 @@
         + recompute_ms * RECOMPUTE_WEIGHT
         + plan.fetch_ms * FETCH_WEIGHT
         + f64::from(load.requests) * RUNNING_COST_MS
-        + f64::from(over) * QUEUED_COST_MS
-        + old_cost
-        + if occupancy == Occupancy::Full { NO_ROOM_COST_MS } else { 0.0 };
+        + f64::from(queued) * QUEUED_COST_MS
+        + old_weights_cost
+        + if occupancy == Occupancy::Full { FULL_ENGINE_COST_MS } else { 0.0 };
     (cost, Expected { wait_ms, first_token_ms, occupancy })
 }
 
-/// Expected wait until there is memory for a request: what is too much goes as
-/// quickly as requests free theirs.
-fn memory_wait_ms(taken_tokens: u32, engine: &EngineSpec, demand: &Demand<'_>) -> f64 {
-    let memory = f64::from(u32::try_from(engine.memory_tokens).unwrap_or(u32::MAX)) * MEMORY_PART;
-    if memory == 0.0 {
+/// Expected wait until an engine has memory for a request; memory in excess is freed at the rate at
+/// which requests end.
+fn memory_wait_ms(used_tokens: u32, engine: &EngineSpec, demand: &Demand<'_>) -> f64 {
+    let usable_tokens =
+        f64::from(u32::try_from(engine.memory_tokens).unwrap_or(u32::MAX)) * USABLE_MEMORY_PART;
+    if usable_tokens == 0.0 {
         return 0.0;
     }
-    let needed = f64::from(demand.prompt.map_or(0, Prompt::memory_tokens));
-    let over = f64::from(taken_tokens) + needed - memory;
-    over.max(0.0) / memory * MEMORY_HELD_MS
+    let needed_tokens = f64::from(demand.prompt.map_or(0, Prompt::memory_tokens));
+    let excess = f64::from(used_tokens) + needed_tokens - usable_tokens;
+    excess.max(0.0) / usable_tokens * MEMORY_HELD_MS
 }
--- a/src/gateway/decisions/upstream/health.rs
+++ b/src/gateway/decisions/upstream/health.rs
@@ -1,54 +1,57 @@
-//! Whether an upstream is sound, as far as what it did shows.
+//! Health of an upstream, judged by its answers and connections.
 
 use super::{FIRST_AVOID_MS, Upstream};
 
-/// Silence after which an upstream that owes answers gets no more work; well
-/// over the longest step of a loaded engine.
+/// Time without any bytes after which an upstream with requests in progress gets no more of them;
+/// well above the longest step of a loaded engine.
 pub const SILENT_MS: u64 = 800;
-/// Silence towards one box after which it gets no more work from there, though others
-/// hear it, since the way to it may be cut: twice the usual, and sooner than the 1.8 s
-/// after which the system gives a connection up.
+/// Time without any bytes at this box after which an upstream gets no more requests from it
+/// although other boxes receive bytes, since the network path may be cut. It is below the 1.8 s
+/// after which the operating system closes a connection.
 const SILENT_TO_THIS_BOX_MS: u64 = 2 * SILENT_MS;
-/// Time within which failed connections count as one event.
+/// Time within which connect timeouts count as one event.
 const CONCURRENT_TIMEOUTS_MS: u64 = 1500;
-/// Longest time for which an upstream that failed is avoided.
+/// Longest time for which an upstream is avoided after a failure.
 const MAX_AVOID_MS: u64 = 4000;
-/// First time for which an upstream that turned a request away is the last choice.
+/// Backoff after the first request that an upstream rejected.
 const FIRST_REJECTION_BACKOFF_MS: u64 = 200;
-/// Longest time for that; it doubles with each request that is turned away in a row.
+/// Longest such backoff; it doubles with each consecutive rejection.
 const MAX_REJECTION_BACKOFF_MS: u64 = 3200;
-/// Weight of the newest answer in the share of failures.
+/// Weight of the newest answer in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.15;
-/// Share of failures from which on an upstream is avoided.
+/// Failure rate from which on an upstream is avoided.
 const FAILURE_RATE_LIMIT: f64 = 0.12;
 
 impl Upstream {
-    /// Notes that it turned a request away. It looks idle, and would be chosen again and again.
+    /// Records that it rejected a request. As it looks idle, it would otherwise be chosen again and
+    /// again.
     pub fn record_rejection(&mut self, now_ms: u64) {
-        let for_ms = FIRST_REJECTION_BACKOFF_MS << self.consecutive_rejections.min(u32::BITS / 2);
-        self.rejecting_until_ms = now_ms + for_ms.min(MAX_REJECTION_BACKOFF_MS);
+        let backoff_ms =
+            FIRST_REJECTION_BACKOFF_MS << self.consecutive_rejections.min(u32::BITS / 2);
+        self.rejecting_until_ms = now_ms + backoff_ms.min(MAX_REJECTION_BACKOFF_MS);
         self.consecutive_rejections += 1;
     }
 
-    /// Notes that it took a request.
+    /// Records that it accepted a request.
     pub fn record_acceptance(&mut self) {
         self.rejecting_until_ms = 0;
         self.consecutive_rejections = 0;
     }
 
-    /// Until when this box leaves it alone if others serve; `None` if it does not.
+    /// Time until which this box prefers other upstreams because this one rests or rejected a
+    /// request; `None` if there is no such time.
     #[must_use]
     pub fn backoff_until_ms(&self, now_ms: u64) -> Option<u64> {
         let until_ms = self.notices.backoff_until_ms.max(self.rejecting_until_ms);
         (now_ms < until_ms).then_some(until_ms)
     }
 
-    /// Notes that another box has been turned away, and for how long.
+    /// Records until when the upstream rejects requests from another box.
     pub fn set_peer_backoff(&mut self, until_ms: u64) {
         self.peer_backoff_until_ms = until_ms.max(self.peer_backoff_until_ms);
     }
 
-    /// Whether it failed, fell silent or turned other boxes away lately.
+    /// Whether it failed, sent nothing for too long, or rejected requests recently.
     #[must_use]
     pub fn is_unhealthy(&self, now_ms: u64) -> bool {
         let avoid_until_ms = self.avoid_until_ms.max(self.peer_backoff_until_ms);
@@ -56,63 +59,64 @@
         self.unreachable || is_avoided || self.is_silent(now_ms)
     }
 
-    /// Whether it owes answers and has said nothing for long.
+    /// Whether it has requests in progress and has sent nothing for too long.
     #[must_use]
     pub fn is_silent(&self, now_ms: u64) -> bool {
         self.silent_since_ms(now_ms).is_some()
     }
 
-    /// Since when it owes answers and has said nothing, if that is long. One that other boxes
-    /// hear is busy, not dead.
+    /// Since when it has had requests in progress and sent nothing, if that exceeds the limit. The
+    /// limit is higher if other boxes receive bytes, since it is then busy rather than dead.
     #[must_use]
     pub fn silent_since_ms(&self, now_ms: u64) -> Option<u64> {
         let since_ms = self.awaiting_answer_since_ms?.max(self.last_receive_ms);
-        let is_past = |since_ms: u64, least_ms: u64| now_ms.saturating_sub(since_ms) > least_ms;
-        let nobody_hears = is_past(since_ms.max(self.peers_last_receive_ms), SILENT_MS);
-        (nobody_hears || is_past(since_ms, SILENT_TO_THIS_BOX_MS)).then_some(since_ms)
+        let exceeds = |since_ms: u64, limit_ms: u64| now_ms.saturating_sub(since_ms) > limit_ms;
+        let silent_to_all = exceeds(since_ms.max(self.peers_last_receive_ms), SILENT_MS);
+        (silent_to_all || exceeds(since_ms, SILENT_TO_THIS_BOX_MS)).then_some(since_ms)
     }
 
-    /// Whether no connection to it came up; it gets no work until one does.
+    /// Whether a connection was not established in time or the upstream fell silent; it gets no
+    /// requests until a connection is established.
     #[must_use]
     pub fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// Notes that no connection to it came up in time.
+    /// Records that a connection was not established in time.
     pub fn record_connect_timeout(&mut self, now_ms: u64) {
         self.unreachable = true;
         self.connect_timeout_at_ms = Some(now_ms);
     }
 
-    /// Whether that was lately, as far as failed connections count as one event.
+    /// Whether a connect timeout is recent enough to count as the same event as another.
     #[must_use]
     pub fn connect_timed_out_recently(&self, now_ms: u64) -> bool {
         self.connect_timeout_at_ms.is_some_and(|at_ms| now_ms < at_ms + CONCURRENT_TIMEOUTS_MS)
     }
 
-    /// Gives it no more work until a connection to it comes up.
+    /// Keeps requests away until a connection is established.
     pub fn mark_unreachable(&mut self) {
         self.unreachable = true;
     }
 
-    /// Notes that a connection to it came up.
+    /// Records that a connection was established.
     pub fn mark_reachable(&mut self) {
         self.unreachable = false;
     }
 
-    /// Whether other boxes heard it lately.
+    /// Whether bytes arrived from it at other boxes recently.
     #[must_use]
     pub fn answers_other_boxes(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.peers_last_receive_ms) <= SILENT_MS
     }
 
-    /// Notes an answer as it should be.
+    /// Records a successful answer.
     pub fn record_success(&mut self) {
         self.failure_rate *= 1.0 - FAILURE_WEIGHT;
         self.avoid_ms = FIRST_AVOID_MS;
     }
 
-    /// Notes a failure that says something about it.
+    /// Records a failure that the upstream is responsible for.
     pub fn record_failure(&mut self, now_ms: u64) {
         self.failure_rate = self.failure_rate * (1.0 - FAILURE_WEIGHT) + FAILURE_WEIGHT;
         if self.failure_rate >= FAILURE_RATE_LIMIT {
@@ -120,7 +124,7 @@
         }
     }
 
-    /// Avoids it for a while, longer each time.
+    /// Avoids it for a while, twice as long each time in a row.
     fn avoid(&mut self, now_ms: u64) {
         self.avoid_until_ms = now_ms + self.avoid_ms;
         self.avoid_ms = (self.avoid_ms * 2).min(MAX_AVOID_MS);
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -1,8 +1,7 @@
-//! An upstream: who it is, how loaded, how sound.
+//! An upstream: its registration, incarnation, load and health.
 //!
-//! Health is judged by what answers show, not by probes: an upstream that
-//! fails is avoided for a while, and one that owes answers and says nothing at
-//! all is not given more.
+//! Health is judged by answers to requests, without probes: an upstream that fails is avoided for a
+//! while, and one that has requests in progress and sends nothing gets no more of them.
 
 mod health;
 
@@ -17,84 +16,82 @@
 use crate::gateway::decisions::notice::NoticeState;
 use crate::names::number;
 
-/// First time for which an upstream that failed is avoided.
+/// Time for which an upstream is avoided after its first failure.
 const FIRST_AVOID_MS: u64 = 500;
 
-/// An upstream, as it tells of itself.
+/// The registration of an upstream in the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamEntry {
     /// Service that it belongs to.
     pub service: String,
-    /// Address.
     pub address: SocketAddr,
     /// Data hall.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is about to leave the fleet.
     pub leaving: bool,
-    /// Models with the versions of their weights.
+    /// Models with their weight versions.
     pub models: Vec<(String, u64)>,
-    /// Start of its run, in Unix milliseconds, if it is told.
+    /// Start of its process, in Unix milliseconds, if it was reported.
     pub started_at_ms: Option<u64>,
 }
 
-/// What was told of an upstream means this for what is known of it.
+/// The incarnation of an upstream to which a report refers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedIncarnation {
-    /// It speaks of the run that is known.
+    /// The known incarnation, or the first of an upstream that was not known.
     Current,
-    /// It speaks of a new run, of which nothing else is known.
+    /// A new incarnation, so that what was known of the upstream has been discarded.
     Restarted,
-    /// It speaks of a run that has ended.
+    /// An incarnation that has ended; the report was ignored.
     Outdated,
 }
 
 /// Load that one box puts on an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent and not ended.
+    /// Requests in progress.
     pub requests: u32,
-    /// Prompt tokens that are still to be read.
+    /// Prompt tokens whose prefill has not finished.
     pub pending_prefill_tokens: u32,
-    /// Memory that these requests take.
+    /// Engine memory that the requests occupy.
     pub memory_tokens: u32,
 }
 
 impl Load {
-    /// Counts another's load.
     pub fn add(&mut self, other: Self) {
         self.requests += other.requests;
         self.pending_prefill_tokens += other.pending_prefill_tokens;
         self.memory_tokens += other.memory_tokens;
     }
 
-    /// Takes out a load that was counted.
-    pub fn subtract(&mut self, counted: Self) {
-        self.requests -= counted.requests;
-        self.pending_prefill_tokens -= counted.pending_prefill_tokens;
-        self.memory_tokens -= counted.memory_tokens;
+    /// Subtracts a load that was added before.
+    pub fn subtract(&mut self, earlier: Self) {
+        self.requests -= earlier.requests;
+        self.pending_prefill_tokens -= earlier.pending_prefill_tokens;
+        self.memory_tokens -= earlier.memory_tokens;
     }
 }
 
-/// An upstream.
+/// An upstream as known to this box.
 #[derive(Debug)]
 pub struct Upstream {
-    /// Id.
+    /// Id in the metadata store.
     pub id: String,
-    /// Number that names its run in messages between boxes.
+    /// Hash that identifies its incarnation in messages between boxes.
     pub number: u32,
-    /// What it tells of itself.
+    /// Its newest registration.
     pub entry: UpstreamEntry,
     /// Load from this box.
     pub own_load: Load,
-    /// Load from all other boxes, as they told last.
+    /// Load from all other boxes, as last reported.
     pub peer_load: Load,
-    /// Kept context.
+    /// Its cached context.
     pub contents: CacheContents,
-    /// Start of its run, as whoever told of it last has it.
+    /// Start of its incarnation according to the newest report.
     started_at_ms: Option<u64>,
-    /// When this box learned of that run.
+    /// When this box learned of that incarnation.
     known_since_ms: u64,
     observed_versions: HashMap<String, u64>,
     avoid_until_ms: u64,
@@ -107,17 +104,17 @@
     unreachable: bool,
     connect_timeout_at_ms: Option<u64>,
     superseded: bool,
-    /// What its answers asked.
+    /// Notices from its answers.
     notices: NoticeState,
-    /// Until when it rests, by the word of other boxes.
+    /// Time until which it rejects requests, as reported by other boxes.
     peer_backoff_until_ms: u64,
     rejecting_until_ms: u64,
-    /// Requests in a row that it turned away.
+    /// Rejected requests since the last accepted one.
     consecutive_rejections: u32,
 }
 
 impl Upstream {
-    /// One of which nothing is known but its entry.
+    /// An upstream of which only the registration is known.
     #[must_use]
     pub fn new(now_ms: u64, id: &str, entry: UpstreamEntry) -> Self {
         let incarnation = Incarnation { id: id.to_owned(), started_at_ms: entry.started_at_ms };
@@ -148,59 +145,60 @@
         }
     }
 
-    /// What its answers asked.
+    /// Notices from its answers.
     #[must_use]
     pub fn notices(&self) -> NoticeState {
         self.notices
     }
 
-    /// Takes what its answers asked.
-    pub fn apply_notices(&mut self, asked: NoticeState) {
-        self.notices.merge(asked);
+    /// Adds notices from an answer.
+    pub fn apply_notices(&mut self, notices: NoticeState) {
+        self.notices.merge(notices);
     }
 
-    /// Whether it is about to leave, by its entry or its answers.
+    /// Whether its registration or its answers announced that it is about to leave.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.entry.leaving || self.notices.leaving
     }
 
-    /// Until when it wants no requests from this box; `None` if it takes them.
+    /// Time until which it rests, that is, has asked this box not to send requests; `None` if it
+    /// accepts them.
     #[must_use]
-    pub fn rests_until_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn resting_until_ms(&self, now_ms: u64) -> Option<u64> {
         Some(self.notices.backoff_until_ms).filter(|until_ms| now_ms < *until_ms)
     }
 
-    /// Its present run.
+    /// Its present incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), started_at_ms: self.started_at_ms }
     }
 
-    /// Whether a run may be its present one.
+    /// Whether `incarnation` may be its present one.
     #[must_use]
     pub fn is_incarnation(&self, incarnation: &Incarnation) -> bool {
         self.id == incarnation.id
             && !is_other_incarnation(self.started_at_ms, incarnation.started_at_ms)
     }
 
-    /// Takes an entry of the metadata store, where what is newer comes later.
+    /// Applies an entry of the metadata store, which delivers entries in order.
     pub fn update_entry(&mut self, now_ms: u64, entry: UpstreamEntry) -> ReportedIncarnation {
-        // One run tells its start in all entries or in none.
-        let begins_to_tell = self.started_at_ms.is_none() && entry.started_at_ms.is_some();
-        if !begins_to_tell && !is_other_incarnation(self.started_at_ms, entry.started_at_ms) {
+        // An incarnation reports its start either in all of its entries or in none.
+        let reports_start_now = self.started_at_ms.is_none() && entry.started_at_ms.is_some();
+        if !reports_start_now && !is_other_incarnation(self.started_at_ms, entry.started_at_ms) {
             self.entry = entry;
             return ReportedIncarnation::Current;
         }
         if self.entry.started_at_ms == entry.started_at_ms {
-            // It told of its new run itself, before its entry did.
+            // The new incarnation answered a call before its own entry arrived.
             return ReportedIncarnation::Outdated;
         }
         *self = Self::new(now_ms, &self.id, entry);
         ReportedIncarnation::Restarted
     }
 
-    /// Takes the start of the run that answered a call made at `asked_at_ms`.
+    /// Records the start of the incarnation that answered a call made at `asked_at_ms`.
     pub fn record_answering_incarnation(
         &mut self,
         now_ms: u64,
@@ -208,37 +206,38 @@
         asked_at_ms: u64,
     ) -> ReportedIncarnation {
         if !is_other_incarnation(self.started_at_ms, started_at_ms) {
-            self.learn_start(started_at_ms);
+            self.complete_start(started_at_ms);
             return ReportedIncarnation::Current;
         }
         if asked_at_ms < self.known_since_ms {
-            // The answer may be older than the run that is known.
+            // The answer may come from an incarnation before the known one.
             return ReportedIncarnation::Outdated;
         }
-        // What its earlier run told of itself is the best that is known until its entry comes.
-        let told = self.entry.started_at_ms;
+        // The entry of the earlier incarnation is the best information until that of the new
+        // incarnation arrives.
+        let entry_started_at_ms = self.entry.started_at_ms;
         *self = Self::new(now_ms, &self.id, UpstreamEntry { started_at_ms, ..self.entry.clone() });
-        self.entry.started_at_ms = told;
+        self.entry.started_at_ms = entry_started_at_ms;
         ReportedIncarnation::Restarted
     }
 
-    /// Takes the start of the run that is known, if it was not told before.
-    fn learn_start(&mut self, started_at_ms: Option<u64>) {
+    /// Adds the start of the known incarnation if it was not reported before.
+    fn complete_start(&mut self, started_at_ms: Option<u64>) {
         if self.started_at_ms.is_none() && started_at_ms.is_some() {
             self.started_at_ms = started_at_ms;
             self.number = self.incarnation().number();
         }
     }
 
-    /// Version of a model's weights; 0 when it does not have the model.
+    /// Version of a model's weights; 0 if the upstream does not have the model.
     #[must_use]
     pub fn weight_version(&self, model: &str) -> u64 {
-        let told = self.entry.models.iter().find(|(name, _)| name == model);
-        let told = told.map_or(0, |(_, version)| *version);
-        told.max(self.observed_versions.get(model).copied().unwrap_or_default())
+        let registered = self.entry.models.iter().find(|(name, _)| name == model);
+        let registered = registered.map_or(0, |(_, version)| *version);
+        registered.max(self.observed_versions.get(model).copied().unwrap_or_default())
     }
 
-    /// Notes the version of a model's weights that it was seen to have.
+    /// Records a weight version seen in an answer.
     pub fn record_weight_version(&mut self, model: &str, version: u64) {
         if version > self.weight_version(model) {
             self.observed_versions.insert(model.to_owned(), version);
@@ -246,13 +245,12 @@
         }
     }
 
-    /// Notes that it does not have the version that it was seen to have: what its entry
-    /// tells counts again.
+    /// Discards the weight version seen in an answer; that of its entry counts again.
     pub fn forget_weight_version(&mut self, model: &str) {
         self.observed_versions.remove(model);
     }
 
-    /// The model that a number stands for, among those that it has.
+    /// The name of the model with the given number, if the upstream has it.
     #[must_use]
     pub fn model_by_number(&self, model: u32) -> Option<String> {
         self.entry.models.iter().map(|(name, _)| name).find(|name| number(name) == model).cloned()
@@ -266,36 +264,36 @@
         load
     }
 
-    /// Whether another incarnation has its address: it never comes back, while its
-    /// entry may stay for seconds.
+    /// Whether another incarnation has its address. It never returns, although its entry may remain
+    /// for seconds.
     #[must_use]
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Notes that another incarnation answered at its address.
+    /// Records that another incarnation answered at its address.
     pub fn mark_superseded(&mut self) {
         self.superseded = true;
     }
 
-    /// Whether it loads weights and takes no requests meanwhile.
+    /// Whether it is loading weights, during which it accepts no requests.
     #[must_use]
     pub fn is_loading(&self, now_ms: u64) -> bool {
         now_ms < self.loading_until_ms
     }
 
-    /// Time for which it loads weights still.
+    /// Remaining time for which it loads weights.
     #[must_use]
     pub fn loading_left_ms(&self, now_ms: u64) -> u64 {
         self.loading_until_ms.saturating_sub(now_ms)
     }
 
-    /// Notes that it loads weights until a deadline, or has ended to (0).
+    /// Records that it loads weights until `until_ms`; 0 if it has finished.
     pub fn set_loading_until(&mut self, until_ms: u64) {
         self.loading_until_ms = until_ms;
     }
 
-    /// Counts a request that is sent.
+    /// Records a request that is sent to it.
     pub fn record_sent(&mut self, now_ms: u64, pending_prefill_tokens: u32, memory_tokens: u32) {
         self.own_load.requests += 1;
         self.own_load.pending_prefill_tokens += pending_prefill_tokens;
@@ -303,13 +301,13 @@
         self.awaiting_answer_since_ms.get_or_insert(now_ms);
     }
 
-    /// Counts a prompt that has been read.
+    /// Records that the prefill of a prompt has ended.
     pub fn record_prefill_end(&mut self, tokens: u32) {
         self.own_load.pending_prefill_tokens =
             self.own_load.pending_prefill_tokens.saturating_sub(tokens);
     }
 
-    /// Counts a request that has ended.
+    /// Records the end of a request.
     pub fn record_request_end(&mut self, memory_tokens: u32) {
         self.own_load.requests = self.own_load.requests.saturating_sub(1);
         self.own_load.memory_tokens = self.own_load.memory_tokens.saturating_sub(memory_tokens);
@@ -318,17 +316,17 @@
         }
     }
 
-    /// Notes that bytes have arrived from it.
+    /// Records that bytes arrived from it.
     pub fn record_receive(&mut self, now_ms: u64) {
         self.last_receive_ms = now_ms;
     }
 
-    /// Notes when other boxes heard it last.
+    /// Records when bytes last arrived from it at other boxes.
     pub fn record_peer_receive(&mut self, at_ms: u64) {
         self.peers_last_receive_ms = at_ms;
     }
 
-    /// Time since bytes arrived from it, as far as it can be told.
+    /// Time since bytes last arrived from it, at most [`u16::MAX`].
     #[must_use]
     pub fn receive_age_ms(&self, now_ms: u64) -> u16 {
         u16::try_from(now_ms.saturating_sub(self.last_receive_ms)).unwrap_or(u16::MAX)
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of all services, by their ids.
+//! The upstreams of all services, by id.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 #[derive(Debug, Default)]
 pub struct Upstreams {
     by_id: BTreeMap<String, Upstream>,
-    /// Ids by the numbers that stand for them in messages.
-    ids: HashMap<u32, String>,
-    /// What those asked that are not listed.
+    /// Ids by the numbers that identify incarnations in messages between boxes.
+    ids_by_number: HashMap<u32, String>,
+    /// Notices of upstreams that are not registered at present.
     unlisted: UnlistedNotices,
 }
 
 impl Upstreams {
-    /// Takes what an upstream tells of itself in the metadata store, where what is newer
-    /// comes later.
+    /// Inserts or updates an upstream from its entry in the metadata store, which delivers entries
+    /// in order.
     pub fn upsert(&mut self, now_ms: u64, id: &str, entry: UpstreamEntry) -> ReportedIncarnation {
-        let told = if let Some(known) = self.by_id.get_mut(id) {
+        let reported = if let Some(known) = self.by_id.get_mut(id) {
             known.update_entry(now_ms, entry)
         } else {
             let mut upstream = Upstream::new(now_ms, id, entry);
@@ -30,10 +30,10 @@
             ReportedIncarnation::Current
         };
         self.index_number(id);
-        told
+        reported
     }
 
-    /// Takes the start of the run that answered a call made at `asked_at_ms`.
+    /// Records the start of the incarnation that answered a call made at `asked_at_ms`.
     pub fn record_answering_incarnation(
         &mut self,
         now_ms: u64,
@@ -42,108 +42,104 @@
         asked_at_ms: u64,
     ) -> ReportedIncarnation {
         let Some(known) = self.by_id.get_mut(id) else { return ReportedIncarnation::Current };
-        let told = known.record_answering_incarnation(now_ms, started_at_ms, asked_at_ms);
+        let reported = known.record_answering_incarnation(now_ms, started_at_ms, asked_at_ms);
         self.index_number(id);
-        told
+        reported
     }
 
-    /// Another run of an upstream has another number.
+    /// Updates the index of numbers; each incarnation of an upstream has its own number.
     fn index_number(&mut self, id: &str) {
-        let Some(number) = self.get(id).map(|one| one.number) else { return };
-        if self.ids.get(&number).is_none_or(|known| known != id) {
-            self.ids.retain(|_, known| known != id);
-            self.ids.insert(number, id.to_owned());
+        let Some(number) = self.get(id).map(|upstream| upstream.number) else { return };
+        if self.ids_by_number.get(&number).is_none_or(|known| known != id) {
+            self.ids_by_number.retain(|_, known| known != id);
+            self.ids_by_number.insert(number, id.to_owned());
         }
     }
 
-    /// The upstream whose present run has a number, to be changed.
+    /// The upstream whose present incarnation has the given number.
     pub fn get_by_number_mut(&mut self, number: u32) -> Option<&mut Upstream> {
-        self.by_id.get_mut(self.ids.get(&number)?)
+        self.by_id.get_mut(self.ids_by_number.get(&number)?)
     }
 
-    /// Notes that no connection to an upstream came up in time. Two in one
-    /// hall at about the same time speak against the way to that hall.
+    /// Records that a connection to an upstream was not established in time. If two upstreams in
+    /// one other hall time out at about the same time, the network path to that hall is taken to be
+    /// cut, and all of its upstreams are marked unreachable.
     pub fn record_connect_timeout(&mut self, now_ms: u64, upstream: &Incarnation, own_hall: &str) {
         let Some(upstream) = self.get_incarnation_mut(upstream) else { return };
         upstream.record_connect_timeout(now_ms);
         let hall = upstream.entry.hall.clone();
-        let of_hall = |one: &Upstream| one.entry.hall == hall;
-        let lately = self
+        let in_hall = |upstream: &Upstream| upstream.entry.hall == hall;
+        let timed_out = self
             .by_id
             .values()
-            .filter(|one| of_hall(one) && one.connect_timed_out_recently(now_ms));
-        if hall != own_hall && lately.count() > 1 {
-            for one in self.by_id.values_mut().filter(|one| of_hall(one)) {
-                one.mark_unreachable();
+            .filter(|upstream| in_hall(upstream) && upstream.connect_timed_out_recently(now_ms));
+        if hall != own_hall && timed_out.count() > 1 {
+            for upstream in self.by_id.values_mut().filter(|upstream| in_hall(upstream)) {
+                upstream.mark_unreachable();
             }
         }
     }
 
-    /// Notes those that owe answers and say nothing; they get no work until a
-    /// connection to them comes up. Since when the one that fell silent last has
-    /// said nothing.
+    /// Marks silent upstreams unreachable until a connection to them is established. Returns the
+    /// start of the most recent silence.
     pub fn mark_silent_unreachable(&mut self, now_ms: u64) -> Option<u64> {
-        let mut last_ms = None;
+        let mut latest_ms = None;
         for upstream in self.by_id.values_mut() {
             if let Some(since_ms) = upstream.silent_since_ms(now_ms) {
                 upstream.mark_unreachable();
-                last_ms = last_ms.max(Some(since_ms));
+                latest_ms = latest_ms.max(Some(since_ms));
             }
         }
-        last_ms
+        latest_ms
     }
 
-    /// Takes an upstream out; what runs there goes on.
+    /// Removes an upstream. Requests in progress there continue.
     pub fn remove(&mut self, now_ms: u64, id: &str) {
         if let Some(upstream) = self.by_id.remove(id) {
             self.unlisted.insert(now_ms, &upstream.incarnation(), upstream.notices());
         }
-        self.ids.retain(|_, known| known != id);
+        self.ids_by_number.retain(|_, known| known != id);
     }
 
-    /// An upstream.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.by_id.get(id)
     }
 
-    /// An upstream, to be changed.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.by_id.get_mut(id)
     }
 
-    /// An upstream, if a run may be its present one.
+    /// The upstream, if `incarnation` may be its present one.
     #[must_use]
     pub fn get_incarnation(&self, incarnation: &Incarnation) -> Option<&Upstream> {
-        self.get(&incarnation.id).filter(|one| one.is_incarnation(incarnation))
+        self.get(&incarnation.id).filter(|upstream| upstream.is_incarnation(incarnation))
     }
 
-    /// An upstream, to be changed, if a run may be its present one.
+    /// The upstream, if `incarnation` may be its present one.
     pub fn get_incarnation_mut(&mut self, incarnation: &Incarnation) -> Option<&mut Upstream> {
-        self.get_mut(&incarnation.id).filter(|one| one.is_incarnation(incarnation))
+        self.get_mut(&incarnation.id).filter(|upstream| upstream.is_incarnation(incarnation))
     }
 
-    /// All upstreams.
     pub fn iter(&self) -> impl Iterator<Item = &Upstream> + Clone {
         self.by_id.values()
     }
 
-    /// All upstreams, to be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut Upstream> {
         self.by_id.values_mut()
     }
 
-    /// Takes what the run of an upstream asked in an answer.
-    pub fn apply_notices(&mut self, now_ms: u64, upstream: &Incarnation, asked: NoticeState) {
+    /// Adds notices from an answer of an incarnation of an upstream.
+    pub fn apply_notices(&mut self, now_ms: u64, upstream: &Incarnation, notices: NoticeState) {
         match self.by_id.get_mut(&upstream.id) {
-            Some(known) if known.is_incarnation(upstream) => known.apply_notices(asked),
+            Some(known) if known.is_incarnation(upstream) => known.apply_notices(notices),
             Some(_) => {}
-            None => self.unlisted.insert(now_ms, upstream, asked),
+            None => self.unlisted.insert(now_ms, upstream, notices),
         }
     }
 
-    /// When the first upstream of a service, but for those in `tried`, takes requests again
-    /// from this box, while all are backing off; `None` when one takes them now, or there is none.
+    /// When the first upstream of a service that is not in `tried` accepts requests from this box
+    /// again. `None` if one accepts them now, or there is none.
     #[must_use]
     pub fn all_backoff_until_ms(
         &self,
@@ -151,34 +147,36 @@
         service: &str,
         tried: &[Incarnation],
     ) -> Option<u64> {
-        let untried = self
-            .of_service(service)
-            .filter(|one| !tried.iter().any(|tried| one.is_incarnation(tried)));
-        let rests: Option<Vec<u64>> = untried.map(|one| one.rests_until_ms(now_ms)).collect();
-        rests?.into_iter().min()
+        let untried = self.of_service(service).filter(|upstream| {
+            !tried.iter().any(|incarnation| upstream.is_incarnation(incarnation))
+        });
+        let resting_until_ms: Option<Vec<u64>> =
+            untried.map(|upstream| upstream.resting_until_ms(now_ms)).collect();
+        resting_until_ms?.into_iter().min()
     }
 
-    /// The upstreams of a service that live and are not about to leave.
+    /// The upstreams of a service that are not superseded or about to leave.
     pub fn of_service<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
-        self.current().filter(move |one| one.entry.service == service && !one.is_leaving())
+        self.current()
+            .filter(move |upstream| upstream.entry.service == service && !upstream.is_leaving())
     }
 
-    /// All upstreams but those whose address another incarnation has.
+    /// All upstreams except those whose address another incarnation has.
     pub fn current(&self) -> impl Iterator<Item = &Upstream> + Clone {
-        self.iter().filter(|one| !one.is_superseded())
+        self.iter().filter(|upstream| !upstream.is_superseded())
     }
 
-    /// Whether most engines of a model are heard by other boxes, and cannot be reached from
-    /// here: the way to them is cut, and not they.
+    /// Whether this box is cut off from most engines of a model: they are unreachable from here
+    /// while other boxes receive bytes from them.
     #[must_use]
     pub fn is_partitioned(&self, now_ms: u64, model: &str) -> bool {
-        let engines = self.current().filter(|one| one.weight_version(model) > 0);
-        let cut =
-            engines.clone().filter(|one| one.is_unreachable() && one.answers_other_boxes(now_ms));
-        2 * cut.count() > engines.count()
+        let engines = self.current().filter(|upstream| upstream.weight_version(model) > 0);
+        let cut_off = engines
+            .clone()
+            .filter(|upstream| upstream.is_unreachable() && upstream.answers_other_boxes(now_ms));
+        2 * cut_off.count() > engines.count()
     }
 
-    /// The address of an upstream.
     #[must_use]
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
         self.get(id).map(|upstream| upstream.entry.address)
