--- a/src/gateway/decisions/cache_reports.rs
+++ b/src/gateway/decisions/cache_reports.rs
@@ -1,67 +1,64 @@
-//! What engines and stores tell of the context that they keep.
+//! Reports of engines and stores on the context that they cache.
 
-/// A part of a prompt whose context is kept.
+/// A part of a prompt whose context is cached.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct CachedPart {
-    /// Name under which it is found.
+    /// Scope of the context; see [`scope`](crate::gateway::decisions::context::scope).
     pub scope: String,
-    /// Id of the part.
     pub part_id: String,
 }
 
-/// A change of what is kept.
+/// A change of a cached part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChange {
-    /// The part.
     pub part: CachedPart,
-    /// Tokens that are kept now.
+    /// Tokens cached after the change; 0 if the part is gone.
     pub tokens: u32,
 }
 
 /// Changes since an earlier call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheChanges {
-    /// Changes when the holder restarts, and all is gone.
+    /// Identifies an incarnation of the engine or store; a new incarnation starts without content.
     pub boot_epoch: u64,
-    /// Place to go on from.
+    /// Position from which to request the next changes.
     pub next_position: u64,
-    /// Some changes in between are missing, or could not be read.
+    /// Whether some changes are missing or could not be read.
     pub gap: bool,
-    /// The changes, in order.
+    /// In order of occurrence.
     pub changes: Vec<CacheChange>,
-    /// The upstreams' clock as the answer left, when it is told.
+    /// The upstreams' clock when the answer was sent, if the answer contains it.
     pub clock_ms: Option<u64>,
-    /// Start of the holder's run, if it is told.
+    /// Start of the incarnation of the engine or store, if the answer contains it.
     pub started_at_ms: Option<u64>,
 }
 
-/// All that a holder keeps.
+/// The whole cache content of an engine or store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheListing {
-    /// Changes when the holder restarts.
+    /// Identifies an incarnation of the engine or store.
     pub boot_epoch: u64,
-    /// Place from which to ask for changes.
+    /// Position from which to request changes.
     pub next_position: u64,
-    /// Whole parts.
+    /// Complete parts.
     pub complete: Vec<CacheChange>,
-    /// Parts whose writing broke off, or goes on.
+    /// Parts whose transfer is in progress or was interrupted.
     pub partial: Vec<PartialPart>,
 }
 
-/// A part that is not whole.
+/// An incomplete part.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartialPart {
-    /// The part.
     pub part: CachedPart,
-    /// Tokens that are whole.
+    /// Tokens received so far.
     pub complete_tokens: u32,
 }
 
-/// What became of an order to free parts.
+/// Result of an order to free parts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreeOutcome {
-    /// They are freed.
+    /// The parts were freed.
     Freed,
-    /// The store has restarted, or the deadline had passed.
+    /// The store has restarted, or the deadline of the order had passed.
     Refused,
 }
--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -1,84 +1,82 @@
-//! What an engine is told about kept context: a source for each part of the
-//! prompt, and a store that is to take it.
+//! What an engine is told about cached context: the source of each prompt part, and the store to
+//! which it is saved.
 
 use crate::gateway::decisions::cache_contents::PartKey;
 
-/// Time for which context of old weights is read from stores after newer ones were named;
-/// then its space is for theirs. Engines that are not loaded yet would have to read it
-/// again.
+/// Time after a new weight version is named during which context of older weights is still read
+/// from stores. Until then it serves engines that have not loaded the new version, which would have
+/// to recompute it; afterwards its space is freed for context of the new version.
 pub const OLD_CONTEXT_READ_MS: u64 = 4500;
 
-/// Where a part of a prompt comes from.
+/// Source of a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartSource {
-    /// The engine keeps it; another holder is named all the same, since
-    /// engines follow the list of sources from its start.
+    /// The engine has the part. Another holder is named as well if there is one, since engines
+    /// process the list of sources in order and stop at the first part without an address.
     Local {
-        /// Address of the other holder, as upstreams take it.
+        /// Address of the other holder, in the form that upstreams accept.
         alternate_address: Option<String>,
     },
-    /// The engine reads it.
+    /// The engine computes the part.
     Prefill,
-    /// Another engine or a store keeps it.
+    /// Another engine or a store has the part.
     Remote {
-        /// Address, as upstreams take it.
+        /// Address of the holder, in the form that upstreams accept.
         address: String,
-        /// Name of the store, when it is one.
+        /// Name of the store, if the holder is a store.
         store: Option<String>,
-        /// Tokens to take.
+        /// Tokens to fetch.
         tokens: u32,
     },
 }
 
 impl PartSource {
-    /// Address of who sends it.
+    /// Address of the holder other than the engine, if there is one.
     #[must_use]
     pub fn address(self) -> Option<String> {
         match self {
             Self::Remote { address, .. } => Some(address),
-            Self::Local { alternate_address: address } => address,
+            Self::Local { alternate_address } => alternate_address,
             Self::Prefill => None,
         }
     }
 }
 
-/// A part that a store is to take.
+/// An order to save a part to a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Save {
-    /// Address of the store, as upstreams take it.
+    /// Address of the store, in the form that upstreams accept.
     pub address: String,
     /// Name of the store.
     pub store: String,
-    /// The part.
     pub part: PartKey,
-    /// Its length.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// What an engine is told about kept context.
+/// Sources and saves for the parts of one prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ContextPlan {
-    /// Name under which context is found and kept.
+    /// Scope under which context is looked up and saved.
     pub scope: String,
-    /// Weight version that must run.
+    /// Weight version that the engine must run.
     pub version: u64,
     /// Source of each part.
     pub sources: Vec<PartSource>,
-    /// Whether the engine takes a source for each part; else it takes just one
-    /// for the whole prompt.
+    /// Whether the engine accepts a source for each part, or only one for the whole prompt.
     pub per_part_sources: bool,
-    /// Store that takes each part.
+    /// Save of each part.
     pub saves: Vec<Option<Save>>,
-    /// Time that the fetches are expected to take.
+    /// Expected time of the fetches.
     pub fetch_ms: f64,
-    /// Tokens that are read at the engine.
+    /// Tokens that the engine has to compute.
     pub prefill_tokens: u32,
-    /// Tokens of shared parts among them that some holder keeps.
+    /// Those among them in shared parts that some holder has.
     pub recomputed_tokens: u32,
 }
 
 impl ContextPlan {
-    /// Stores that are read, with the tokens of each part.
+    /// Names of the stores that are read from, with the tokens of each fetched part.
     #[must_use]
     pub fn store_fetches(&self) -> Vec<(String, u32)> {
         let fetches = self.sources.iter().filter_map(|source| match source {
@@ -90,7 +88,7 @@
         fetches.collect()
     }
 
-    /// The source of each part, for a log line.
+    /// The source of each part, for log lines.
     #[must_use]
     pub fn summary(&self) -> String {
         let sources = self.sources.iter().zip(&self.saves).map(|(source, save)| {
@@ -106,8 +104,8 @@
     }
 }
 
-/// The scope under which context is kept: never across models, weight
-/// versions or isolated accounts.
+/// The scope of cached context. Context is never shared between models, weight versions or isolated
+/// accounts.
 #[must_use]
 pub fn scope(model: &str, version: u64, isolated_account: Option<&str>) -> String {
     match isolated_account {
--- a/src/gateway/decisions/prompt.rs
+++ b/src/gateway/decisions/prompt.rs
@@ -1,38 +1,35 @@
 //! A prompt as its client describes it: a list of parts.
 //!
-//! Parts are shared among requests, but for the last. A part's context counts
-//! only when that of every part before it is there too.
+//! All parts but the last may be shared between requests. Cached context of a part is usable only
+//! together with that of all earlier parts.
 
 /// A part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// Id, in hex.
+    /// Hexadecimal id.
     pub id: String,
     /// Length.
     pub tokens: u32,
 }
 
-/// A prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Prompt {
-    /// Model.
     pub model: String,
     /// Length of all parts.
     pub tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of generated tokens.
     pub max_output_tokens: u32,
     /// Parts, in order.
     pub parts: Vec<Part>,
 }
 
 impl Prompt {
-    /// Reads a prompt from the texts of its model, its lengths (`in,out`) and
-    /// its parts (`id:tokens`, separated by commas); `None` when they are no
-    /// prompt.
+    /// Parses a prompt from its model, its lengths (`input,output`) and its parts (`id:tokens`,
+    /// separated by commas); `None` if they are malformed.
     #[must_use]
     pub fn parse(model: &str, lengths: &str, parts: &str) -> Option<Self> {
         let (tokens, output) = lengths.split_once(',')?;
-        let parts: Option<Vec<Part>> = parts.split(',').map(part).collect();
+        let parts: Option<Vec<Part>> = parts.split(',').map(parse_part).collect();
         Some(Self {
             model: model.to_owned(),
             tokens: tokens.trim().parse().ok()?,
@@ -44,12 +41,12 @@
     /// The parts that other requests may share.
     #[must_use]
     pub fn shared_parts(&self) -> &[Part] {
-        let own = usize::from(!self.parts.is_empty());
-        &self.parts[..self.parts.len() - own]
+        let last = usize::from(!self.parts.is_empty());
+        &self.parts[..self.parts.len() - last]
     }
 
-    /// Tokens of an engine's memory that a request takes while it is there: all
-    /// but the part that most requests there share.
+    /// Engine memory that a request occupies, in tokens: the prompt and the maximum output. The
+    /// first of several shared parts is left out, since most requests on the engine share it.
     #[must_use]
     pub fn memory_tokens(&self) -> u32 {
         let shared = self.shared_parts();
@@ -58,9 +55,9 @@
     }
 }
 
-fn part(text: &str) -> Option<Part> {
+fn parse_part(text: &str) -> Option<Part> {
     let (id, tokens) = text.trim().split_once(':')?;
-    let hex = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let is_hex = !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_hexdigit());
     let tokens = tokens.parse().ok()?;
-    hex.then(|| Part { id: id.to_owned(), tokens })
+    is_hex.then(|| Part { id: id.to_owned(), tokens })
 }
--- a/src/platform/exchange.rs
+++ b/src/platform/exchange.rs
@@ -91,8 +91,8 @@
     if let Some(until_ms) = until_ms.filter(|_| fetches) {
         let sources = context.sources.iter().map(|source| match source {
             PartSource::Prefill => None,
-            PartSource::Local { alternate_address: address } => {
-                address.as_deref().filter(|_| context.per_part_sources)
+            PartSource::Local { alternate_address } => {
+                alternate_address.as_deref().filter(|_| context.per_part_sources)
             }
             PartSource::Remote { address, .. } => Some(address.as_str()),
         });
