--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -1,12 +1,11 @@
-//! Admission: which engines have room for another request, and when a request that
-//! was turned away may come back.
+//! Admission control: whether an engine has capacity for another request, and when a refused
+//! client may retry.
 //!
-//! An engine serves what it holds at once quickly, and everything late once more
-//! waits for its memory: then it drops the context that sessions come back to, reads
-//! it again, and each step takes longer. So a request is taken only by an engine that
-//! can begin with it in time; when there is none, it is refused at once. The room is
-//! judged by what is there already, not by the request's own size, so that large
-//! prompts are refused as often as small ones.
+//! An engine serves requests quickly as long as their memory fits. Beyond that, it evicts the
+//! context that sessions return to, recomputes it, and takes longer for each step, so that all
+//! requests are late. A request is therefore admitted only if some engine can start it in time, and
+//! is refused at once otherwise. Only the load counts, not the size of the request itself, so that
+//! long prompts are refused as often as short ones.
 
 use std::collections::HashMap;
 
@@ -14,45 +13,44 @@
 use crate::gateway::decisions::upstream::Load;
 use crate::names::number;
 
-/// Part of an engine's memory that requests may ask for, those of the most urgent rank:
-/// they ask for all that they may generate, and most of them end before.
-const MEMORY_PART: f64 = 1.2;
-/// Part that each less urgent rank leaves to those before it, so that these are not
-/// refused more often although their objective is shorter.
-const RANK_PART: f64 = 0.35;
-/// Ranks that leave room to those before them: the others are treated alike.
-const MAX_RANKS: u8 = 3;
-/// Part of a latency objective for which prompts read before may keep one waiting.
+/// Part of an engine's memory that requests of the highest rank may reserve. It exceeds 1 since
+/// requests reserve memory for their maximum output and most end before.
+const MAX_MEMORY_PART: f64 = 1.2;
+/// Part of the memory that each rank leaves to the ranks above it, so that these are not refused
+/// more often in spite of their shorter objectives.
+const RANK_RESERVE_PART: f64 = 0.35;
+/// Number of ranks that leave memory to those above; lower ones are treated alike.
+const MAX_RESERVING_RANKS: u8 = 3;
+/// Part of the latency objective that a request may wait for the prefill of earlier prompts.
 const PREFILL_WAIT_PART: f64 = 0.5;
-/// Least time after which a refused request is to come back.
-const RETURN_LEAST_MS: u64 = 400;
-
-/// Growth of the limit with each first token that comes in time from an engine that
-/// had little room left.
-const GROWTH: f64 = 0.003;
-/// Part of the limit that each late first token takes away: with [`GROWTH`] it stays
-/// where one in twenty is late.
-const CUT_PART: f64 = 0.06;
-/// Thousandths in one.
+/// Shortest delay before a refused client may retry.
+const MIN_RETRY_AFTER_MS: u64 = 400;
+
+/// Increase of an admission limit for each first token that arrives in time from a nearly full
+/// engine.
+const LIMIT_INCREASE: f64 = 0.003;
+/// Relative decrease of the limit for each late first token. Together with [`LIMIT_INCREASE`], the
+/// limit settles where one first token in twenty is late.
+const LIMIT_CUT_PART: f64 = 0.06;
 const THOUSAND: f64 = 1000.0;
-/// Part by which a limit is drawn to the mean of all boxes with each first token.
-const DRAW_PART: f64 = 0.1;
-/// Growth of the limit in a second without any first token: one that fell rises again
-/// within two minutes when nothing that comes shows that it may.
+/// Part of the difference to the mean limit of all boxes that is made up with each first token.
+const MEAN_ADJUSTMENT_PART: f64 = 0.1;
+/// Increase of the limit per second without any first token: a limit that fell recovers within two
+/// minutes even if no request shows that it may.
 const RECOVERY_PER_S: f64 = 0.01;
-/// Least and largest limit. It begins at the largest: a short crowd at one moment of an
-/// ordinary load is better queued than refused.
-const LIMITS: (f64, f64) = (0.3, 1.1);
-/// Part of its room from which on an engine's answers speak for a larger limit.
+/// Lower and upper bound. Limits start at the upper bound, since a short burst at moderate load is
+/// better queued than refused.
+const LIMIT_RANGE: (f64, f64) = (0.3, 1.1);
+/// Occupancy from which on the first tokens of an engine adjust the limit.
 const NEARLY_FULL_PART: f64 = 0.7;
 
-/// The limits that a box has found for each service, as parts of what the engines'
-/// memory and the objectives would suggest. They grow while first tokens come in time
-/// from engines that are nearly full, and shrink with each that is late.
+/// The admission limits of this box for each service, relative to what the engines' memory and the
+/// latency objectives suggest. They increase while first tokens from nearly full engines arrive in
+/// time, and decrease with each late one.
 ///
-/// Boxes share engines, so they share limits: each goes by the mean of its own and of
-/// what its peers told. Else those that find smaller ones make room for the others,
-/// and the callers of a hall are refused while those of another are not.
+/// As boxes share engines, they share limits: each applies the mean of its own limit and those of
+/// its peers. Otherwise, boxes with lower limits would leave capacity to the others, and the
+/// clients of one hall would be refused while those of another are not.
 #[derive(Debug, Default)]
 pub struct AdmissionLimits {
     own: HashMap<u32, f64>,
@@ -63,32 +61,32 @@
     /// The limit of a service.
     #[must_use]
     pub fn limit_of(&self, service: &str) -> f64 {
-        self.mean(number(service))
+        self.mean_limit(number(service))
     }
 
-    /// Takes the end of a wait for a first token.
-    pub fn record_first_token(&mut self, service: &str, end: FirstTokenOutcome) {
+    /// Adjusts the limit of a service by the outcome of a wait for a first token.
+    pub fn record_first_token(&mut self, service: &str, outcome: FirstTokenOutcome) {
         let service = number(service);
-        let mean = self.mean(service);
-        let own = self.own(service);
-        let (least, most) = LIMITS;
-        let drawn = own + (mean - own) * DRAW_PART;
-        let limit = match end {
-            FirstTokenOutcome::InTime => drawn + GROWTH,
-            FirstTokenOutcome::Late => drawn * (1.0 - CUT_PART),
+        let mean_limit = self.mean_limit(service);
+        let own_limit = self.own_limit(service);
+        let (min, max) = LIMIT_RANGE;
+        let adjusted = own_limit + (mean_limit - own_limit) * MEAN_ADJUSTMENT_PART;
+        let limit = match outcome {
+            FirstTokenOutcome::InTime => adjusted + LIMIT_INCREASE,
+            FirstTokenOutcome::Late => adjusted * (1.0 - LIMIT_CUT_PART),
         };
-        self.own.insert(service, limit.clamp(least, most));
+        self.own.insert(service, limit.clamp(min, max));
     }
 
-    /// Lets limits that fell rise, as time passes.
-    pub fn recover(&mut self, passed_s: f64) {
-        let (least, most) = LIMITS;
+    /// Increases the limits with the time that has passed.
+    pub fn recover(&mut self, elapsed_s: f64) {
+        let (min, max) = LIMIT_RANGE;
         for limit in self.own.values_mut() {
-            *limit = (*limit + passed_s * RECOVERY_PER_S).clamp(least, most);
+            *limit = (*limit + elapsed_s * RECOVERY_PER_S).clamp(min, max);
         }
     }
 
-    /// What this box has found, in thousandths, by the numbers of services.
+    /// This box's limits in thousandths, by the numbers of services.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -99,97 +97,101 @@
         self.own.iter().map(|(service, limit)| (*service, (limit * THOUSAND) as u16)).collect()
     }
 
-    /// Takes what other boxes have found.
+    /// Sets the limits reported by other boxes.
     pub fn set_peer_limits(&mut self, peer_limits: Vec<(u32, u16)>) {
         self.peer_limits = peer_limits;
     }
 
-    fn own(&self, service: u32) -> f64 {
-        self.own.get(&service).copied().unwrap_or(LIMITS.1)
+    fn own_limit(&self, service: u32) -> f64 {
+        self.own.get(&service).copied().unwrap_or(LIMIT_RANGE.1)
     }
 
-    fn mean(&self, service: u32) -> f64 {
+    fn mean_limit(&self, service: u32) -> f64 {
         let peers = self.peer_limits.iter().filter(|(number, _)| *number == service);
-        let (sum, count) = peers.fold((self.own(service), 1.0), |(sum, count), (_, limit)| {
-            (sum + f64::from(*limit) / THOUSAND, count + 1.0)
-        });
+        let (sum, count) = peers
+            .fold((self.own_limit(service), 1.0), |(sum, count), (_, limit)| {
+                (sum + f64::from(*limit) / THOUSAND, count + 1.0)
+            });
         sum / count
     }
 }
 
-/// How a wait for a first token ended at an engine that was nearly full: what other
-/// engines do late is not for their load.
+/// Outcome of a wait for a first token at a nearly full engine. First tokens of other engines are
+/// not recorded, since their delay is not caused by load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstTokenOutcome {
-    /// It came in time.
+    /// The first token arrived within the latency objective.
     InTime,
-    /// It came late, or not at all.
+    /// The first token arrived late or not at all.
     Late,
 }
 
-/// What is asked of an engine.
+/// The properties of a request that decide on its admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionCriteria {
-    /// Ranks of the service's routes that are more urgent.
+    /// Number of higher-priority ranks among the service's routes.
     pub higher_priority_ranks: u8,
-    /// Latency objective.
     pub objective_ms: u64,
-    /// Whether the objective, counted from the first try, has passed.
+    /// Whether the latency objective, counted from the client's first attempt, has passed.
     pub objective_missed: bool,
-    /// Limit found for the service.
+    /// Admission limit of the service.
     pub load_limit: f64,
 }
 
-/// How much of its room an engine has given away.
+/// Occupancy of an engine for an admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Occupancy {
-    /// Some is left.
+    /// There is capacity left.
     Available,
-    /// Little is left.
+    /// There is little capacity left.
     NearlyFull,
-    /// It cannot begin with the request in time.
+    /// It cannot start the request in time.
     Full,
 }
 
-/// What an engine can take.
+/// Capacity of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Requests at once; 0 when unknown.
+    /// Concurrent requests; 0 if unknown.
     pub slots: u32,
-    /// Memory; 0 when unknown.
+    /// Memory; 0 if unknown.
     pub memory_tokens: u32,
 }
 
-/// Room that an engine under `load` has for another request.
+/// Occupancy of an engine under `load`, as seen by a request with `criteria`.
 #[must_use]
 pub fn occupancy(load: Load, capacity: Capacity, criteria: AdmissionCriteria) -> Occupancy {
-    let part = room_part(criteria);
-    let taken_part = |taken: u32, of: f64| if of > 0.0 { f64::from(taken) / of } else { 0.0 };
-    let memory_part = taken_part(load.memory_tokens, f64::from(capacity.memory_tokens) * part);
-    let slots_part = taken_part(load.requests, f64::from(capacity.slots) * part.min(1.0));
-    let prefill_ms = as_f64(criteria.objective_ms) * PREFILL_WAIT_PART * criteria.load_limit;
-    let prefill_part = taken_part(load.pending_prefill_tokens, prefill_ms * PREFILL_TOKENS_PER_MS);
+    let part = capacity_part(criteria);
+    let occupied_part = |used: u32, available: f64| {
+        if available > 0.0 { f64::from(used) / available } else { 0.0 }
+    };
+    let memory_part = occupied_part(load.memory_tokens, f64::from(capacity.memory_tokens) * part);
+    let slots_part = occupied_part(load.requests, f64::from(capacity.slots) * part.min(1.0));
+    let max_prefill_ms = as_f64(criteria.objective_ms) * PREFILL_WAIT_PART * criteria.load_limit;
+    let prefill_part =
+        occupied_part(load.pending_prefill_tokens, max_prefill_ms * PREFILL_TOKENS_PER_MS);
     match memory_part.max(slots_part).max(prefill_part) {
-        taken if taken < NEARLY_FULL_PART => Occupancy::Available,
-        taken if taken < 1.0 => Occupancy::NearlyFull,
+        occupied if occupied < NEARLY_FULL_PART => Occupancy::Available,
+        occupied if occupied < 1.0 => Occupancy::NearlyFull,
         _ => Occupancy::Full,
     }
 }
 
-/// Part of an engine that must be taken before a request is refused there. One that
-/// is late earns little: it gets as much as others until the limit has fallen, and
-/// then mostly what would stay empty.
-fn room_part(criteria: AdmissionCriteria) -> f64 {
-    let part = MEMORY_PART - RANK_PART * f64::from(criteria.higher_priority_ranks.min(MAX_RANKS));
+/// Part of an engine's capacity beyond which a request is refused. A request that has missed its
+/// objective earns little: it is treated like others until the limit falls, and then mostly gets
+/// capacity that would remain unused.
+fn capacity_part(criteria: AdmissionCriteria) -> f64 {
+    let part = MAX_MEMORY_PART
+        - RANK_RESERVE_PART * f64::from(criteria.higher_priority_ranks.min(MAX_RESERVING_RANKS));
     let late_part =
         if criteria.objective_missed { criteria.load_limit.min(1.0).powi(2) } else { 1.0 };
     criteria.load_limit * part * late_part
 }
 
-/// When a refused request may come back: at any time up to a third of what its client has
-/// left, so that those refused at the same time do not come back at the same time.
+/// Delay after which a refused client may retry: at most a third of its remaining time, spread by
+/// `seed`, so that clients refused together do not retry together.
 #[must_use]
 pub fn retry_after_ms(seed: u64, left_ms: u64) -> u64 {
-    let spread_ms = (left_ms / 3).saturating_sub(RETURN_LEAST_MS).max(1);
-    RETURN_LEAST_MS + seed % spread_ms
+    let spread_ms = (left_ms / 3).saturating_sub(MIN_RETRY_AFTER_MS).max(1);
+    MIN_RETRY_AFTER_MS + seed % spread_ms
 }
--- a/src/gateway/decisions/budget.rs
+++ b/src/gateway/decisions/budget.rs
@@ -1,26 +1,26 @@
-//! The fleet's budget for repeats, and this box's share of it.
+//! This box's share of the fleet-wide retry budget.
 //!
-//! Over any window, a service may get `ratio` repeats for each request and
-//! `extra` more, from all boxes together. Each box spends what its own
-//! requests earn, and its part of the extra; a new process starts with
-//! nothing of the extra, since the one before may have spent it.
+//! In any time window, each service may get `ratio` retries per request and `extra` more from all
+//! boxes together. Each box may use the retries earned by its own requests and its share of the
+//! extra ones. A new process starts without any extra retries, since its predecessor may have used
+//! them.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::gateway::decisions::units::as_f64;
 
-/// Part of the budget that is spent at most; the rest covers boxes that do not
-/// know of each other, and windows that are counted otherwise.
+/// Part of the budget that is used at most; the rest covers boxes that do not know of each other,
+/// and windows that are aligned differently.
 const USABLE_PART: f64 = 0.7;
 
-/// Terms of the budget.
+/// Parameters of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Repeats earned by each request.
+    /// Retries earned by each request.
     pub ratio: f64,
-    /// Window in which repeats are counted.
+    /// Window in which retries are counted.
     pub window_ms: u64,
-    /// Repeats in a window beside those earned, over the whole fleet.
+    /// Additional retries per window for the whole fleet.
     pub extra: f64,
 }
 
@@ -30,7 +30,7 @@
     retries_at_ms: VecDeque<u64>,
 }
 
-/// One box's share of the budget.
+/// One box's share of the retry budget.
 #[derive(Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
@@ -39,23 +39,23 @@
 }
 
 impl RetryBudget {
-    /// Starts with nothing earned.
+    /// A budget without any earned retries.
     #[must_use]
     pub fn new(config: RetryBudgetConfig, started_at_ms: u64) -> Self {
         Self { config, started_at_ms, by_service: HashMap::new() }
     }
 
-    /// Counts a request to a service.
+    /// Records a request to a service.
     pub fn record_request(&mut self, now_ms: u64, service: &str) {
         let counts = self.counts(now_ms, service);
         counts.requests_at_ms.push_back(now_ms);
     }
 
-    /// Takes one repeat; false when the share of one of `boxes` is spent.
+    /// Takes one retry from the budget; false if the share of one of `boxes` is used up.
     pub fn try_spend(&mut self, now_ms: u64, service: &str, boxes: usize) -> bool {
         let age_ms = now_ms.saturating_sub(self.started_at_ms).min(self.config.window_ms);
-        let grown = as_f64(age_ms) / as_f64(self.config.window_ms.max(1));
-        let extra = self.config.extra * grown / as_f64(boxes.max(1) as u64);
+        let window_share = as_f64(age_ms) / as_f64(self.config.window_ms.max(1));
+        let extra = self.config.extra * window_share / as_f64(boxes.max(1) as u64);
         let ratio = self.config.ratio;
         let counts = self.counts(now_ms, service);
         let earned = ratio * as_f64(counts.requests_at_ms.len() as u64);
