--- a/src/gateway/decisions/configuration.rs
+++ b/src/gateway/decisions/configuration.rs
@@ -1,6 +1,6 @@
-//! What operators have configured: routes, services, stores and accounts.
+//! The configuration that operators write: routes, services, stores and accounts.
 //!
-//! A [`Configuration`] is one version of it, whole. Only newer versions replace it.
+//! A [`Configuration`] is replaced as a whole, by newer versions only.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -8,71 +8,68 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Configuration {
-    /// Version; rises by uneven steps.
+    /// Version; increases by arbitrary steps.
     pub version: u64,
-    /// Routes.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: HashMap<String, Service>,
-    /// Stores of kept context.
+    /// Stores of cached context.
     pub stores: Vec<Store>,
-    /// What a client may send.
+    /// Limits on client requests.
     pub limits: ClientLimits,
-    /// Client accounts.
     pub accounts: Vec<Account>,
     by_host: HashMap<String, Vec<usize>>,
     by_key: HashMap<String, usize>,
 }
 
-/// A route: which requests go to which service, and on what terms.
+/// Assigns requests to services, with the terms on which they are served.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Name.
     pub name: String,
-    /// Host that it serves, in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// Start of the paths that it serves; ends with a slash.
+    /// Common prefix of the paths; ends with a slash.
     pub path_prefix: String,
-    /// Services, with their parts of the requests.
+    /// Services with their weights.
     pub targets: Vec<Target>,
-    /// Whether a request may run again.
+    /// Whether a request may be sent to an upstream again.
     pub retry_policy: RetryPolicy,
-    /// Longest time that a request may be held.
+    /// Longest time for a request.
     pub timeout_ms: u64,
-    /// Time within which an answer, or its first event, is wanted.
+    /// Time within which the response, or the first event of a stream, is due.
     pub latency_objective_ms: u64,
-    /// Most upstreams that a request may be sent to.
+    /// Maximum number of upstreams to which a request is sent.
     pub max_attempts: u32,
-    /// Order of work, 0 first.
+    /// Priority of requests, 0 first.
     pub priority: u8,
-    /// Whether it takes requests without a key.
+    /// Whether requests without a key are accepted.
     pub public: bool,
 }
 
-/// A service that a route sends a part of its requests to.
+/// A service that gets part of a route's requests.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Service.
+    /// Name of the service.
     pub service: String,
-    /// Its part, relative to the other targets.
+    /// Weight relative to the other targets.
     pub weight: u32,
 }
 
-/// Whether a request may run again.
+/// Whether and how a request may be sent to an upstream again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// It may run any number of times.
+    /// May run any number of times.
     Repeatable,
-    /// It runs at most once.
+    /// Runs at most once.
     Once,
     /// A stream that runs at most once.
     StreamOnce,
-    /// A stream that another upstream may go on with.
+    /// A stream that another upstream can continue.
     StreamResumable,
 }
 
 impl RetryPolicy {
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::StreamOnce | Self::StreamResumable)
@@ -85,59 +82,57 @@
     }
 }
 
-/// A service: upstreams that are all alike.
+/// A service, whose upstreams are interchangeable.
 #[derive(Clone, Debug)]
 pub struct Service {
-    /// Connections that one upstream accepts, from all boxes together.
+    /// Connections that one upstream accepts from all boxes together.
     pub max_connections: u32,
-    /// What its upstreams are, if they are model engines.
+    /// Properties of its upstreams if they are model engines; `None` for other services.
     pub engine: Option<EngineSpec>,
 }
 
-/// A model engine, as configured.
+/// The configured properties of a model engine.
 #[derive(Clone, Debug)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Concurrent requests.
     pub slots: u32,
-    /// Tokens that fit its memory, of running requests and kept; 0 if not told.
+    /// Capacity of its memory in tokens, for running requests and cached context; 0 if unknown.
     pub memory_tokens: u64,
-    /// Size of kept context, in bytes a token.
+    /// Size of the context of a token.
     pub bytes_per_token: u64,
-    /// Rate of its link for context.
+    /// Bandwidth of its link for context transfers.
     pub link_mbps: f64,
-    /// Whether a source may be named for each part of a prompt.
+    /// Whether it accepts a source for each part of a prompt.
     pub per_part_sources: bool,
 }
 
-/// A store of kept context.
+/// A store of cached context.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Store {
-    /// Name.
     pub name: String,
-    /// Address.
     pub address: SocketAddr,
     /// Data hall.
     pub hall: String,
-    /// Tokens that it holds.
+    /// Capacity.
     pub capacity_tokens: u64,
-    /// Rate of its link.
+    /// Bandwidth of its link.
     pub link_mbps: f64,
-    /// Wait before each transfer.
+    /// Delay before each transfer.
     pub transfer_setup_ms: f64,
-    /// Whether space is freed by us alone.
+    /// Whether only the boxes free its space; it does not evict parts itself.
     pub managed: bool,
 }
 
-/// What a client may send.
+/// Limits on client requests.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Longest head.
+    /// Longest request head.
     pub max_header_bytes: usize,
-    /// Longest body.
+    /// Longest request body.
     pub max_body_bytes: usize,
-    /// Longest time for a head to arrive.
+    /// Longest time for a request head to arrive.
     pub header_timeout_ms: u64,
-    /// Longest time that a connection may be idle.
+    /// Longest time for which a connection may be idle.
     pub idle_timeout_ms: u64,
 }
 
@@ -155,18 +150,17 @@
 /// A client account.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// Name.
     pub name: String,
-    /// Keys that its clients send.
+    /// API keys of its clients.
     pub keys: Vec<String>,
-    /// Order of its work, in place of the route's.
+    /// Priority of its requests, overriding that of the route.
     pub priority: Option<u8>,
-    /// Whether its kept context is never shared with other accounts.
+    /// Whether its cached context is never shared with other accounts.
     pub isolated: bool,
 }
 
 impl Configuration {
-    /// Prepares the look-ups of a version.
+    /// Builds the lookup tables.
     #[must_use]
     pub fn indexed(mut self) -> Self {
         for (index, route) in self.routes.iter().enumerate() {
@@ -183,36 +177,37 @@
         self
     }
 
-    /// The route of the longest prefix that begins `path`.
+    /// The route with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let routes = self.by_host.get(host)?.iter().map(|index| &self.routes[*index]);
         routes.into_iter().find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// Whether there is a route of this name.
+    /// Whether there is a route with this name.
     #[must_use]
     pub fn has_route(&self, name: &str) -> bool {
         self.routes.iter().any(|route| route.name == name)
     }
 
-    /// Number of ranks among a service's routes that go before one: what an account has
-    /// in its place says nothing of them.
+    /// Number of different route priorities of a service that go before `priority`. Priorities of
+    /// accounts are not counted.
     #[must_use]
     pub fn higher_priority_ranks(&self, service: &str, priority: u8) -> u8 {
-        let leads_to = |route: &&Route| route.targets.iter().any(|one| one.service == service);
+        let leads_to =
+            |route: &&Route| route.targets.iter().any(|target| target.service == service);
         let ranks = self.routes.iter().filter(leads_to).map(|route| route.priority);
-        let before: BTreeSet<u8> = ranks.filter(|rank| *rank < priority).collect();
-        u8::try_from(before.len()).unwrap_or(u8::MAX)
+        let higher: BTreeSet<u8> = ranks.filter(|rank| *rank < priority).collect();
+        u8::try_from(higher.len()).unwrap_or(u8::MAX)
     }
 
-    /// The account of a key.
+    /// The account with a key.
     #[must_use]
     pub fn account(&self, key: &str) -> Option<&Account> {
         self.by_key.get(key).map(|index| &self.accounts[*index])
     }
 
-    /// Whether requests need a key at all.
+    /// Whether requests need a key, unless their route is public.
     #[must_use]
     pub fn requires_keys(&self) -> bool {
         !self.accounts.is_empty()
@@ -220,7 +215,7 @@
 }
 
 impl Route {
-    /// The service for a request; `number` decides among several.
+    /// The service for a request; `number` selects among several by their weights.
     #[must_use]
     pub fn service(&self, number: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -1,4 +1,4 @@
-//! What a request asks of an upstream.
+//! The requirements of a request for its upstream.
 
 use crate::gateway::decisions::admission::AdmissionCriteria;
 use crate::gateway::decisions::candidates::Candidates;
@@ -7,60 +7,60 @@
 use crate::gateway::decisions::stores::Placement;
 use crate::gateway::decisions::weights::NamedVersions;
 
-/// Time by which a request may begin after it was sent, whatever is expected: an engine short
-/// of memory began with one 1.1 s later, 83 ms after its weights should have been gone.
+/// Delay after sending within which a request is assumed to start, however short the wait is
+/// expected to be: an engine short of memory started one after 1.1 s, 83 ms after the deadline for
+/// replacing its weights.
 const START_DELAY_MS: u64 = 1500;
 
-/// Latency objectives by which it may begin: where they are long, queues are. On an engine pool
-/// with one of 1.2 s a request began 1.76 s after it was sent.
+/// The same as a multiple of the latency objective, since long objectives allow long queues: on
+/// engines with an objective of 1.2 s, a request started 1.76 s after it was sent.
 const START_DELAY_OBJECTIVES: u64 = 2;
 
-/// What a request asks of an upstream.
+/// The requirements of a request for its upstream, and the box that sends it.
 pub struct Demand<'a> {
-    /// Service.
     pub service: &'a str,
     /// Number of this box.
     pub box_number: u32,
     /// Data hall of this box.
     pub hall: &'a str,
-    /// Prompt, when there is one.
+    /// Prompt; `None` for services without model engines.
     pub prompt: Option<&'a Prompt>,
-    /// Account whose context is kept apart.
+    /// Account whose cached context is not shared with others.
     pub isolated_account: Option<&'a str>,
-    /// Weight versions named for the prompt's model.
+    /// Weight versions that operators have named for the prompt's model.
     pub weights: Option<&'a NamedVersions>,
-    /// Time in which a named version must be everywhere.
+    /// Time within which a named version must be loaded by all engines.
     pub weights_apply_ms: u64,
-    /// Whether overdue weights are out of the question, not only the last resort.
+    /// Whether engines with overdue weights are excluded, rather than chosen last.
     pub excludes_overdue: bool,
-    /// How the store that takes a part is chosen.
+    /// How the store for a part is selected.
     pub placement: Placement<'a>,
-    /// Which upstreams are looked at.
+    /// The upstreams that are compared.
     pub candidates: Candidates,
     /// Upstreams that were tried already.
     pub tried: &'a [Incarnation],
-    /// Most requests that this box may have at one upstream.
+    /// Maximum number of requests from this box to one upstream.
     pub max_requests_per_upstream: u32,
-    /// What decides whether an engine has room for it.
+    /// Decides whether an engine has capacity for the request.
     pub admission: AdmissionCriteria,
-    /// Until when the first token is wanted.
+    /// Time by which the latency objective requires the first token.
     pub objective_at_ms: Option<u64>,
 }
 
 impl Demand<'_> {
-    /// Since when an engine with `version` is behind.
+    /// Since when an engine with `version` has been behind the newest named one.
     #[must_use]
     pub fn behind_since_ms(&self, version: u64) -> Option<u64> {
         self.weights.and_then(|weights| weights.behind_since_ms(version))
     }
 
-    /// Whether a request sent now may begin when `version` must be gone. An engine that
-    /// tells of no version (0) is not known to be behind.
+    /// Whether a request sent now might start after the deadline for replacing `version`. Engines
+    /// that report no version (0) are never overdue.
     #[must_use]
     pub fn is_overdue(&self, now_ms: u64, version: u64) -> bool {
         let since_ms = self.behind_since_ms(version).filter(|_| version > 0);
-        let begins_by_ms =
+        let starts_by_ms =
             now_ms + START_DELAY_MS.max(self.admission.objective_ms * START_DELAY_OBJECTIVES);
-        since_ms.is_some_and(|since_ms| begins_by_ms >= since_ms + self.weights_apply_ms)
+        since_ms.is_some_and(|since_ms| starts_by_ms >= since_ms + self.weights_apply_ms)
     }
 }
