--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -209,7 +209,7 @@
         hall: format!("hall-{}", number % 6),
         region: format!("region-{}", number % 2),
         address: format!("10.0.{}.{}:7000", number / 250, number % 250),
-        beat: 0,
+        refutations: 0,
         health: Health::Alive,
         heir: None,
     };
--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -9,78 +9,84 @@
 use std::collections::HashMap;
 
 /// Time in which a message's own answer is waited for.
-const OWN_ANSWER_MS: u64 = 300;
+const ANSWER_WAIT_MS: u64 = 300;
 /// Time in which a heartbeat must be answered: that of a handover, which may be a
 /// long message before it.
-const BEAT_TIMEOUT_MS: u64 = 1500;
+const HEARTBEAT_TIMEOUT_MS: u64 = 1500;
 /// Time after an answer in which more messages need none. A heartbeat's own answer is
 /// a message too: it falls into this time, so that two boxes do not go on for ever.
 const CONFIRMED_FOR_MS: u64 = 1500;
 
 /// What to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum HeartbeatAction {
     /// Ask the peer for an answer.
-    Beat(String),
+    SendHeartbeat(String),
     /// Dial the peer anew, then ask it.
     Redial(String),
 }
 
 /// What is known of the way to a peer.
-enum Way {
+enum PeerState {
     /// The peer has answered.
     Confirmed { until_ms: u64 },
     /// A message is not answered yet.
-    Sent { beat_at_ms: u64 },
+    AwaitingAnswer { heartbeat_at_ms: u64 },
     /// Nor is a heartbeat.
-    Asked { deadline_ms: u64, redialled: bool },
+    HeartbeatSent { deadline_ms: u64, redialled: bool },
 }
 
 /// The ways to all peers that were sent something of late.
 #[derive(Default)]
 pub struct Heartbeats {
-    ways: HashMap<String, Way>,
+    peers: HashMap<String, PeerState>,
 }
 
 impl Heartbeats {
     /// Takes note of a message to the peer at `to`.
-    pub fn sent(&mut self, now_ms: u64, to: &str) {
-        match self.ways.get(to) {
-            Some(Way::Sent { .. } | Way::Asked { .. }) => {}
-            Some(Way::Confirmed { until_ms }) if now_ms < *until_ms => {}
-            Some(Way::Confirmed { .. }) | None => {
-                let way = Way::Sent { beat_at_ms: now_ms + OWN_ANSWER_MS };
-                self.ways.insert(to.to_owned(), way);
+    pub fn record_sent(&mut self, now_ms: u64, to: &str) {
+        match self.peers.get(to) {
+            Some(PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. }) => {}
+            Some(PeerState::Confirmed { until_ms }) if now_ms < *until_ms => {}
+            Some(PeerState::Confirmed { .. }) | None => {
+                let way = PeerState::AwaitingAnswer { heartbeat_at_ms: now_ms + ANSWER_WAIT_MS };
+                self.peers.insert(to.to_owned(), way);
             }
         }
     }
 
     /// Takes note of an answer of the peer at `from`.
-    pub fn answered(&mut self, now_ms: u64, from: &str) {
-        if let Some(way) = self.ways.get_mut(from) {
-            *way = Way::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
+    pub fn record_answer(&mut self, now_ms: u64, from: &str) {
+        if let Some(way) = self.peers.get_mut(from) {
+            *way = PeerState::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
         }
     }
 
     /// What is due. A peer that does not answer anew is left until the next message.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<Step> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<HeartbeatAction> {
         let mut steps = Vec::new();
-        self.ways.retain(|peer, way| match way {
-            Way::Confirmed { until_ms } => now_ms < *until_ms,
-            Way::Sent { beat_at_ms } if now_ms >= *beat_at_ms => {
-                steps.push(Step::Beat(peer.clone()));
-                *way = Way::Asked { deadline_ms: now_ms + BEAT_TIMEOUT_MS, redialled: false };
+        self.peers.retain(|peer, way| match way {
+            PeerState::Confirmed { until_ms } => now_ms < *until_ms,
+            PeerState::AwaitingAnswer { heartbeat_at_ms: beat_at_ms } if now_ms >= *beat_at_ms => {
+                steps.push(HeartbeatAction::SendHeartbeat(peer.clone()));
+                *way = PeerState::HeartbeatSent {
+                    deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
+                    redialled: false,
+                };
                 true
             }
-            Way::Asked { deadline_ms, redialled } if now_ms >= *deadline_ms => {
+            PeerState::HeartbeatSent { deadline_ms, redialled } if now_ms >= *deadline_ms => {
                 let again = !*redialled;
                 if again {
-                    steps.push(Step::Redial(peer.clone()));
-                    *way = Way::Asked { deadline_ms: now_ms + BEAT_TIMEOUT_MS, redialled: true };
+                    steps.push(HeartbeatAction::Redial(peer.clone()));
+                    *way = PeerState::HeartbeatSent {
+                        deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
+                        redialled: true,
+                    };
                 }
                 again
             }
-            Way::Sent { .. } | Way::Asked { .. } => true,
+            PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. } => true,
         });
         steps
     }
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -18,7 +18,7 @@
 use crate::consul::Consul;
 use crate::dispatch_state::Dispatchers;
 use crate::error::Result;
-use crate::heartbeat::{Heartbeats, Step};
+use crate::heartbeat::{HeartbeatAction, Heartbeats};
 use crate::link::{self, Link};
 use crate::member::{Gossip, Health, Member};
 use crate::membership::Membership;
@@ -145,7 +145,7 @@
             hall: settings.hall.clone(),
             region: settings.region.clone(),
             address: settings.advertise.clone(),
-            beat: 0,
+            refutations: 0,
             health: Health::Alive,
             heir: None,
         };
@@ -207,7 +207,7 @@
             return debug!(target: "kernel", "Stale message from {} dropped.", envelope.from);
         }
         if envelope.message.is_answer() {
-            locked(&self.heartbeats).answered(now_ms(), &envelope.reply_to);
+            locked(&self.heartbeats).record_answer(now_ms(), &envelope.reply_to);
         }
         if envelope.config_revision > self.configuration.revision() {
             let after_revision = self.configuration.revision();
@@ -223,8 +223,8 @@
         let steps = locked(&self.heartbeats).tick(now_ms());
         for step in steps {
             let peer = match step {
-                Step::Beat(peer) => peer,
-                Step::Redial(peer) => {
+                HeartbeatAction::SendHeartbeat(peer) => peer,
+                HeartbeatAction::Redial(peer) => {
                     info!(target: "kernel", "Peer {peer} is silent: dialled anew.");
                     self.link.redial(&peer);
                     peer
@@ -262,7 +262,7 @@
 
     /// Sends a message to a peer, or loses it.
     pub fn send(&self, to: &str, message: Message) {
-        locked(&self.heartbeats).sent(now_ms(), to);
+        locked(&self.heartbeats).record_sent(now_ms(), to);
         let envelope = self.envelope(to, message);
         match encode(&self.settings.cluster_key, &envelope) {
             Ok(bytes) => self.link.send(to, &bytes),
--- a/src/member.rs
+++ b/src/member.rs
@@ -29,7 +29,8 @@
     /// Where the box listens for its peers.
     pub address: String,
     /// Rises each time the box refutes a rumour about itself.
-    pub beat: u32,
+    #[serde(rename = "beat")]
+    pub refutations: u32,
     /// How it is.
     pub health: Health,
     /// Who keeps its ledger after a planned stop.
@@ -39,7 +40,7 @@
 impl Member {
     /// Order of what is said of one box: the greater is the newer.
     pub(crate) fn rank(&self) -> (u64, u32, Health, bool) {
-        (self.id.incarnation, self.beat, self.health, self.heir.is_some())
+        (self.id.incarnation, self.refutations, self.health, self.heir.is_some())
     }
 
     /// Hash of what is said of this box; a suspicion alone does not change it.
@@ -47,7 +48,7 @@
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.id.name.as_bytes());
         hasher.update(&self.id.incarnation.to_le_bytes());
-        hasher.update(&self.beat.to_le_bytes());
+        hasher.update(&self.refutations.to_le_bytes());
         hasher.update(&[u8::from(self.takes_work()), u8::from(self.heir.is_some())]);
         let mut bytes = [0; 8];
         hasher.finalize_xof().fill(&mut bytes);
--- a/src/view.rs
+++ b/src/view.rs
@@ -177,7 +177,7 @@
         if let Some(known) = known.filter(|known| known.id == member.id) {
             // Nor may one that takes it for dead know of the heir.
             if known.heir.is_none() && member.heir.is_some() {
-                member.beat = member.beat.max(known.beat);
+                member.refutations = member.refutations.max(known.refutations);
                 member.health = member.health.max(known.health);
             }
             member.heir = member.heir.or_else(|| known.heir.clone());
@@ -208,7 +208,7 @@
     fn refute(&mut self, rumour: &Member) {
         let mine = rumour.id.incarnation == self.me.id.incarnation;
         if mine && rumour.rank() > self.me.rank() {
-            self.me.beat = rumour.beat + 1;
+            self.me.refutations = rumour.refutations + 1;
         }
     }
 
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -143,7 +143,7 @@
         hall: "north".to_owned(),
         region: "home".to_owned(),
         address: leaver.address.clone(),
-        beat: 0,
+        refutations: 0,
         health: Health::Alive,
         heir: None,
     };
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -25,7 +25,7 @@
         hall: format!("h{}", number % halls),
         region: "home".to_owned(),
         address: number.to_string(),
-        beat: 0,
+        refutations: 0,
         health: Health::Alive,
         heir: None,
     }
