--- a/src/lease.rs
+++ b/src/lease.rs
@@ -14,18 +14,18 @@
 /// How often the lease is renewed, in milliseconds.
 pub const RENEW_PERIOD_MS: u64 = 3000;
 /// How often boxes that may take the lease look whether they can, in milliseconds.
-pub const LOOK_PERIOD_MS: u64 = 1000;
+pub const CHECK_PERIOD_MS: u64 = 1000;
 /// Boxes of a hall that may take the lease: the others may be dead for some time
 /// before that is noticed.
-pub const CANDIDATES: usize = 3;
+pub const LEASE_CANDIDATES: usize = 3;
 /// Time that must be left for an order to an upstream that checks its orderer.
-pub const CHECKED_MARGIN_MS: u64 = 1000;
+pub const FENCED_ORDER_MARGIN_MS: u64 = 1000;
 /// Time that must be left for an order to an upstream that does not.
-pub const UNCHECKED_MARGIN_MS: u64 = 4000;
+pub const UNFENCED_ORDER_MARGIN_MS: u64 = 4000;
 /// Weight loads at once.
 pub const MAX_LOADS: usize = 3;
 /// Time for which a load takes a place, in milliseconds: most take under a second.
-pub const LOAD_TIME_MS: u64 = 3000;
+pub const LOAD_SLOT_MS: u64 = 3000;
 
 /// A lease that this box believes it holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -41,15 +41,16 @@
 impl Lease {
     /// Whether an order may be sent now.
     #[must_use]
-    pub fn may_order(&self, now_ms: u64, upstream_checks: bool) -> bool {
-        let margin_ms = if upstream_checks { CHECKED_MARGIN_MS } else { UNCHECKED_MARGIN_MS };
+    pub fn allows_order(&self, now_ms: u64, upstream_checks: bool) -> bool {
+        let margin_ms =
+            if upstream_checks { FENCED_ORDER_MARGIN_MS } else { UNFENCED_ORDER_MARGIN_MS };
         now_ms + margin_ms < self.valid_until_ms
     }
 }
 
 /// The lease as the platform has it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct LeaseRecord {
     /// Session that holds it.
     pub session: String,
     /// Box that took it, if that can be read.
@@ -58,11 +59,11 @@
 
 /// Whose the lease is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseStatus {
     /// This box holds it.
-    Own,
+    HeldByThisBox,
     /// Another box holds it.
-    Others,
+    HeldByOtherBox,
     /// Nobody does.
     Free,
     /// It is held by this session for nobody: it may be released for it.
@@ -72,29 +73,29 @@
 /// Whose the lease is, to box `me` with the session `own`. A holder that `is_gone` may
 /// have left orders on their way.
 #[must_use]
-pub fn standing(
-    held: Option<Held>,
+pub fn lease_status(
+    held: Option<LeaseRecord>,
     me: &BoxRef,
     own: Option<&str>,
     is_gone: impl FnOnce(&BoxRef) -> bool,
-) -> Standing {
-    let Some(Held { session, holder }) = held else {
-        return Standing::Free;
+) -> LeaseStatus {
+    let Some(LeaseRecord { session, holder }) = held else {
+        return LeaseStatus::Free;
     };
     if own == Some(session.as_str()) {
-        return Standing::Own;
+        return LeaseStatus::HeldByThisBox;
     }
     // Taken by a call whose answer was lost, and whose session this box has given up.
     let lost = holder.as_ref() == Some(me);
     if lost || holder.as_ref().is_some_and(is_gone) {
-        return Standing::Orphaned(session);
+        return LeaseStatus::Orphaned(session);
     }
-    Standing::Others
+    LeaseStatus::HeldByOtherBox
 }
 
 /// An engine as the reconciliation sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Observed {
+pub struct ObservedEngine {
     /// Name.
     pub name: String,
     /// Model that it serves.
@@ -107,7 +108,7 @@
 
 /// A load of weights to order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Load {
+pub struct WeightLoad {
     /// Engine that loads.
     pub engine: String,
     /// Version that it replaces.
@@ -118,32 +119,32 @@
 
 /// Loads that this box has ordered, by engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Loads(BTreeMap<String, Ordered>);
+pub struct WeightLoads(BTreeMap<String, LoadOrder>);
 
 /// The newest order of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Ordered {
+struct LoadOrder {
     at_ms: u64,
-    under_way: bool,
+    in_progress: bool,
 }
 
-impl Loads {
+impl WeightLoads {
     /// Takes note that `engine` is ordered.
     pub fn begin(&mut self, now_ms: u64, engine: &str) {
-        self.0.insert(engine.to_owned(), Ordered { at_ms: now_ms, under_way: true });
+        self.0.insert(engine.to_owned(), LoadOrder { at_ms: now_ms, in_progress: true });
     }
 
     /// Takes note that the order of `engine` was answered, or given up.
     pub fn end(&mut self, engine: &str) {
         if let Some(ordered) = self.0.get_mut(engine) {
-            ordered.under_way = false;
+            ordered.in_progress = false;
         }
     }
 
     /// Whether the order of `engine` has no end yet.
     #[must_use]
-    pub fn is_under_way(&self, engine: &str) -> bool {
-        self.0.get(engine).is_some_and(|ordered| ordered.under_way)
+    pub fn is_in_progress(&self, engine: &str) -> bool {
+        self.0.get(engine).is_some_and(|ordered| ordered.in_progress)
     }
 
     /// The loads to order now. An engine that hangs takes a place for as long as loads
@@ -152,19 +153,19 @@
     pub fn plan(
         &self,
         now_ms: u64,
-        observed: &[Observed],
+        observed: &[ObservedEngine],
         wanted: impl Fn(&str) -> Option<String>,
-    ) -> Vec<Load> {
+    ) -> Vec<WeightLoad> {
         let ordered_at_ms = |engine: &str| self.0.get(engine).map_or(0, |ordered| ordered.at_ms);
         let mut ready: Vec<_> = observed.iter().filter(|engine| !engine.loading).collect();
         ready.sort_by_key(|engine| ordered_at_ms(&engine.name));
         let differing = ready.into_iter().filter_map(|engine| {
             let version = wanted(&engine.model).filter(|version| *version != engine.version)?;
             let (engine, expect_version) = (engine.name.clone(), engine.version.clone());
-            Some(Load { engine, expect_version, version })
+            Some(WeightLoad { engine, expect_version, version })
         });
         let loading =
-            |ordered: &&Ordered| ordered.under_way && now_ms < ordered.at_ms + LOAD_TIME_MS;
+            |ordered: &&LoadOrder| ordered.in_progress && now_ms < ordered.at_ms + LOAD_SLOT_MS;
         let places = MAX_LOADS.saturating_sub(self.0.values().filter(loading).count());
         differing.take(places).collect()
     }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -19,8 +19,8 @@
 use crate::invariant::{Invariant, check};
 use crate::kernel::{Kernel, Plugin};
 use crate::lease::{
-    CANDIDATES, Held, LEASE_TTL_S, LOOK_PERIOD_MS, Lease, Load, Loads, Observed, RENEW_PERIOD_MS,
-    Standing, standing,
+    CHECK_PERIOD_MS, LEASE_CANDIDATES, LEASE_TTL_S, Lease, LeaseRecord, LeaseStatus,
+    ObservedEngine, RENEW_PERIOD_MS, WeightLoad, WeightLoads, lease_status,
 };
 use crate::owner::ranked;
 use crate::settings::{EngineSettings, Upstream, UpstreamKind};
@@ -78,7 +78,7 @@
     let mut ticks = tokio::time::interval(RECONCILE_PERIOD);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut holder = Holder::default();
-    let loads = Arc::<Mutex<Loads>>::default();
+    let loads = Arc::<Mutex<WeightLoads>>::default();
     loop {
         ticks.tick().await;
         if !is_candidate(&kernel, &holder) {
@@ -104,7 +104,7 @@
     let membership = kernel.membership();
     let hall = membership.view().available_in_hall(&kernel.settings.hall);
     let names = hall.iter().map(|member| member.id.name.as_str());
-    let first = ranked("hall lease", names, CANDIDATES);
+    let first = ranked("hall lease", names, LEASE_CANDIDATES);
     holder.fence.is_some() || first.contains(&kernel.box_id.name.as_str())
 }
 
@@ -119,7 +119,7 @@
         return Ok(());
     }
     let holds = holder.fence.is_some();
-    holder.look_at_ms = now_ms + if holds { RENEW_PERIOD_MS } else { LOOK_PERIOD_MS };
+    holder.look_at_ms = now_ms + if holds { RENEW_PERIOD_MS } else { CHECK_PERIOD_MS };
     if let Some(session) = holder.session.as_ref().filter(|_| holds) {
         // A lost answer leaves the lease as it was.
         if !kernel.platform.renew_session(&session.id).await? {
@@ -128,19 +128,19 @@
     }
     let value = kernel.platform.read(&lease_key(kernel)).await?;
     match stands(kernel, holder, &value) {
-        Standing::Own => {
+        LeaseStatus::HeldByThisBox => {
             holder.fence = Some(value.fence);
             renewed(holder.session.as_mut().filter(|_| holds), now_ms);
             Ok(())
         }
-        Standing::Others => {
+        LeaseStatus::HeldByOtherBox => {
             if let Some(fence) = holder.fence.take() {
                 info!(target: "orders", "Lease with token {fence} lost to another box.");
             }
             Ok(())
         }
-        Standing::Free => take_lease(kernel, holder, now_ms).await,
-        Standing::Orphaned(session) => {
+        LeaseStatus::Free => take_lease(kernel, holder, now_ms).await,
+        LeaseStatus::Orphaned(session) => {
             kernel.platform.release(&lease_key(kernel), &session).await?;
             take_lease(kernel, holder, now_ms).await
         }
@@ -153,16 +153,16 @@
     }
 }
 
-fn stands(kernel: &Kernel, holder: &Holder, value: &KeyValueEntry) -> Standing {
+fn stands(kernel: &Kernel, holder: &Holder, value: &KeyValueEntry) -> LeaseStatus {
     let held = value.session.clone().map(|session| {
         let holder = serde_json::from_slice(&value.bytes).ok();
-        Held { session, holder }
+        LeaseRecord { session, holder }
     });
     let own = holder.session.as_ref().map(|session| session.id.as_str());
     // Only engines that check refuse a late order of the holder that has gone.
     let checked = engines(kernel).all(|(_, engine)| engine.checks_orders);
     let is_gone = |holder: &BoxRef| checked && kernel.membership().view().is_gone(holder);
-    standing(held, &kernel.box_id, own, is_gone)
+    lease_status(held, &kernel.box_id, own, is_gone)
 }
 
 /// Gives the lease back, so that the next holder need not wait for its end.
@@ -209,18 +209,19 @@
     })
 }
 
-async fn reconcile(kernel: &Arc<Kernel>, lease: &Lease, loads: &Arc<Mutex<Loads>>) {
+async fn reconcile(kernel: &Arc<Kernel>, lease: &Lease, loads: &Arc<Mutex<WeightLoads>>) {
     let config = kernel.configuration.current();
     if config.state.models.is_empty() {
         return;
     }
     // All at once: engines that do not answer would put the lease's renewal off, one
     // second each.
-    let idle = engines(kernel).filter(|(upstream, _)| !locked(loads).is_under_way(&upstream.name));
+    let idle =
+        engines(kernel).filter(|(upstream, _)| !locked(loads).is_in_progress(&upstream.name));
     let reports = idle.map(async |(upstream, engine)| {
         let report = kernel.upstreams.report(&upstream.url).await?;
         let (name, model) = (upstream.name.clone(), engine.model.clone());
-        Some(Observed { name, model, version: report.version, loading: report.loading })
+        Some(ObservedEngine { name, model, version: report.version, loading: report.loading })
     });
     let observed: Vec<_> = join_all(reports).await.into_iter().flatten().collect();
     let wanted = |model: &str| config.state.models.get(model).cloned();
@@ -235,7 +236,7 @@
     }
 }
 
-async fn give_order(kernel: &Kernel, lease: &Lease, load: &Load) {
+async fn give_order(kernel: &Kernel, lease: &Lease, load: &WeightLoad) {
     let found = engines(kernel).find(|(upstream, _)| upstream.name == load.engine);
     let Some((upstream, engine)) = found else {
         return;
@@ -243,7 +244,7 @@
     if !engine.checks_orders && !still_holds(kernel, lease).await {
         return warn!(target: "orders", "No order to {}: the lease has changed.", load.engine);
     }
-    if !lease.may_order(now_ms(), engine.checks_orders) {
+    if !lease.allows_order(now_ms(), engine.checks_orders) {
         return warn!(target: "orders", "No order to {}: the lease ends soon.", load.engine);
     }
     let in_force = now_ms() < lease.valid_until_ms;
--- a/tests/loads.rs
+++ b/tests/loads.rs
@@ -1,16 +1,16 @@
 //! Which engines are ordered to load weights, and when.
 
-use coursestile::lease::{LOAD_TIME_MS, Loads, MAX_LOADS, Observed};
+use coursestile::lease::{LOAD_SLOT_MS, MAX_LOADS, ObservedEngine, WeightLoads};
 
 const NAMES: [&str; 6] = ["e1", "e2", "e3", "e4", "e5", "e6"];
 
-fn observed(name: &str, version: &str, loading: bool) -> Observed {
+fn observed(name: &str, version: &str, loading: bool) -> ObservedEngine {
     let (name, version) = (name.to_owned(), version.to_owned());
-    Observed { name, model: "summary".to_owned(), version, loading }
+    ObservedEngine { name, model: "summary".to_owned(), version, loading }
 }
 
 /// Plans and begins the loads of `version` on engines that have v1.
-fn order(loads: &mut Loads, now_ms: u64, engines: &[Observed]) -> Vec<String> {
+fn order(loads: &mut WeightLoads, now_ms: u64, engines: &[ObservedEngine]) -> Vec<String> {
     let planned = loads.plan(now_ms, engines, |_| Some("v2".to_owned()));
     for load in &planned {
         assert_eq!((load.expect_version.as_str(), load.version.as_str()), ("v1", "v2"));
@@ -19,13 +19,13 @@
     planned.into_iter().map(|load| load.engine).collect()
 }
 
-fn all() -> Vec<Observed> {
+fn all() -> Vec<ObservedEngine> {
     NAMES.iter().map(|name| observed(name, "v1", false)).collect()
 }
 
 #[test]
 fn three_at_once() {
-    let mut loads = Loads::default();
+    let mut loads = WeightLoads::default();
     assert_eq!(order(&mut loads, 1000, &all()), NAMES[..MAX_LOADS]);
     assert!(order(&mut loads, 1001, &all()[MAX_LOADS..]).is_empty());
     loads.end("e2");
@@ -34,14 +34,14 @@
 
 #[test]
 fn hanging_passed() {
-    let mut loads = Loads::default();
+    let mut loads = WeightLoads::default();
     order(&mut loads, 1000, &all());
-    assert_eq!(order(&mut loads, 1000 + LOAD_TIME_MS, &all()[MAX_LOADS..]), NAMES[MAX_LOADS..]);
+    assert_eq!(order(&mut loads, 1000 + LOAD_SLOT_MS, &all()[MAX_LOADS..]), NAMES[MAX_LOADS..]);
 }
 
 #[test]
 fn refusing_last() {
-    let mut loads = Loads::default();
+    let mut loads = WeightLoads::default();
     let expected = [&NAMES[..MAX_LOADS], &NAMES[MAX_LOADS..], &NAMES[..MAX_LOADS]];
     for (now_ms, expected) in (1000..).step_by(1000).zip(expected) {
         let ordered = order(&mut loads, now_ms, &all());
@@ -57,5 +57,5 @@
     let mut engines = all();
     engines[0].loading = true;
     engines[1].version = "v2".to_owned();
-    assert_eq!(order(&mut Loads::default(), 1000, &engines), ["e3", "e4", "e5"]);
+    assert_eq!(order(&mut WeightLoads::default(), 1000, &engines), ["e3", "e4", "e5"]);
 }
