--- a/src/external.rs
+++ b/src/external.rs
@@ -1,7 +1,7 @@
-//! The process's edges: what outside systems are asked for.
+//! Interfaces of the external systems that a box calls.
 //!
-//! Each outside system is met at one adapter that implements one of these
-//! traits. No decision depends on an adapter.
+//! Each external system has one adapter, which implements one of these traits, so
+//! that the routing decisions do not depend on any adapter.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,30 +16,30 @@
 use crate::ledger::Outcome;
 use crate::wire::Call;
 
-/// A value in the platform's key-value service.
+/// A key's entry in the platform's key-value store.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KeyValueEntry {
-    /// Content; empty when the key does not exist.
+    /// Value; empty when the key does not exist.
     pub bytes: Vec<u8>,
     /// Index of the last write; 0 when the key does not exist.
     pub index: u64,
-    /// Fencing token of the newest lease on the key.
+    /// Fencing token of the latest lease on the key.
     pub fence: u64,
     /// Session that holds the lease on the key.
     pub session: Option<String>,
 }
 
-/// The platform's key-value service.
+/// The platform's key-value store.
 pub trait KeyValueStore: Send + Sync {
     /// Reads a key.
     fn read(&self, key: &str) -> impl Future<Output = Result<KeyValueEntry>> + Send;
 
-    /// Waits until the key is written after `index`, or for a second; returns its
-    /// index then. Index 0 is answered at once.
+    /// Waits until the key is written after `index`, or for a second; returns the
+    /// key's index at that time. Returns at once for index 0.
     fn watch(&self, key: &str, index: u64) -> impl Future<Output = Result<u64>> + Send;
 
-    /// Writes a key if its index is still `index`; false when it is not. An
-    /// error says nothing about the write.
+    /// Writes a key if its index is still `index`; returns false when it is not. After
+    /// an error the write may or may not have been applied.
     fn compare_and_swap(
         &self,
         key: &str,
@@ -50,14 +50,14 @@
     /// Deletes a key.
     fn delete(&self, key: &str) -> impl Future<Output = Result<()>> + Send;
 
-    /// Opens a session that ends unless it is renewed.
+    /// Opens a session that expires after `ttl_s` unless it is renewed.
     fn open_session(&self, ttl_s: u64) -> impl Future<Output = Result<String>> + Send;
 
-    /// Renews a session; false when it has ended.
+    /// Renews a session; returns false when it has expired.
     fn renew_session(&self, session: &str) -> impl Future<Output = Result<bool>> + Send;
 
-    /// Takes the lease on `key` for a session and writes `bytes` there; false when
-    /// another holds it.
+    /// Acquires the lease on `key` for a session and writes `bytes` to it; returns
+    /// false when another session holds the lease.
     fn acquire(
         &self,
         key: &str,
@@ -65,78 +65,79 @@
         bytes: &[u8],
     ) -> impl Future<Output = Result<bool>> + Send;
 
-    /// Gives the lease on `key` back; false when the session did not hold it.
+    /// Releases the lease on `key`; returns false when the session did not hold it.
     fn release(&self, key: &str, session: &str) -> impl Future<Output = Result<bool>> + Send;
 }
 
-/// What a model engine is asked to run.
+/// A completion request to a model engine.
 #[derive(Clone, Debug, Serialize)]
 pub struct GenerateRequest<'a> {
-    /// Names the run at the engine.
+    /// Id of the run at the engine.
     pub request_id: &'a str,
-    /// Model.
+    /// Model to run.
     pub model: &'a str,
-    /// Weight version that must run.
+    /// Weight version that must run; an engine that checks it refuses the request when it
+    /// has another one.
     pub weight_version: &'a str,
-    /// Prompt.
+    /// Prompt text.
     pub prompt: &'a str,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Order of work, lower first.
+    /// Scheduling priority; lower values run first.
     pub priority: i8,
-    /// Keeps the account's context apart.
+    /// Salt of the engine's prefix cache, so that accounts do not share entries.
     pub cache_salt: &'a str,
-    /// Always streamed.
+    /// Whether the response is streamed; always true.
     pub stream: bool,
 }
 
-/// A piece as an engine sends it.
+/// A piece of an answer as an engine sends it.
 #[derive(Clone, Debug)]
 pub struct EnginePiece {
     /// Run that it belongs to.
     pub request_id: String,
-    /// Weight version that ran.
+    /// Weight version that the engine ran.
     pub version: String,
-    /// Prompt tokens that were cached.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached_tokens: u32,
-    /// The piece.
+    /// Text and position of the piece.
     pub piece: Piece,
 }
 
-/// Why an engine did not go on.
+/// Why an engine did not start or finish a run.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum EngineError {
-    /// not run: it runs another weight version
+    /// not run: the engine has another weight version
     OtherVersion,
-    /// it does not check, and ran another weight version
+    /// the engine does not check the weight version, and ran another one
     RanOtherVersion,
-    /// not run: it leaves or does not know the model
+    /// not run: the engine is leaving or does not know the model
     Refused,
-    /// not run: it could not be reached
+    /// not run: the engine could not be reached
     Unreachable,
-    /// it broke off: {0}
+    /// the engine's response broke off: {0}
     Broken(String),
 }
 
-/// Pieces of a run as they come.
+/// Stream of the pieces of a run.
 pub type PieceStream =
     Pin<Box<dyn Stream<Item = std::result::Result<EnginePiece, EngineError>> + Send>>;
 
-/// An engine's own report.
+/// Status that an engine reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Weight version for new requests.
+    /// Weight version that it uses for new requests.
     pub version: String,
-    /// It takes no new work.
+    /// Whether it is leaving and takes no new work.
     pub leaving: bool,
-    /// It loads weights and takes no work until that is done.
+    /// Whether it is loading weights; it takes no work until they are loaded.
     pub loading: bool,
 }
 
-/// An order to an engine.
+/// An order to an engine to load a weight version.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadOrder<'a> {
-    /// Fencing token of the lease under which it is given.
+    /// Fencing token of the lease under which the order is given.
     pub fence: u64,
     /// Version that the order replaces.
     pub expect_version: &'a str,
@@ -144,10 +145,10 @@
     pub version: &'a str,
 }
 
-/// The model engines.
+/// Calls to model engines.
 pub trait ModelEngines: Send + Sync {
-    /// Starts a run. `attempt` goes into its pieces, `first_seq` is added to
-    /// their places.
+    /// Starts a run. Its pieces carry `attempt`, and `first_seq` is added to their
+    /// positions.
     fn generate(
         &self,
         url: &str,
@@ -156,7 +157,7 @@
         first_seq: u64,
     ) -> impl Future<Output = std::result::Result<PieceStream, EngineError>> + Send;
 
-    /// Goes on reading a run from place `from` of that run.
+    /// Continues to read a run from its piece `from` on.
     fn resume(
         &self,
         url: &str,
@@ -169,13 +170,13 @@
     /// Cancels a run.
     fn cancel(&self, url: &str, request_id: &str) -> impl Future<Output = ()> + Send;
 
-    /// Asks for the engine's report.
+    /// Fetches the engine's status report.
     fn report(&self, url: &str) -> impl Future<Output = Option<EngineReport>> + Send;
 
-    /// Has a run's context written to a store.
+    /// Tells the engine to write a run's context to a store.
     fn export(&self, export: &Export) -> impl Future<Output = ExportResult> + Send;
 
-    /// Has a block staged from a store; returns what arrived.
+    /// Tells the engine to stage a block from a store.
     fn stage(
         &self,
         url: &str,
@@ -185,17 +186,17 @@
         salt: &str,
     ) -> impl Future<Output = StageResult> + Send;
 
-    /// Uses the first `tokens` of a staged block; 0 discards it.
+    /// Puts the first `tokens` of a staged block into use; 0 discards it.
     fn commit(&self, url: &str, block: &BlockId, tokens: u32) -> impl Future<Output = bool> + Send;
 
-    /// Gives an order; true when it was carried out.
+    /// Gives an order; returns true when the engine has carried it out.
     fn order(&self, url: &str, order: &LoadOrder<'_>) -> impl Future<Output = bool> + Send;
 }
 
-/// What came of staging a block.
+/// Result of staging a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StageResult {
-    /// The engine has a block, whose content is thus.
+    /// The engine has staged the block, whose content has this seal.
     Staged(Seal),
     /// The store has no such block.
     NotFound,
@@ -203,9 +204,9 @@
     Failed,
 }
 
-/// The context store boxes.
+/// Calls to context stores.
 pub trait ContextStores: Send + Sync {
-    /// Pins a block until a deadline; returns its seal, when it has one.
+    /// Pins a block until a deadline; returns its seal, if the block has one.
     fn pin(
         &self,
         url: &str,
@@ -213,19 +214,19 @@
         until_ms: u64,
     ) -> impl Future<Output = Option<Seal>> + Send;
 
-    /// Deletes a block; true when the store does not hold it any more.
+    /// Deletes a block; returns true when the store does not hold it any more.
     fn delete(&self, url: &str, block: &BlockId) -> impl Future<Output = bool> + Send;
 
     /// Lists the sealed blocks.
     fn list(&self, url: &str) -> impl Future<Output = Option<Vec<StoredBlock>>> + Send;
 }
 
-/// What a worker of a plain service made of a call.
+/// Reply of a plain service's worker to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WorkerReply {
-    /// Whether the call can have run, and the answer.
+    /// Whether the call may have run, and the answer if there is one.
     pub outcome: Outcome,
-    /// Time for which the worker, which turned the call away, wants no other.
+    /// Time for which the worker asked not to be called again, when it refused the call.
     pub retry_after_ms: Option<u64>,
 }
 
@@ -235,7 +236,7 @@
     }
 }
 
-/// The plain services.
+/// Calls to plain services.
 pub trait PlainServices: Send + Sync {
     /// Makes a call.
     fn call(&self, url: &str, call: &Call) -> impl Future<Output = WorkerReply> + Send;
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -1,8 +1,8 @@
-//! The kernel: state shared on one box, and the plug-ins that act on it.
+//! The daemon's kernel: the state shared on one box, and the plug-ins that work on it.
 //!
-//! A plug-in registers itself with [`inventory`]. The kernel starts each of
-//! them, hands the messages of peers to the plug-in of their topic, and knows
-//! where the box is in its life: serving, draining, stopped (`stopping`).
+//! Plug-ins register themselves with [`inventory`]. The kernel starts them, dispatches
+//! messages from peers to the plug-in for their topic, and holds the phase of the box:
+//! serving, leaving, draining or stopped (see `stopping`).
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -32,28 +32,28 @@
 use crate::upstream::HttpUpstreams;
 use crate::wire::{Envelope, Message, decode, encode};
 
-/// Age from which on a message is dropped.
+/// Age at which a message is dropped.
 const MAX_MESSAGE_AGE_MS: u64 = 10_000;
 
-/// What a message is about.
+/// Topic of a message, which selects the plug-in that handles it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// Membership.
     Gossip,
     /// Configuration.
     Config,
-    /// Asks and reports, at the dispatcher.
+    /// Slot requests and slot reports, handled by the dispatcher.
     Dispatch,
-    /// Verdicts, at the entry box.
+    /// Responses to slot requests, handled by the entry box.
     Placing,
     /// Calls that run at most once.
     Calls,
-    /// Requests under which upstreams crash.
+    /// Requests that crash upstreams.
     Crashes,
 }
 
 impl Message {
-    /// What this message is about.
+    /// Topic of this message.
     #[must_use]
     pub fn topic(&self) -> Topic {
         match self {
@@ -75,7 +75,7 @@
 }
 
 impl Message {
-    /// Whether this answers a message, which must have arrived then.
+    /// Whether this answers an earlier message, and so proves that messages reach the peer.
     #[must_use]
     pub fn is_answer(&self) -> bool {
         matches!(
@@ -89,44 +89,44 @@
     }
 }
 
-/// A part of the daemon that registers itself.
+/// A component of the daemon that registers itself with [`inventory`].
 pub struct Plugin {
-    /// Name, and prefix of its log lines.
+    /// Name, which is also the target of its log lines.
     pub name: &'static str,
     /// Starts its tasks.
     pub start: fn(&Arc<Kernel>),
-    /// Takes the messages of a topic.
-    pub receive: Option<(Topic, Receive)>,
+    /// Topic that it handles, with the handler.
+    pub receive: Option<(Topic, MessageHandler)>,
 }
 
-/// Takes a message of a peer.
-pub type Receive = fn(&Arc<Kernel>, Envelope);
+/// Handles a message from a peer.
+pub type MessageHandler = fn(&Arc<Kernel>, Envelope);
 
 inventory::collect!(Plugin);
 
-/// State shared by the plug-ins of one box.
+/// State shared by the plug-ins of a box.
 pub struct Kernel {
     /// Settings of the box.
     pub settings: Settings,
-    /// The box and its incarnation.
+    /// Name and incarnation of this box.
     pub box_id: BoxRef,
-    /// The platform's key-value service.
+    /// Client of the platform's key-value store.
     pub platform: Consul,
-    /// All upstreams.
+    /// Client of the upstreams.
     pub upstreams: HttpUpstreams,
-    /// Spans of this box.
+    /// Trace spans recorded by this box.
     pub traces: Traces,
-    /// Configuration in force.
+    /// Configuration in force on this box.
     pub configuration: Configuration,
-    /// Asks made from this box.
+    /// Slot requests sent by this box, and the slots that it holds.
     pub placements: Placements,
-    /// Dispatchers that act on this box.
+    /// Dispatchers that run on this box.
     pub dispatchers: Dispatchers,
     /// Calls that run at most once.
     pub calls: Calls,
-    /// Answers under way.
+    /// Answers in progress.
     pub streams: AnswerStreams,
-    /// Requests under which upstreams crash.
+    /// Requests that crash upstreams.
     pub quarantine: Mutex<Quarantine>,
     link: Link,
     heartbeats: Mutex<Heartbeats>,
@@ -136,7 +136,7 @@
 }
 
 impl Kernel {
-    /// Prepares a box.
+    /// Creates the state of a box; nothing runs before [`Kernel::run`].
     #[must_use]
     pub fn new(settings: Settings) -> Arc<Self> {
         let box_id = BoxRef { name: settings.name.clone(), incarnation: now_ms() };
@@ -170,41 +170,41 @@
         })
     }
 
-    /// Serves until the box was told to stop and everything has ended.
+    /// Starts the plug-ins and handles messages until the box has stopped.
     ///
     /// # Errors
-    /// Fails when the address for peers cannot be bound.
+    /// Fails when the peer address cannot be bound.
     pub async fn run(self: &Arc<Self>) -> Result<()> {
         let mut received = link::listen(&self.settings.peers.to_string())?;
-        let mut receivers = BTreeMap::new();
+        let mut handlers = BTreeMap::new();
         for plugin in inventory::iter::<Plugin> {
-            debug!(target: "kernel", "Starting {}.", plugin.name);
+            debug!(target: "kernel", "Starting plug-in {}.", plugin.name);
             (plugin.start)(self);
-            receivers.extend(plugin.receive);
+            handlers.extend(plugin.receive);
         }
-        info!(target: "kernel", "Box {} of hall {} serves.", self.box_id, self.settings.hall);
+        info!(target: "kernel", "Box {} in hall {} is serving.", self.box_id, self.settings.hall);
         let mut phase = self.phase.subscribe();
         loop {
             tokio::select! {
-                Some(bytes) = received.recv() => self.receive(&receivers, &bytes),
+                Some(bytes) = received.recv() => self.receive(&handlers, &bytes),
                 _ = phase.wait_for(|phase| *phase == BoxPhase::Stopped) => return Ok(()),
             }
         }
     }
 
-    fn receive(self: &Arc<Self>, receivers: &BTreeMap<Topic, Receive>, bytes: &[u8]) {
+    fn receive(self: &Arc<Self>, handlers: &BTreeMap<Topic, MessageHandler>, bytes: &[u8]) {
         metrics::counter!("coursestile_peer_received_bytes_total").increment(bytes.len() as u64);
         let envelope = match decode(&self.settings.cluster_key, bytes) {
             Ok(envelope) => envelope,
             Err(error) => {
                 metrics::counter!("coursestile_peer_rejected_messages_total").increment(1);
-                return warn!(target: "kernel", "Message dropped: {error}.");
+                return warn!(target: "kernel", "Message from a peer dropped: {error}.");
             }
         };
         let for_this_box = envelope.to == self.settings.advertise;
         let recent = envelope.sent_at_ms + MAX_MESSAGE_AGE_MS > now_ms();
         if !for_this_box || !recent {
-            return debug!(target: "kernel", "Stale message from {} dropped.", envelope.from);
+            return debug!(target: "kernel", "Stale or misaddressed message from {} dropped.", envelope.from);
         }
         if envelope.message.is_answer() {
             locked(&self.heartbeats).record_answer(now_ms(), &envelope.reply_to);
@@ -213,39 +213,40 @@
             let after_revision = self.configuration.revision();
             self.send(&envelope.reply_to, Message::PullConfig { after_revision });
         }
-        if let Some(receive) = receivers.get(&envelope.message.topic()) {
-            receive(self, envelope);
+        if let Some(handle) = handlers.get(&envelope.message.topic()) {
+            handle(self, envelope);
         }
     }
 
-    /// Asks peers that have not answered, and dials anew those that are silent.
+    /// Sends heartbeats to peers that have not answered lately, and reconnects to those
+    /// that do not answer heartbeats.
     pub fn send_heartbeats(&self) {
         let steps = locked(&self.heartbeats).tick(now_ms());
         for step in steps {
             let peer = match step {
                 HeartbeatAction::SendHeartbeat(peer) => peer,
                 HeartbeatAction::Redial(peer) => {
-                    info!(target: "kernel", "Peer {peer} is silent: dialled anew.");
+                    info!(target: "kernel", "Peer {peer} is silent: reconnecting.");
                     self.link.redial(&peer);
                     peer
                 }
             };
-            let beat = self.membership().heartbeat();
-            self.send(&peer, Message::Gossip(beat));
+            let heartbeat = self.membership().heartbeat();
+            self.send(&peer, Message::Gossip(heartbeat));
         }
     }
 
-    /// Hands a message to this box's own plug-in when it is for this box, and
-    /// else sends it.
+    /// Delivers a message to this box's own plug-in when `to` is this box; otherwise
+    /// sends it.
     pub fn deliver(self: &Arc<Self>, to: &str, message: Message) {
         if to != self.settings.advertise {
             return self.send(to, message);
         }
         let topic = message.topic();
         let plugins = inventory::iter::<Plugin>.into_iter();
-        let mut receivers = plugins.filter_map(|plugin| plugin.receive);
-        if let Some((_, receive)) = receivers.find(|(of, _)| *of == topic) {
-            receive(self, self.envelope(to, message));
+        let mut handlers = plugins.filter_map(|plugin| plugin.receive);
+        if let Some((_, handle)) = handlers.find(|(handled, _)| *handled == topic) {
+            handle(self, self.envelope(to, message));
         }
     }
 
@@ -260,33 +261,33 @@
         }
     }
 
-    /// Sends a message to a peer, or loses it.
+    /// Sends a message to a peer. A message that cannot be sent at once is lost.
     pub fn send(&self, to: &str, message: Message) {
         locked(&self.heartbeats).record_sent(now_ms(), to);
         let envelope = self.envelope(to, message);
         match encode(&self.settings.cluster_key, &envelope) {
             Ok(bytes) => self.link.send(to, &bytes),
-            Err(error) => warn!(target: "kernel", "Message not sent: {error}."),
+            Err(error) => warn!(target: "kernel", "Message to peer {to} not sent: {error}."),
         }
     }
 
-    /// The view of all boxes.
+    /// This box's view of all boxes.
     pub fn membership(&self) -> MutexGuard<'_, Membership> {
         locked(&self.membership)
     }
 
-    /// A number that this incarnation never gives again.
+    /// A number that is unique within this incarnation of the box.
     pub fn unique_number(&self) -> u64 {
         self.next_unique_number.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Where the box is in its life.
+    /// Current phase of the box.
     #[must_use]
     pub fn phase(&self) -> BoxPhase {
         *self.phase.borrow()
     }
 
-    /// Takes the box on in its life.
+    /// Moves the box to a later phase.
     pub(crate) fn enter_phase(&self, phase: BoxPhase) {
         self.phase.send_replace(phase);
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! Serves many client accounts that share one fleet of model servers, and
-//! whose prompts come back after long gaps.
+//! Request routing for many client accounts that share one fleet of model servers and
+//! send follow-up prompts after long pauses.
 
 pub mod account;
 pub mod ask;
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -1,7 +1,6 @@
-//! Upstreams over HTTP: model engines, context stores and plain services.
+//! HTTP clients of the upstreams: model engines, context stores and plain services.
 //!
-//! Engines speak the usual completions protocol, streamed as server-sent
-//! events.
+//! Engines implement the OpenAI-style completions API, streamed as server-sent events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,29 +26,30 @@
 use crate::port::is_closed;
 use crate::wire::Call;
 
-/// Time for a short call.
+/// Timeout of calls that do not transfer context or load weights.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for a transfer of context, or a load of weights.
+/// Timeout of calls that transfer context, list a store's blocks or load weights.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time without a piece after which a stream counts as broken.
+/// Time without a piece after which a stream is considered broken.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Time in which a stream ends after its end mark.
+/// Time allowed between the end mark of a stream and the end of the response.
 const END_TIMEOUT: Duration = Duration::from_millis(100);
-/// Longest rest of a worker that is heeded.
+/// Upper limit on a worker's Retry-After; longer times are cut to it.
 const MAX_RETRY_AFTER_MS: u64 = 600_000;
-/// Last event of a stream.
+/// Data of the last event of a stream.
 const END_MARK: &str = "[DONE]";
 
-/// Type of an engine's refusal of another weight version.
+/// Error type with which an engine refuses a request for another weight version.
 const VERSION_MISMATCH: &str = "version_mismatch";
 
-/// A client of all upstreams.
+/// Client of all upstreams.
 pub struct HttpUpstreams {
-    /// Engines and stores.
+    /// Connections to engines and stores, by URL.
     pools: ConnectionPools,
-    /// Workers of plain services. A kept connection saves a call some tenths of a
-    /// millisecond; one that has gone silent costs a call that may not be repeated.
+    /// Connections to workers of plain services, which are not reused: reuse saves some
+    /// tenths of a millisecond per call, but a call on a connection that has gone silent
+    /// is lost and may not be repeated.
     service_workers: Arc<ConnectionPool>,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Whether nobody listens at the address of `url`.
+/// Whether the address of `url` refuses connections, as no process listens there.
 pub async fn refuses_connections(url: &str) -> bool {
     let Ok(url) = reqwest::Url::parse(url) else { return false };
     match (url.host_str(), url.port_or_known_default()) {
@@ -100,11 +100,11 @@
     EngineError::Broken(error.to_string())
 }
 
-/// Reads a chunk of a stream.
+/// Decodes a chunk of a stream.
 fn read_chunk(data: &str, attempt: u32, first_seq: u64) -> Result<EnginePiece, EngineError> {
     let chunk: Chunk = serde_json::from_str(data).map_err(broken_stream)?;
     let choice =
-        chunk.choices.into_iter().next().ok_or_else(|| broken_stream("a piece without text"))?;
+        chunk.choices.into_iter().next().ok_or_else(|| broken_stream("chunk without choices"))?;
     let details = chunk.usage.and_then(|usage| usage.prompt_tokens_details);
     let seq = first_seq + chunk.seq;
     let piece = Piece { attempt, seq, text: choice.text, finish: choice.finish_reason };
@@ -116,7 +116,7 @@
     })
 }
 
-/// Reads a stream up to its end mark, its first fault or a silence.
+/// Reads a stream up to its end mark, its first error, or a time-out without pieces.
 fn read_stream(
     response: Response,
     client: PooledClient,
@@ -124,52 +124,53 @@
     first_seq: u64,
 ) -> PieceStream {
     let events = Box::pin(response.bytes_stream().eventsource());
-    Box::pin(stream::unfold(Some((events, client)), move |open| async move {
-        let (mut events, client) = open?;
+    Box::pin(stream::unfold(Some((events, client)), move |state| async move {
+        let (mut events, client) = state?;
         match tokio::time::timeout(PIECE_TIMEOUT, events.next()).await {
             Err(_) => {
                 client.report_silent();
-                Some((Err(broken_stream("no piece in time")), None))
+                Some((Err(broken_stream("no piece within the time-out")), None))
             }
             Ok(None) => None,
             Ok(Some(Err(error))) => Some((Err(broken_stream(error)), None)),
             Ok(Some(Ok(event))) if event.data == END_MARK => {
-                // Read to the very end, so that the connection can be used again.
+                // A connection is reused only after its response was read to the end.
                 let _ = tokio::time::timeout(END_TIMEOUT, events.next()).await;
                 None
             }
             Ok(Some(Ok(event))) => {
                 let piece = read_chunk(&event.data, attempt, first_seq);
-                let rest = piece.is_ok().then_some((events, client));
-                Some((piece, rest))
+                let next_state = piece.is_ok().then_some((events, client));
+                Some((piece, next_state))
             }
         }
     }))
 }
 
 #[derive(Deserialize)]
-struct Rejection {
-    error: RejectionDetails,
+struct ErrorBody {
+    error: ErrorDetails,
 }
 
 #[derive(Deserialize)]
-struct RejectionDetails {
+struct ErrorDetails {
     #[serde(rename = "type")]
     kind: String,
     not_run: bool,
 }
 
-/// Passes an accepted run on. Only an engine that says so has not run it.
+/// Returns the response of an accepted run. A refused request counts as not run only if
+/// the engine says so.
 async fn check_accepted(response: Response) -> Result<Response, EngineError> {
     let status = response.status();
     if status == StatusCode::OK {
         return Ok(response);
     }
-    match response.json::<Rejection>().await {
-        Ok(Rejection { error }) if error.not_run && error.kind == VERSION_MISMATCH => {
+    match response.json::<ErrorBody>().await {
+        Ok(ErrorBody { error }) if error.not_run && error.kind == VERSION_MISMATCH => {
             Err(EngineError::OtherVersion)
         }
-        Ok(Rejection { error }) if error.not_run => Err(EngineError::Refused),
+        Ok(ErrorBody { error }) if error.not_run => Err(EngineError::Refused),
         Ok(_) | Err(_) => Err(broken_stream(status)),
     }
 }
@@ -178,17 +179,17 @@
     if error.is_connect() { EngineError::Unreachable } else { broken_stream(error) }
 }
 
-/// Waits for the begin of a run's answer.
+/// Sends a request for a run and waits for the response head.
 async fn await_response(
     client: &PooledClient,
     call: RequestBuilder,
     timeout: Duration,
 ) -> Result<Response, EngineError> {
-    let Ok(answer) = tokio::time::timeout(timeout, call.send()).await else {
+    let Ok(response) = tokio::time::timeout(timeout, call.send()).await else {
         client.report_silent();
-        return Err(broken_stream("no answer in time"));
+        return Err(broken_stream("no response within the time-out"));
     };
-    check_accepted(answer.map_err(|error| send_error(&error))?).await
+    check_accepted(response.map_err(|error| send_error(&error))?).await
 }
 
 impl ModelEngines for HttpUpstreams {
@@ -222,7 +223,7 @@
     async fn cancel(&self, url: &str, request_id: &str) {
         let client = self.pools.client(url);
         let url = format!("{url}/v1/completions/{request_id}");
-        // An engine that cannot be reached has nothing left to cancel.
+        // An error is ignored: an engine that cannot be reached has no run to cancel.
         let _ = client.send(client.http.delete(url).timeout(CALL_TIMEOUT)).await;
     }
 
@@ -371,20 +372,20 @@
                     retry_after_ms,
                 }
             }
-            // Without a connection, no byte of the call has left.
+            // Without a connection, no byte of the call was sent.
             Ok(Err(error)) if error.is_connect() => Outcome::NotRun.into(),
             Ok(Err(_)) | Err(_) => Outcome::Unknown.into(),
         }
     }
 }
 
-/// How long a worker that turns a call away wants no other; in whole seconds on the wire.
+/// Time in the Retry-After header of a 503 response; the header has whole seconds.
 fn retry_after_ms(response: &Response) -> Option<u64> {
     let header = response.headers().get(RETRY_AFTER);
     let header = header.filter(|_| response.status() == StatusCode::SERVICE_UNAVAILABLE)?;
     let seconds: Option<u64> = header.to_str().ok().and_then(|text| text.trim().parse().ok());
     if seconds.is_none() {
-        debug!(target: "upstream", "Time to come back not read: {header:?}.");
+        debug!(target: "upstream", "Retry-After header ignored: {header:?} is not a number of seconds.");
     }
     Some(seconds?.saturating_mul(1000).min(MAX_RETRY_AFTER_MS))
 }
