--- a/src/consul.rs
+++ b/src/consul.rs
@@ -1,9 +1,9 @@
-//! The platform's key-value service over Consul's HTTP interface.
+//! Client of the platform's key-value store, which has Consul's HTTP API.
 //!
-//! A watch is a blocking query for the names of keys: its answer has the index and
-//! some fifty bytes, where the value of the head may have twenty thousand. It is
-//! answered once a second at the latest, so that one which is not shows within two
-//! seconds that its connection has gone silent.
+//! A watch is a blocking query for key names: its response has the index and about
+//! fifty bytes, whereas the value of the configuration's head key may have twenty
+//! thousand. The service answers it within a second, so that a connection that has gone
+//! silent is detected within two seconds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,16 +18,17 @@
 use crate::external::{KeyValueEntry, KeyValueStore};
 use crate::pool::ConnectionPool;
 
-/// Time after which a call counts as lost.
+/// Timeout of all calls but watches.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time that a watch waits at the service.
+/// Maximum time for which the service holds a watch open.
 const WATCH_WAIT_S: u64 = 1;
-/// Time by which its answer may be late; the service adds up to a sixteenth to the wait.
+/// Time allowed for a watch's response in addition to the wait. The service adds up to a
+/// sixteenth to the wait.
 const WATCH_SLACK: Duration = Duration::from_millis(750);
-/// Header with the index of what was asked for.
+/// Response header with the index of the queried key.
 const INDEX_HEADER: &str = "x-consul-index";
 
-/// A client of the service.
+/// Client of the key-value store.
 pub struct Consul {
     url: String,
     pool: Arc<ConnectionPool>,
@@ -41,7 +42,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Found {
+struct KeyRecord {
     value: Option<String>,
     modify_index: u64,
     lock_index: u64,
@@ -74,13 +75,13 @@
 }
 
 impl Consul {
-    /// A client of the service at `url`.
+    /// A client of the key-value store at `url`.
     #[must_use]
     pub fn new(url: &str) -> Self {
         Self { url: url.to_owned(), pool: Arc::default() }
     }
 
-    /// Makes a call; one that is not answered in time ends all kept connections.
+    /// Makes a call. After a time-out, all pooled connections are closed.
     async fn send(
         &self,
         method: Method,
@@ -116,18 +117,18 @@
         if reply.status == StatusCode::NOT_FOUND {
             return Ok(KeyValueEntry::default());
         }
-        let found: Vec<Found> = reply.json()?;
-        let found = found.into_iter().next().ok_or_else(|| failed("an empty list"))?;
-        let bytes = STANDARD.decode(found.value.unwrap_or_default()).map_err(failed)?;
-        let (index, fence) = (found.modify_index, found.lock_index);
-        Ok(KeyValueEntry { bytes, index, fence, session: found.session })
+        let records: Vec<KeyRecord> = reply.json()?;
+        let record = records.into_iter().next().ok_or_else(|| failed("no entry in response"))?;
+        let bytes = STANDARD.decode(record.value.unwrap_or_default()).map_err(failed)?;
+        let (index, fence) = (record.modify_index, record.lock_index);
+        Ok(KeyValueEntry { bytes, index, fence, session: record.session })
     }
 
     async fn watch(&self, key: &str, index: u64) -> Result<u64> {
         let path = format!("kv/{key}?keys&index={index}&wait={WATCH_WAIT_S}s");
         let timeout = Duration::from_secs(WATCH_WAIT_S) + WATCH_SLACK;
         let reply = self.send(Method::GET, &path, Vec::new(), timeout).await?;
-        reply.index.ok_or_else(|| failed("a watch's answer without an index"))
+        reply.index.ok_or_else(|| failed("response to a watch without X-Consul-Index header"))
     }
 
     async fn compare_and_swap(&self, key: &str, index: u64, bytes: &[u8]) -> Result<bool> {
