--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use coursestile::configlog::Head;
-use coursestile::configuration::{BASE_KEY, HEAD_KEY};
+use coursestile::configuration::{BASE_KEY_PREFIX, HEAD_KEY};
 use coursestile::consul::Consul;
 use coursestile::external::KeyValueStore;
 use coursestile_standins::fleet::{Fleet, Plan};
@@ -56,7 +56,7 @@
     let state = full_state();
     let platform = Consul::new(&fleet.platform.url());
     let base = serde_json::to_vec(&state).expect("a state can be written");
-    let key = format!("{BASE_KEY}{}", state.revision);
+    let key = format!("{BASE_KEY_PREFIX}{}", state.revision);
     platform.compare_and_swap(&key, 0, &base).await.expect("the platform answers");
     let head = Head { base_revision: state.revision, entries: Vec::new() };
     let head = serde_json::to_vec(&head).expect("a head can be written");
--- a/src/bin/coursestile/change.rs
+++ b/src/bin/coursestile/change.rs
@@ -7,14 +7,14 @@
 use coursestile::configlog::{Change, Proposal, State};
 use coursestile::consul::Consul;
 use coursestile::error::{Error, Result};
-use coursestile::operator::{propose, read};
+use coursestile::operator::{read_config, submit_proposal};
 
 use crate::args::{Args, number, usage};
 
 /// Makes the change that `words` ask for.
 pub async fn make(args: &Args, words: &[&str]) -> Result<()> {
     let platform = Consul::new(args.platform()?);
-    let (_, state) = read(&platform).await?;
+    let (_, state) = read_config(&platform).await?;
     let change = change(args, &state, words)?;
     let object = change.object();
     let proposal = Proposal {
@@ -24,7 +24,7 @@
         expects_revision: state.object_revision(&object),
         change,
     };
-    let revision = propose(&platform, &proposal).await?;
+    let revision = submit_proposal(&platform, &proposal).await?;
     if args.json {
         println!("{}", serde_json::json!({ "revision": revision, "id": proposal.id }));
     } else {
--- a/src/bin/coursestile/show.rs
+++ b/src/bin/coursestile/show.rs
@@ -6,7 +6,7 @@
 use coursestile::configlog::{Entry, State};
 use coursestile::consul::Consul;
 use coursestile::error::{Error, Result};
-use coursestile::operator::read;
+use coursestile::operator::read_config;
 use coursestile::trace::Span;
 use serde::Serialize;
 use serde_json::Value;
@@ -18,7 +18,7 @@
 
 async fn state(args: &Args) -> Result<State> {
     let platform = Consul::new(args.platform()?);
-    Ok(read(&platform).await?.1)
+    Ok(read_config(&platform).await?.1)
 }
 
 fn print_json(value: &impl Serialize) {
@@ -75,7 +75,7 @@
 /// Shows the changes after a revision.
 pub async fn history(args: &Args, after_revision: u64) -> Result<()> {
     let platform = Consul::new(args.platform()?);
-    let (head, _) = read(&platform).await?;
+    let (head, _) = read_config(&platform).await?;
     let entries = head.entries.iter().filter(|entry| entry.revision > after_revision);
     let entries: Vec<&Entry> = entries.collect();
     if args.json {
--- a/src/bin/coursestile/story.rs
+++ b/src/bin/coursestile/story.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use coursestile::error::{Error, Result};
-use coursestile::explain::{Line, story};
+use coursestile::explain::{LogLine, request_timeline};
 
 /// Prints the story of a request; fails when no line names it.
 pub fn tell(request: &str, logs: &[&str]) -> Result<ExitCode> {
@@ -20,20 +20,20 @@
         let text = text.map_err(|error| Error::Usage(format!("{log}: {error}")))?;
         add(&mut lines, log, &text);
     }
-    let story = story(&lines, request);
-    if story.is_empty() {
+    let timeline = request_timeline(&lines, request);
+    if timeline.is_empty() {
         println!("no line names request {request}");
         return Ok(ExitCode::FAILURE);
     }
-    for line in story {
+    for line in timeline {
         println!("{}", line.text);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn add(lines: &mut Vec<Line>, log: &str, text: &str) {
+fn add(lines: &mut Vec<LogLine>, log: &str, text: &str) {
     for one in text.lines() {
         let number = lines.len();
-        lines.extend(Line::read(number, log, one));
+        lines.extend(LogLine::parse(number, log, one));
     }
 }
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -21,7 +21,7 @@
 /// Key of the head.
 pub const HEAD_KEY: &str = "coursestile/config/head";
 /// Prefix of the keys of bases.
-pub const BASE_KEY: &str = "coursestile/config/base/";
+pub const BASE_KEY_PREFIX: &str = "coursestile/config/base/";
 /// Boxes of a hall that watch the platform.
 const WATCHERS_PER_HALL: usize = 2;
 /// Longest time between the looks of a box that does not watch, in milliseconds:
@@ -56,7 +56,7 @@
 pub async fn read_state(platform: &impl KeyValueStore, head: &Head) -> Result<State> {
     let mut state = State::default();
     if head.base_revision > 0 {
-        let key = format!("{BASE_KEY}{}", head.base_revision);
+        let key = format!("{BASE_KEY_PREFIX}{}", head.base_revision);
         state = read_json(&key, &platform.read(&key).await?.bytes)?;
     }
     for entry in &head.entries {
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -22,7 +22,7 @@
 
 /// A line of a log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct LogLine {
     /// Place of the line among all that were read.
     pub number: usize,
     /// Time within the day, in ms; lines without one are left out.
@@ -33,10 +33,10 @@
     pub text: String,
 }
 
-impl Line {
+impl LogLine {
     /// Reads a line; `None` when it has no time.
     #[must_use]
-    pub fn read(number: usize, log: &str, text: &str) -> Option<Self> {
+    pub fn parse(number: usize, log: &str, text: &str) -> Option<Self> {
         let stamp =
             text.split_whitespace().find(|word| word.ends_with('Z') && word.contains('T'))?;
         let time_ms = time_ms(stamp)?;
@@ -71,8 +71,8 @@
 
 /// The lines that tell what became of a request, in order of time.
 #[must_use]
-pub fn story<'a>(lines: &'a [Line], request: &str) -> Vec<&'a Line> {
-    let own: Vec<&Line> =
+pub fn request_timeline<'a>(lines: &'a [LogLine], request: &str) -> Vec<&'a LogLine> {
+    let own: Vec<&LogLine> =
         lines.iter().filter(|line| line.field("request") == Some(request)).collect();
     let (Some(from_ms), Some(to_ms)) =
         (own.iter().map(|line| line.time_ms).min(), own.iter().map(|line| line.time_ms).max())
@@ -96,8 +96,8 @@
         let of_same = line.field("fingerprint").is_some_and(|one| fingerprints.contains(one));
         of_same && line.field("request").is_none() && line.time_ms <= to_ms
     });
-    let mut story: Vec<&Line> = own.iter().copied().chain(beside).chain(earlier).collect();
-    story.sort_by_key(|line| (line.time_ms, line.number));
-    story.dedup_by_key(|line| line.number);
-    story
+    let mut timeline: Vec<&LogLine> = own.iter().copied().chain(beside).chain(earlier).collect();
+    timeline.sort_by_key(|line| (line.time_ms, line.number));
+    timeline.dedup_by_key(|line| line.number);
+    timeline
 }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::configlog::{Head, MAX_HEAD_ENTRIES, Proposal, State};
-use crate::configuration::{BASE_KEY, HEAD_KEY, read_head, read_state};
+use crate::configuration::{BASE_KEY_PREFIX, HEAD_KEY, read_head, read_state};
 use crate::error::{Error, Result};
 use crate::external::KeyValueStore;
 
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// Fails when the platform does not answer or its value cannot be read.
-pub async fn read(platform: &impl KeyValueStore) -> Result<(Head, State)> {
+pub async fn read_config(platform: &impl KeyValueStore) -> Result<(Head, State)> {
     patiently(async || {
         let head = read_head(&platform.read(HEAD_KEY).await?.bytes)?;
         let state = read_state(platform, &head).await?;
@@ -54,7 +54,7 @@
 /// # Errors
 /// Fails when the object was changed meanwhile, when the change is refused,
 /// or when the platform does not answer for long.
-pub async fn propose(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<u64> {
+pub async fn submit_proposal(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<u64> {
     patiently(async || try_once(platform, proposal).await).await
 }
 
@@ -78,7 +78,7 @@
     }
     if head.base_revision > old_base_revision && old_base_revision > 0 {
         // A base that stays behind costs room and nothing else.
-        let _ = platform.delete(&format!("{BASE_KEY}{old_base_revision}")).await;
+        let _ = platform.delete(&format!("{BASE_KEY_PREFIX}{old_base_revision}")).await;
     }
     Ok(Some(revision))
 }
@@ -89,7 +89,7 @@
     let mut older = head;
     let entries = older.entries.split_off(split);
     let base = read_state(platform, &older).await?;
-    let key = format!("{BASE_KEY}{}", base.revision);
+    let key = format!("{BASE_KEY_PREFIX}{}", base.revision);
     // False means that the same base was written before.
     platform.compare_and_swap(&key, 0, &to_json(&base)?).await?;
     Ok(Head { base_revision: base.revision, entries })
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -11,7 +11,7 @@
 use coursestile::consul::Consul;
 use coursestile::error::Error;
 use coursestile::object::Object;
-use coursestile::operator::{propose, read};
+use coursestile::operator::{read_config, submit_proposal};
 use coursestile_standins::fleet::{Fleet, HallPlan, Plan};
 use serde_json::json;
 
@@ -41,10 +41,11 @@
 async fn operators_race() {
     let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
     let platform = Consul::new(&fleet.platform.url());
-    let (_, state) = read(&platform).await.unwrap();
+    let (_, state) = read_config(&platform).await.unwrap();
     let seen = state.object_revision(&Object::Model("summary".to_owned()));
     let (one, other) = (set_version("one", seen, "v2"), set_version("other", seen, "v3"));
-    let (one, other) = tokio::join!(propose(&platform, &one), propose(&platform, &other));
+    let (one, other) =
+        tokio::join!(submit_proposal(&platform, &one), submit_proposal(&platform, &other));
     let won = [&one, &other].iter().filter(|result| result.is_ok()).count();
     assert_eq!(won, 1, "{one:?} {other:?}");
     let lost = one.err().or(other.err()).unwrap();
@@ -105,14 +106,14 @@
     let fleet = fleet(&Plan::one_hall(2, 1, 0)).await;
     let platform = Consul::new(&fleet.platform.url());
     for number in 0..90 {
-        let (_, state) = read(&platform).await.unwrap();
+        let (_, state) = read_config(&platform).await.unwrap();
         let seen = state.object_revision(&Object::Model("summary".to_owned()));
         let version = if number == 89 { "v1" } else { "v2" };
-        propose(&platform, &set_version(&number.to_string(), seen, version)).await.unwrap();
+        submit_proposal(&platform, &set_version(&number.to_string(), seen, version)).await.unwrap();
         // The service takes a hundred writes a second.
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let (head, state) = read(&platform).await.unwrap();
+    let (head, state) = read_config(&platform).await.unwrap();
     assert!(head.base_revision > 0 && head.entries.len() <= 64);
     assert_eq!((state.revision, state.accounts.len()), (94, 2));
     let boxes: Vec<_> = fleet.boxes.iter().collect();
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use common::scene;
-use coursestile::explain::{Line, story};
+use coursestile::explain::{LogLine, request_timeline};
 use coursestile_standins::fleet::programs;
 use coursestile_standins::site::eventually;
 use coursestile_standins::site::server::Act;
@@ -46,25 +46,26 @@
 fn fields_read() {
     let text = "2026-12-02T14:10:01.250Z INFO  serve: event=refused request=r-1 \
                 reason=\"no route\" status=404";
-    let line = Line::read(0, "a", text).unwrap();
+    let line = LogLine::parse(0, "a", text).unwrap();
     assert_eq!(line.field("reason"), Some("no route"));
     assert_eq!(line.field("status"), Some("404"));
     assert_eq!(line.field("upstream"), None);
-    assert_eq!(Line::read(0, "a", "no time at all"), None);
-    let other = Line::read(1, "a", &text.replace("r-1", "r-2")).unwrap();
-    assert_eq!(story(&[other, line.clone()], "r-1"), [&line]);
+    assert_eq!(LogLine::parse(0, "a", "no time at all"), None);
+    let other = LogLine::parse(1, "a", &text.replace("r-1", "r-2")).unwrap();
+    assert_eq!(request_timeline(&[other, line.clone()], "r-1"), [&line]);
 }
 
 /// Why a request is held back stands in no line of its own.
 #[test]
 fn quarantine_told() {
     let read = |number, text: &str| {
-        Line::read(number, "a", &format!("2026-12-02T14:1{number}:00.000Z INFO {text}")).unwrap()
+        LogLine::parse(number, "a", &format!("2026-12-02T14:1{number}:00.000Z INFO {text}"))
+            .unwrap()
     };
     let lines = [
         read(0, "quarantine: event=request_quarantined fingerprint=00000000000000aa"),
         read(1, "quarantine: event=request_quarantined fingerprint=00000000000000bb"),
         read(2, "serve: event=refused request=r-1 fingerprint=00000000000000aa status=503"),
     ];
-    assert_eq!(story(&lines, "r-1"), [&lines[0], &lines[2]]);
+    assert_eq!(request_timeline(&lines, "r-1"), [&lines[0], &lines[2]]);
 }
