--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -1,9 +1,10 @@
-//! How the configuration comes to this box.
+//! Keeps the configuration of this box up to date.
 //!
-//! A few boxes of each hall watch the head key in the platform's service;
-//! the others hear of a change from them at once, and look themselves now and
-//! then. A box adopts only higher revisions, and one that starts while the
-//! platform is out learns the configuration from its peers.
+//! The platform's key-value store holds the configuration as a head with the latest
+//! changes, on top of a base state. A few boxes of each hall watch the head key. They
+//! push each change to other boxes, which also poll the key at a lower rate. A box
+//! only adopts higher revisions. If the platform is down when a box starts, the box
+//! gets the configuration from its peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,46 +19,46 @@
 use crate::owner::ranked;
 use crate::wire::{Envelope, Message};
 
-/// Key of the head.
+/// Key of the head: the latest changes and the revision of their base state.
 pub const HEAD_KEY: &str = "coursestile/config/head";
-/// Prefix of the keys of bases.
+/// Prefix of the keys of base states; the revision follows it.
 pub const BASE_KEY_PREFIX: &str = "coursestile/config/base/";
-/// Boxes of a hall that watch the platform.
+/// Number of boxes per hall that watch the head key.
 const WATCHERS_PER_HALL: usize = 2;
-/// Longest time between the looks of a box that does not watch, in milliseconds:
-/// less than that in which a change is promised to be in force.
-const LOOK_PERIOD_MS: u64 = 12_000;
-/// How often such a box looks whether it is to watch.
-const LOOK_POLL: Duration = Duration::from_millis(500);
-/// Boxes that hear of a change from one that has adopted it.
+/// Longest time between polls of a box that does not watch the head key, in milliseconds.
+/// Shorter than the time within which a change is guaranteed to be in force.
+const MAX_POLL_PERIOD_MS: u64 = 12_000;
+/// How often a box that does not watch checks whether it should, or whether a poll is due.
+const ROLE_CHECK_PERIOD: Duration = Duration::from_millis(500);
+/// Number of peers to which a box forwards a change that it has adopted.
 const FANOUT: usize = 4;
-/// Wait after the platform did not answer.
-const RETRY_WAIT: Duration = Duration::from_millis(250);
+/// Delay after a failed request to the platform.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 inventory::submit! {
     Plugin { name: "config", start, receive: Some((Topic::Config, receive)) }
 }
 
-/// Reads the head.
+/// Parses the value of [`HEAD_KEY`]; a missing key is an empty head.
 ///
 /// # Errors
-/// Fails when the platform does not answer or its value cannot be read.
-pub fn read_head(bytes: &[u8]) -> Result<Head> {
+/// Fails if the value is not a valid head.
+pub fn parse_head(bytes: &[u8]) -> Result<Head> {
     if bytes.is_empty() {
         return Ok(Head::default());
     }
-    read_json(HEAD_KEY, bytes)
+    parse_json(HEAD_KEY, bytes)
 }
 
-/// Reads the state that a head stands for.
+/// Reads the base state of a head and applies the head's changes to it.
 ///
 /// # Errors
-/// Fails when the platform does not answer or its value cannot be read.
+/// Fails if the platform does not answer or the base state cannot be parsed.
 pub async fn read_state(platform: &impl KeyValueStore, head: &Head) -> Result<State> {
     let mut state = State::default();
     if head.base_revision > 0 {
         let key = format!("{BASE_KEY_PREFIX}{}", head.base_revision);
-        state = read_json(&key, &platform.read(&key).await?.bytes)?;
+        state = parse_json(&key, &platform.read(&key).await?.bytes)?;
     }
     for entry in &head.entries {
         state.apply(entry);
@@ -65,49 +66,50 @@
     Ok(state)
 }
 
-fn read_json<T: serde::de::DeserializeOwned>(key: &str, bytes: &[u8]) -> Result<T> {
+fn parse_json<T: serde::de::DeserializeOwned>(key: &str, bytes: &[u8]) -> Result<T> {
     serde_json::from_slice(bytes)
         .map_err(|error| Error::PlatformValue(key.to_owned(), error.to_string()))
 }
 
 fn start(kernel: &Arc<Kernel>) {
-    tokio::spawn(follow_platform(kernel.clone()));
+    tokio::spawn(follow_head(kernel.clone()));
 }
 
-async fn follow_platform(kernel: Arc<Kernel>) {
-    let mut seen = 0;
-    let mut next_look_at_ms = 0;
+async fn follow_head(kernel: Arc<Kernel>) {
+    let mut seen_index = 0;
+    let mut next_poll_at_ms = 0;
     loop {
         let watcher = is_watcher(&kernel);
-        if !watcher && now_ms() < next_look_at_ms {
-            tokio::time::sleep(LOOK_POLL).await;
+        if !watcher && now_ms() < next_poll_at_ms {
+            tokio::time::sleep(ROLE_CHECK_PERIOD).await;
             continue;
         }
-        match look(&kernel, seen, watcher).await {
+        match check_head(&kernel, seen_index, watcher).await {
             Ok(index) => {
-                seen = index;
-                next_look_at_ms = now_ms() + fastrand::u64(LOOK_PERIOD_MS / 2..LOOK_PERIOD_MS);
+                seen_index = index;
+                next_poll_at_ms =
+                    now_ms() + fastrand::u64(MAX_POLL_PERIOD_MS / 2..MAX_POLL_PERIOD_MS);
             }
             Err(error) => {
                 warn!(target: "config", "Head not followed: {error}.");
-                seen = 0;
-                next_look_at_ms = now_ms() + fastrand::u64(500..2000);
-                tokio::time::sleep(RETRY_WAIT).await;
+                seen_index = 0;
+                next_poll_at_ms = now_ms() + fastrand::u64(500..2000);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Adopts the head if its index is not `seen`; one who watches waits for that.
-/// Returns its index.
-async fn look(kernel: &Arc<Kernel>, seen: u64, watch: bool) -> Result<u64> {
-    let index = kernel.platform.watch(HEAD_KEY, if watch { seen } else { 0 }).await?;
+/// Adopts the head if its index differs from `seen_index`, and returns the index.
+/// With `watch`, it first waits for a change, for a time that the platform limits.
+async fn check_head(kernel: &Arc<Kernel>, seen_index: u64, watch: bool) -> Result<u64> {
+    let index = kernel.platform.watch(HEAD_KEY, if watch { seen_index } else { 0 }).await?;
     kernel.configuration.record_platform_answer();
-    if index != seen {
+    if index != seen_index {
         let head = kernel.platform.read(HEAD_KEY).await?;
         adopt_head(kernel, &head.bytes).await?;
     }
-    // The service never answers 0, and answers one who asks with 0 at once.
+    // The platform never answers with index 0, and answers a watch from index 0 at once.
     Ok(index.max(1))
 }
 
@@ -119,27 +121,27 @@
 }
 
 async fn adopt_head(kernel: &Arc<Kernel>, bytes: &[u8]) -> Result<()> {
-    let head = read_head(bytes)?;
-    let before = kernel.configuration.revision();
-    if head.revision() < before {
-        warn!(target: "config", "Platform shows old revision {}; kept {before}.", head.revision());
+    let head = parse_head(bytes)?;
+    let old_revision = kernel.configuration.revision();
+    if head.revision() < old_revision {
+        warn!(target: "config", "Platform shows old revision {}; kept {old_revision}.", head.revision());
         return Ok(());
     }
-    let adopted = if before >= head.base_revision {
+    let adopted = if old_revision >= head.base_revision {
         kernel.configuration.adopt(|log| log.adopt_entries(&head.entries))
     } else {
         let state = read_state(&kernel.platform, &head).await?;
         kernel.configuration.adopt(|log| log.adopt_state(state))
     };
     if adopted == Adopted::Newer {
-        tell_peers(kernel, before);
+        notify_peers(kernel, old_revision);
     }
     Ok(())
 }
 
-/// Tells some boxes, mostly of the own hall, of what was adopted.
-fn tell_peers(kernel: &Kernel, before: u64) {
-    let message = match kernel.configuration.entries_after(before) {
+/// Sends the changes after `old_revision` to some peers, most of them in the own hall.
+fn notify_peers(kernel: &Kernel, old_revision: u64) {
+    let message = match kernel.configuration.entries_after(old_revision) {
         Some(entries) => Message::ConfigEntries(entries),
         None => Message::ConfigState(Box::new(kernel.configuration.state())),
     };
@@ -148,10 +150,11 @@
         let membership = kernel.membership();
         let own = &kernel.settings.hall;
         let others = membership.view().members().skip(1).filter(|member| member.takes_work());
-        let (mut near, mut far): (Vec<_>, Vec<_>) = others.partition(|one| one.hall == *own);
-        fastrand::shuffle(&mut near);
-        fastrand::shuffle(&mut far);
-        let chosen = near.into_iter().take(FANOUT - 1).chain(far.into_iter().take(1));
+        let (mut same_hall, mut other_halls): (Vec<_>, Vec<_>) =
+            others.partition(|member| member.hall == *own);
+        fastrand::shuffle(&mut same_hall);
+        fastrand::shuffle(&mut other_halls);
+        let chosen = same_hall.into_iter().take(FANOUT - 1).chain(other_halls.into_iter().take(1));
         addresses.extend(chosen.map(|member| member.address.clone()));
     }
     for address in addresses {
@@ -160,7 +163,7 @@
 }
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
-    let before = kernel.configuration.revision();
+    let old_revision = kernel.configuration.revision();
     let adopted = match envelope.message {
         Message::PullConfig { after_revision } => {
             return answer_pull(kernel, &envelope.reply_to, after_revision);
@@ -172,9 +175,9 @@
         _ => return,
     };
     match adopted {
-        Adopted::Newer => tell_peers(kernel, before),
+        Adopted::Newer => notify_peers(kernel, old_revision),
         Adopted::Gap => {
-            kernel.send(&envelope.reply_to, Message::PullConfig { after_revision: before });
+            kernel.send(&envelope.reply_to, Message::PullConfig { after_revision: old_revision });
         }
         Adopted::Known => {}
     }
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -24,46 +24,52 @@
 use crate::wire::{Envelope, Message};
 
 /// How often the dispatchers look what is due.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// How often engines are asked for their report while they load weights.
 const FAST_REPORT_PERIOD: Duration = Duration::from_millis(200);
 /// Every so many of those periods all engines are asked, and stores are tidied.
-const SLOW_REPORT_EVERY: u64 = 5;
+const SLOW_REPORT_TICKS: u64 = 5;
 
 inventory::submit! {
     Plugin { name: "dispatch", start, receive: Some((Topic::Dispatch, receive)) }
 }
 
 /// Runs `act` on the dispatcher of `model`, which is made if need be.
-fn with<T>(kernel: &Arc<Kernel>, model: &str, act: impl FnOnce(&mut ActiveDispatcher) -> T) -> T {
+fn with_dispatcher<T>(
+    kernel: &Arc<Kernel>,
+    model: &str,
+    act: impl FnOnce(&mut ActiveDispatcher) -> T,
+) -> T {
     kernel.dispatchers.with_dispatcher(model, || start_dispatcher(kernel, model), act)
 }
 
 /// Takes an ask that came from `reply_to`.
-fn ask(kernel: &Arc<Kernel>, reply_to: &str, ask: SlotRequest) {
-    let (model, id) = (ask.scope.model.clone(), ask.id.clone());
+fn request_slot(kernel: &Arc<Kernel>, reply_to: &str, slot_request: SlotRequest) {
+    let (model, id) = (slot_request.scope.model.clone(), slot_request.id.clone());
     let config = kernel.configuration.current();
-    let actions = with(kernel, &model, |active| {
+    let actions = with_dispatcher(kernel, &model, |active| {
         let now_ms = now_ms();
         active.last_request_at_ms = now_ms;
         active.apply_config(&model, &config);
         let reply_to = reply_to.to_owned();
-        let requester = Requester { reply_to, trace: ask.trace, requested_at_us: now_us() };
+        let requester =
+            Requester { reply_to, trace: slot_request.trace, requested_at_us: now_us() };
         active.requesters.entry(id).or_insert(requester);
-        active.dispatcher.request_slot(now_ms, ask)
+        active.dispatcher.request_slot(now_ms, slot_request)
     });
-    carry_out(kernel, &model, actions);
+    execute_actions(kernel, &model, actions);
 }
 
 /// Takes a report on a place.
-fn report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
-    let actions = with(kernel, model, |active| active.dispatcher.report(now_ms(), report));
-    carry_out(kernel, model, actions);
+fn handle_report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
+    let actions =
+        with_dispatcher(kernel, model, |active| active.dispatcher.report(now_ms(), report));
+    execute_actions(kernel, model, actions);
 }
 
 /// Takes an ask back.
 fn withdraw(kernel: &Arc<Kernel>, model: &str, id: &SlotRequestId) {
-    with(kernel, model, |active| {
+    with_dispatcher(kernel, model, |active| {
         active.dispatcher.withdraw(id);
         active.requesters.remove(id);
     });
@@ -71,33 +77,35 @@
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     match envelope.message {
-        Message::SlotRequest(one) => ask(kernel, &envelope.reply_to, *one),
+        Message::SlotRequest(slot_request) => {
+            request_slot(kernel, &envelope.reply_to, *slot_request)
+        }
         Message::WithdrawSlotRequest { model, id } => withdraw(kernel, &model, &id),
-        Message::SlotReport { model, report: one } => report(kernel, &model, &one),
+        Message::SlotReport { model, report } => handle_report(kernel, &model, &report),
         _ => {}
     }
 }
 
-fn carry_out(kernel: &Arc<Kernel>, model: &str, actions: Vec<Action>) {
+fn execute_actions(kernel: &Arc<Kernel>, model: &str, actions: Vec<Action>) {
     for action in actions {
         match action {
-            Action::Respond { to, response } => answer(kernel, model, to, response),
+            Action::Respond { to, response } => respond(kernel, model, to, response),
             Action::Export(export) => {
-                tokio::spawn(write_out(kernel.clone(), model.to_owned(), export));
+                tokio::spawn(export_context(kernel.clone(), model.to_owned(), export));
             }
         }
     }
 }
 
-fn answer(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, response: SlotResponse) {
-    let last = response != SlotResponse::Queued;
-    let found = with(kernel, model, |active| {
-        if last { active.requesters.remove(&id) } else { active.requesters.get(&id).cloned() }
+fn respond(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, response: SlotResponse) {
+    let is_final = response != SlotResponse::Queued;
+    let found = with_dispatcher(kernel, model, |active| {
+        if is_final { active.requesters.remove(&id) } else { active.requesters.get(&id).cloned() }
     });
     let Some(Requester { reply_to, trace, requested_at_us }) = found else {
         return;
     };
-    if last {
+    if is_final {
         kernel.span(trace, Hop::Owner, requested_at_us, describe(&response));
     }
     kernel.deliver(&reply_to, Message::SlotResponse { model: model.to_owned(), id, response });
@@ -112,68 +120,71 @@
     }
 }
 
-async fn write_out(kernel: Arc<Kernel>, model: String, export: Export) {
-    let written = kernel.upstreams.export(&export).await;
-    let outcome = match written {
+async fn export_context(kernel: Arc<Kernel>, model: String, export: Export) {
+    let result = kernel.upstreams.export(&export).await;
+    let outcome = match result {
         ExportResult::Sealed(..) => "sealed",
         ExportResult::ContextGone => "gone",
         ExportResult::Failed => "failed",
     };
     metrics::counter!("coursestile_exports_total", "outcome" => outcome).increment(1);
-    with(&kernel, &model, |active| {
-        active.dispatcher.context.record_export(now_ms(), &export, written);
+    with_dispatcher(&kernel, &model, |active| {
+        active.dispatcher.context.record_export(now_ms(), &export, result);
     });
 }
 
-async fn delete(kernel: Arc<Kernel>, model: String, delete: BlockDeletion) {
+async fn delete_block(kernel: Arc<Kernel>, model: String, delete: BlockDeletion) {
     if kernel.upstreams.delete(&delete.store_url, &delete.block).await {
-        with(&kernel, &model, |active| {
+        with_dispatcher(&kernel, &model, |active| {
             active.dispatcher.context.record_deletion(&delete.block);
         });
     }
 }
 
 fn start(kernel: &Arc<Kernel>) {
-    tokio::spawn(tick_forever(kernel.clone()));
-    tokio::spawn(look_after(kernel.clone()));
+    tokio::spawn(run_dispatchers(kernel.clone()));
+    tokio::spawn(poll_engines_and_stores(kernel.clone()));
 }
 
-async fn tick_forever(kernel: Arc<Kernel>) {
-    let mut ticks = tokio::time::interval(TICK);
+async fn run_dispatchers(kernel: Arc<Kernel>) {
+    let mut ticks = tokio::time::interval(TICK_PERIOD);
     loop {
         ticks.tick().await;
         for model in kernel.dispatchers.models() {
-            let actions = with(&kernel, &model, |active| active.dispatcher.tick(now_ms()));
-            carry_out(&kernel, &model, actions);
+            let actions =
+                with_dispatcher(&kernel, &model, |active| active.dispatcher.tick(now_ms()));
+            execute_actions(&kernel, &model, actions);
         }
     }
 }
 
 /// Asks engines for reports and tidies stores, for models that are acted for.
-async fn look_after(kernel: Arc<Kernel>) {
+async fn poll_engines_and_stores(kernel: Arc<Kernel>) {
     let mut ticks = tokio::time::interval(FAST_REPORT_PERIOD);
     for tick in 0_u64.. {
         ticks.tick().await;
-        let slow = tick.is_multiple_of(SLOW_REPORT_EVERY);
+        let slow = tick.is_multiple_of(SLOW_REPORT_TICKS);
         for model in kernel.dispatchers.models() {
-            let awaits = with(&kernel, &model, |active| active.dispatcher.fleet.awaits_load());
-            if slow || awaits {
-                ask_engines(&kernel, &model);
+            let awaits_load =
+                with_dispatcher(&kernel, &model, |active| active.dispatcher.fleet.awaits_load());
+            if slow || awaits_load {
+                poll_engines(&kernel, &model);
             }
             if !slow {
                 continue;
             }
-            let deletes = with(&kernel, &model, |active| active.dispatcher.context.tick(now_ms()));
-            for one in deletes {
-                tokio::spawn(delete(kernel.clone(), model.clone(), one));
+            let deletes =
+                with_dispatcher(&kernel, &model, |active| active.dispatcher.context.tick(now_ms()));
+            for delete in deletes {
+                tokio::spawn(delete_block(kernel.clone(), model.clone(), delete));
             }
         }
     }
 }
 
-fn ask_engines(kernel: &Arc<Kernel>, model: &str) {
+fn poll_engines(kernel: &Arc<Kernel>, model: &str) {
     let config = kernel.configuration.current();
-    let engines = with(kernel, model, |active| {
+    let engines = with_dispatcher(kernel, model, |active| {
         active.apply_config(model, &config);
         let engines = active.dispatcher.fleet.engines.iter();
         engines.map(|engine| (engine.name.clone(), engine.url.clone())).collect::<Vec<_>>()
@@ -182,7 +193,7 @@
         let (kernel, model) = (kernel.clone(), model.to_owned());
         tokio::spawn(async move {
             let report = kernel.upstreams.report(&url).await;
-            with(&kernel, &model, |active| {
+            with_dispatcher(&kernel, &model, |active| {
                 active.dispatcher.engine_report(now_ms(), &name, report.as_ref());
             });
         });
@@ -246,17 +257,18 @@
     let Some(listed) = kernel.upstreams.list(&url).await else {
         return warn!(target: "dispatch", "Store {store} does not list its blocks.");
     };
-    let own = listed.into_iter().filter(|block| block.meta.scope.model == model);
-    let own: Vec<_> = own.filter(|block| is_home(&kernel, block.meta.prefix.root)).collect();
-    info!(target: "dispatch", "Took over {} blocks of store {store}.", own.len());
-    with(&kernel, &model, |active| {
-        for block in own {
+    let adoptable = listed.into_iter().filter(|block| block.meta.scope.model == model);
+    let adoptable: Vec<_> =
+        adoptable.filter(|block| is_home_hall(&kernel, block.meta.prefix.root)).collect();
+    info!(target: "dispatch", "Took over {} blocks of store {store}.", adoptable.len());
+    with_dispatcher(&kernel, &model, |active| {
+        for block in adoptable {
             active.dispatcher.context.adopt_block(now_ms(), &store, block);
         }
     });
 }
 
-fn is_home(kernel: &Kernel, root: u64) -> bool {
+fn is_home_hall(kernel: &Kernel, root: u64) -> bool {
     let halls = halls_in_region(kernel);
     let home = owner(&root.to_string(), halls.iter().map(String::as_str));
     home.is_none_or(|home| home == kernel.settings.hall)
@@ -265,8 +277,9 @@
 /// Halls of this box's region that have boxes.
 fn halls_in_region(kernel: &Kernel) -> Vec<String> {
     let membership = kernel.membership();
-    let near = membership.view().members().filter(|one| one.region == kernel.settings.region);
+    let in_region =
+        membership.view().members().filter(|member| member.region == kernel.settings.region);
     let halls: BTreeSet<_> =
-        near.filter(|one| one.takes_work()).map(|one| one.hall.clone()).collect();
+        in_region.filter(|member| member.takes_work()).map(|member| member.hall.clone()).collect();
     halls.into_iter().collect()
 }
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -12,7 +12,7 @@
 
 use crate::call_state::ReceivedCall;
 use crate::clock::{instant_at, now_ms, now_us};
-use crate::gossip::send_all;
+use crate::gossip::send_gossip;
 use crate::kernel::Kernel;
 use crate::ledger::Outcome;
 use crate::refusal::Reason;
@@ -82,7 +82,7 @@
                 if now_ms() >= ask_at_ms {
                     ask_at_ms = now_ms() + NEWS_ASK_PERIOD_MS;
                     let asked = kernel.membership().ask_heirs(spender);
-                    send_all(kernel, asked);
+                    send_gossip(kernel, asked);
                 }
                 tokio::time::sleep(NEWS_POLL).await;
             }
--- a/src/gossip.rs
+++ b/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Runs the membership of this box, and its heartbeats to peers.
+//! Runs the membership protocol of this box and sends heartbeats to peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use crate::member::Outgoing;
 use crate::wire::{Envelope, Message};
 
-/// How often the membership looks what is due.
+/// How often the membership protocol checks for due work.
 const TICK: Duration = Duration::from_millis(100);
 
 inventory::submit! {
@@ -22,7 +22,7 @@
         loop {
             ticks.tick().await;
             let outgoing = kernel.membership().tick(now_ms());
-            send_all(&kernel, outgoing);
+            send_gossip(&kernel, outgoing);
             kernel.send_heartbeats();
         }
     });
@@ -31,12 +31,12 @@
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     if let Message::Gossip(gossip) = envelope.message {
         let outgoing = kernel.membership().receive(now_ms(), &envelope.reply_to, gossip);
-        send_all(kernel, outgoing);
+        send_gossip(kernel, outgoing);
     }
 }
 
-/// Sends what the membership wants sent.
-pub fn send_all(kernel: &Kernel, outgoing: Vec<Outgoing>) {
+/// Sends messages of the membership protocol.
+pub fn send_gossip(kernel: &Kernel, outgoing: Vec<Outgoing>) {
     for Outgoing { to, gossip } in outgoing {
         kernel.send(&to, Message::Gossip(gossip));
     }
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 
 use crate::configlog::{Head, MAX_HEAD_ENTRIES, Proposal, State};
-use crate::configuration::{BASE_KEY_PREFIX, HEAD_KEY, read_head, read_state};
+use crate::configuration::{BASE_KEY_PREFIX, HEAD_KEY, parse_head, read_state};
 use crate::error::{Error, Result};
 use crate::external::KeyValueStore;
 
@@ -23,7 +23,7 @@
 /// Fails when the platform does not answer or its value cannot be read.
 pub async fn read_config(platform: &impl KeyValueStore) -> Result<(Head, State)> {
     patiently(async || {
-        let head = read_head(&platform.read(HEAD_KEY).await?.bytes)?;
+        let head = parse_head(&platform.read(HEAD_KEY).await?.bytes)?;
         let state = read_state(platform, &head).await?;
         Ok(Some((head, state)))
     })
@@ -60,7 +60,7 @@
 
 async fn try_once(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<Option<u64>> {
     let value = platform.read(HEAD_KEY).await?;
-    let mut head = read_head(&value.bytes)?;
+    let mut head = parse_head(&value.bytes)?;
     let state = read_state(platform, &head).await?;
     if let Some(revision) = state.accepted_at(&proposal.id) {
         return Ok(Some(revision));
