--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -1,7 +1,7 @@
-//! Runs the dispatchers of this box: one a model, made when first needed.
+//! Runs the dispatchers of this box: one per model, started on first use.
 //!
-//! Takes asks and reports from entry boxes, asks the engines for their own
-//! reports, and carries out what the dispatchers want done.
+//! Passes slot requests and reports of entry boxes to the dispatchers, polls the
+//! engines for their status, and executes the actions that the dispatchers return.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,18 +23,18 @@
 use crate::trace::Hop;
 use crate::wire::{Envelope, Message};
 
-/// How often the dispatchers look what is due.
+/// How often the dispatchers check for due work.
 const TICK_PERIOD: Duration = Duration::from_millis(50);
-/// How often engines are asked for their report while they load weights.
+/// How often engines are polled for their report while they load weights.
 const FAST_REPORT_PERIOD: Duration = Duration::from_millis(200);
-/// Every so many of those periods all engines are asked, and stores are tidied.
+/// Every this many of those periods, all engines are polled and stores are cleaned up.
 const SLOW_REPORT_TICKS: u64 = 5;
 
 inventory::submit! {
     Plugin { name: "dispatch", start, receive: Some((Topic::Dispatch, receive)) }
 }
 
-/// Runs `act` on the dispatcher of `model`, which is made if need be.
+/// Calls `act` with the dispatcher of `model`, which is started if necessary.
 fn with_dispatcher<T>(
     kernel: &Arc<Kernel>,
     model: &str,
@@ -43,7 +43,7 @@
     kernel.dispatchers.with_dispatcher(model, || start_dispatcher(kernel, model), act)
 }
 
-/// Takes an ask that came from `reply_to`.
+/// Passes the slot request of the box at `reply_to` to the model's dispatcher.
 fn request_slot(kernel: &Arc<Kernel>, reply_to: &str, slot_request: SlotRequest) {
     let (model, id) = (slot_request.scope.model.clone(), slot_request.id.clone());
     let config = kernel.configuration.current();
@@ -60,14 +60,14 @@
     execute_actions(kernel, &model, actions);
 }
 
-/// Takes a report on a place.
+/// Passes a report on a slot to the model's dispatcher.
 fn handle_report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
     let actions =
         with_dispatcher(kernel, model, |active| active.dispatcher.report(now_ms(), report));
     execute_actions(kernel, model, actions);
 }
 
-/// Takes an ask back.
+/// Withdraws a slot request.
 fn withdraw(kernel: &Arc<Kernel>, model: &str, id: &SlotRequestId) {
     with_dispatcher(kernel, model, |active| {
         active.dispatcher.withdraw(id);
@@ -158,7 +158,8 @@
     }
 }
 
-/// Asks engines for reports and tidies stores, for models that are acted for.
+/// Polls the engines and deletes blocks from the stores, for each model with an active
+/// dispatcher.
 async fn poll_engines_and_stores(kernel: Arc<Kernel>) {
     let mut ticks = tokio::time::interval(FAST_REPORT_PERIOD);
     for tick in 0_u64.. {
@@ -201,7 +202,7 @@
 }
 
 fn start_dispatcher(kernel: &Arc<Kernel>, model: &str) -> ActiveDispatcher {
-    info!(target: "dispatch", "Acting as dispatcher of {model}.");
+    info!(target: "dispatch", "Started the dispatcher of model {model}.");
     let settings = &kernel.settings;
     let (engines, token_bytes) = engines_of(settings, model);
     let stores = stores_of(settings);
@@ -251,16 +252,16 @@
     stores.collect()
 }
 
-/// Learns from a store which blocks of the model it keeps. A block belongs to
-/// the hall whose dispatcher wrote it or, when that is gone, to any that asks.
+/// Lists the blocks of the model in a store and adopts those whose home hall is this
+/// one: the hall whose dispatcher wrote them or, if it has no boxes left, another hall.
 async fn adopt_blocks(kernel: Arc<Kernel>, model: String, store: String, url: String) {
     let Some(listed) = kernel.upstreams.list(&url).await else {
-        return warn!(target: "dispatch", "Store {store} does not list its blocks.");
+        return warn!(target: "dispatch", "Cannot list the blocks of store {store}.");
     };
     let adoptable = listed.into_iter().filter(|block| block.meta.scope.model == model);
     let adoptable: Vec<_> =
         adoptable.filter(|block| is_home_hall(&kernel, block.meta.prefix.root)).collect();
-    info!(target: "dispatch", "Took over {} blocks of store {store}.", adoptable.len());
+    info!(target: "dispatch", "Adopted {} blocks of store {store}.", adoptable.len());
     with_dispatcher(&kernel, &model, |active| {
         for block in adoptable {
             active.dispatcher.context.adopt_block(now_ms(), &store, block);
@@ -274,7 +275,7 @@
     home.is_none_or(|home| home == kernel.settings.hall)
 }
 
-/// Halls of this box's region that have boxes.
+/// Halls of this box's region with boxes that take new work.
 fn halls_in_region(kernel: &Kernel) -> Vec<String> {
     let membership = kernel.membership();
     let in_region =
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -1,10 +1,11 @@
-//! Finds a place for a request, on behalf of the box that it entered.
+//! Acquires engine slots for the requests that entered at this box.
 //!
-//! Each prompt has a home hall in its region, where its context gathers. The
-//! owner of the model there is asked first. When the request would have to
-//! wait, or nobody answers, the other halls are asked; when the own hall's
-//! owner does not answer either, this box decides with what it knows. Nothing
-//! waits for a hall that is cut off.
+//! Each prompt has a home hall in its region, so that requests with the same prefix
+//! share its cached context. The dispatcher of the model in that hall is tried first.
+//! If it queues the request or does not respond, the dispatchers of the other halls are
+//! tried; if none responds, this box acts as the dispatcher with what it knows. A
+//! dispatcher that does not respond is skipped for a while, so that requests do not wait
+//! for a hall that is cut off.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,26 +25,26 @@
 use crate::trace::Hop;
 use crate::wire::{Envelope, Message};
 
-/// Time in which a dispatcher answers an ask.
-const ASK_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time for which a dispatcher that did not answer is passed over.
-const PASSED_OVER_MS: u64 = 2000;
-/// How often a waiting ask is asked again.
-const ASK_AGAIN_PERIOD: Duration = Duration::from_secs(1);
-/// How often places in use are renewed.
+/// Time within which a dispatcher has to respond to a slot request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time for which a dispatcher that did not respond is skipped.
+const DISPATCHER_COOLDOWN_MS: u64 = 2000;
+/// How often a queued slot request is sent again.
+const RESEND_PERIOD: Duration = Duration::from_secs(1);
+/// How often held slots are renewed.
 const RENEW_PERIOD: Duration = Duration::from_secs(1);
-/// Verdicts that may wait to be read.
-const INBOX_LEN: usize = 16;
-/// Time to come back when no box can place the request.
-const UNPLACED_RETRY_MS: u64 = 1000;
+/// Unread responses that are buffered per slot request.
+const RESPONSE_BUFFER_LEN: usize = 16;
+/// Time after which the caller may retry when no dispatcher responded.
+const NO_SLOT_RETRY_MS: u64 = 1000;
 
 inventory::submit! {
     Plugin { name: "placing", start, receive: Some((Topic::Placing, receive)) }
 }
 
-/// A place that this box holds.
+/// A slot on an engine that this box holds.
 pub struct HeldSlot {
-    /// The place.
+    /// Which engine the slot is on, and which context to import there.
     pub grant: Grant,
     dispatcher: String,
     model: String,
@@ -51,18 +52,18 @@
 }
 
 impl HeldSlot {
-    /// Name of the ask that got this place.
+    /// Id of the request for this slot.
     #[must_use]
     pub fn id(&self) -> &SlotRequestId {
         &self.id
     }
 
-    /// Reports on the place to the dispatcher that gave it.
+    /// Reports on the slot to the dispatcher that granted it.
     pub fn report(&self, kernel: &Arc<Kernel>, report: SlotReport) {
         send_report(kernel, &self.dispatcher, &self.model, report);
     }
 
-    /// Gives the place back.
+    /// Releases the slot.
     pub fn release(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
         let (id, request) = (self.id.clone(), request.to_owned());
         self.report(kernel, SlotReport::Done { id, request, generated_tokens, end });
@@ -71,30 +72,41 @@
     }
 }
 
-/// One search for a place.
-struct Search<'a> {
+/// A search for a slot among the dispatchers.
+struct SlotSearch<'a> {
     kernel: &'a Arc<Kernel>,
-    ask: SlotRequest,
-    inbox: mpsc::Receiver<ReceivedResponse>,
-    waits_at: Option<String>,
+    slot_request: SlotRequest,
+    responses: mpsc::Receiver<ReceivedResponse>,
+    /// Dispatcher that has queued the request.
+    queued_at: Option<String>,
     refusal: Option<Refusal>,
-    /// The dispatcher fell silent while the request waited there.
-    lost_dispatcher: bool,
+    /// The dispatcher stopped responding while the request was queued there.
+    dispatcher_lost: bool,
 }
 
-/// Finds a place for `ask`.
+/// Acquires a slot, waiting until the deadline of the request if necessary. If the
+/// dispatcher that queued the request stops responding, the search starts over once.
 ///
 /// # Errors
 /// Fails with a refusal; the request has not run.
-pub async fn acquire_slot(kernel: &Arc<Kernel>, ask: SlotRequest) -> Result<HeldSlot, Refusal> {
-    let (sender, inbox) = mpsc::channel(INBOX_LEN);
-    let (id, trace) = (ask.id.clone(), ask.trace);
+pub async fn acquire_slot(
+    kernel: &Arc<Kernel>,
+    slot_request: SlotRequest,
+) -> Result<HeldSlot, Refusal> {
+    let (sender, responses) = mpsc::channel(RESPONSE_BUFFER_LEN);
+    let (id, trace) = (slot_request.id.clone(), slot_request.trace);
     locked(&kernel.placements.response_senders).insert(id.clone(), sender);
-    let began_at_us = now_us();
-    let mut search =
-        Search { kernel, ask, inbox, waits_at: None, refusal: None, lost_dispatcher: false };
+    let started_at_us = now_us();
+    let mut search = SlotSearch {
+        kernel,
+        slot_request,
+        responses,
+        queued_at: None,
+        refusal: None,
+        dispatcher_lost: false,
+    };
     let mut result = search.run().await;
-    if std::mem::take(&mut search.lost_dispatcher) {
+    if std::mem::take(&mut search.dispatcher_lost) {
         result = search.run().await;
     }
     locked(&kernel.placements.response_senders).remove(&id);
@@ -105,191 +117,201 @@
         Ok(slot) => format!("{} by {}", slot.grant.engine, slot.dispatcher),
         Err(refusal) => format!("refused: {}", refusal.reason),
     };
-    kernel.span(trace, Hop::Ask, began_at_us, note);
+    kernel.span(trace, Hop::Ask, started_at_us, note);
     result
 }
 
-impl Search<'_> {
+impl SlotSearch<'_> {
     async fn run(&mut self) -> Result<HeldSlot, Refusal> {
-        let mut targets = targets(self.kernel, &self.ask);
+        let mut targets = target_dispatchers(self.kernel, &self.slot_request);
         for target in targets.clone() {
-            if let Some(slot) = self.ask_target(&target).await {
+            if let Some(slot) = self.request_slot_from(&target).await {
                 return Ok(slot);
             }
         }
         let own = self.kernel.settings.advertise.clone();
-        if self.waits_at.is_none() && self.refusal.is_none() && !targets.contains(&own) {
-            // Nobody answered: this box decides for itself.
-            if let Some(slot) = self.ask_target(&own).await {
+        if self.queued_at.is_none() && self.refusal.is_none() && !targets.contains(&own) {
+            // No dispatcher responded: act as the dispatcher.
+            if let Some(slot) = self.request_slot_from(&own).await {
                 return Ok(slot);
             }
             targets.push(own);
         }
-        match self.waits_at.clone() {
-            Some(target) => self.wait(&target, &targets).await,
-            None => Err(self.refusal.take().unwrap_or_else(unplaced)),
+        match self.queued_at.clone() {
+            Some(target) => self.wait_in_queue(&target, &targets).await,
+            None => Err(self.refusal.take().unwrap_or_else(no_slot_refusal)),
         }
     }
 
-    /// Asks one dispatcher; once one lets the request wait, the others are
-    /// asked for a free place only.
-    async fn ask_target(&mut self, target: &str) -> Option<HeldSlot> {
-        self.ask.no_wait = self.waits_at.is_some();
-        self.send_ask(target);
-        let timeout_at = (Instant::now() + ASK_TIMEOUT).min(instant_at(self.ask.deadline_ms));
+    /// Requests a slot from one dispatcher. After a dispatcher has queued the request,
+    /// the others are only asked for a free slot.
+    async fn request_slot_from(&mut self, target: &str) -> Option<HeldSlot> {
+        self.slot_request.no_wait = self.queued_at.is_some();
+        self.send_request(target);
+        let timeout_at =
+            (Instant::now() + RESPONSE_TIMEOUT).min(instant_at(self.slot_request.deadline_ms));
         loop {
-            let Ok(Some(received)) = tokio::time::timeout_at(timeout_at, self.inbox.recv()).await
+            let Ok(Some(received)) =
+                tokio::time::timeout_at(timeout_at, self.responses.recv()).await
             else {
-                pass_over(self.kernel, target);
+                start_cooldown(self.kernel, target);
                 return None;
             };
             let from_target = received.from == target;
             match received.response {
-                SlotResponse::Granted(grant) => return Some(self.take(received.from, grant)),
+                SlotResponse::Granted(grant) => return Some(self.hold_slot(received.from, grant)),
                 SlotResponse::Queued if from_target => {
-                    self.waits_at.get_or_insert(received.from);
+                    self.queued_at.get_or_insert(received.from);
                     return None;
                 }
                 SlotResponse::Refused(refusal) if from_target => {
-                    self.note(refusal);
+                    self.record_refusal(refusal);
                     return None;
                 }
                 SlotResponse::Queued => {}
                 SlotResponse::Refused(refusal) => {
-                    self.waits_at = None;
-                    self.note(refusal);
+                    self.queued_at = None;
+                    self.record_refusal(refusal);
                 }
             }
         }
     }
 
-    /// Waits for the turn of the request.
-    async fn wait(&mut self, target: &str, targets: &[String]) -> Result<HeldSlot, Refusal> {
-        let deadline = instant_at(self.ask.deadline_ms);
-        let mut unheard = 0;
-        let mut turn = 0;
+    /// Waits until `target` grants a slot to the queued request. Each time the request is
+    /// sent again, one other dispatcher is also asked for a free slot.
+    async fn wait_in_queue(
+        &mut self,
+        target: &str,
+        targets: &[String],
+    ) -> Result<HeldSlot, Refusal> {
+        let deadline = instant_at(self.slot_request.deadline_ms);
+        let mut unanswered = 0;
+        let mut attempts = 0;
         while Instant::now() < deadline {
-            let again_at = (Instant::now() + ASK_AGAIN_PERIOD).min(deadline);
-            match tokio::time::timeout_at(again_at, self.inbox.recv()).await {
+            let resend_at = (Instant::now() + RESEND_PERIOD).min(deadline);
+            match tokio::time::timeout_at(resend_at, self.responses.recv()).await {
                 Ok(Some(ReceivedResponse { from, response: SlotResponse::Granted(grant) })) => {
-                    return Ok(self.take(from, grant));
+                    return Ok(self.hold_slot(from, grant));
                 }
                 Ok(Some(ReceivedResponse { from, response: SlotResponse::Refused(refusal) }))
                     if from == target =>
                 {
-                    self.waits_at = None;
+                    self.queued_at = None;
                     return Err(refusal);
                 }
-                Ok(Some(received)) => unheard = if received.from == target { 0 } else { unheard },
+                Ok(Some(received)) => {
+                    unanswered = if received.from == target { 0 } else { unanswered }
+                }
                 Ok(None) => break,
                 Err(_) => {
-                    unheard += 1;
-                    self.ask.no_wait = false;
-                    self.send_ask(target);
-                    turn += 1;
-                    self.spill(target, &targets[turn % targets.len()]);
+                    unanswered += 1;
+                    self.slot_request.no_wait = false;
+                    self.send_request(target);
+                    attempts += 1;
+                    self.request_elsewhere(target, &targets[attempts % targets.len()]);
                 }
             }
-            if unheard > 2 {
-                pass_over(self.kernel, target);
-                self.waits_at = None;
-                self.lost_dispatcher = true;
-                return Err(unplaced());
+            if unanswered > 2 {
+                start_cooldown(self.kernel, target);
+                self.queued_at = None;
+                self.dispatcher_lost = true;
+                return Err(no_slot_refusal());
             }
         }
         Err(Refusal::not_run(Reason::DeadlinePassed))
     }
 
-    /// Looks for a free place elsewhere while the request waits.
-    fn spill(&mut self, target: &str, other: &str) {
-        if other != target {
-            self.ask.no_wait = true;
-            self.send_ask(other);
+    /// Requests a free slot from another dispatcher while the request is queued at `target`.
+    fn request_elsewhere(&mut self, target: &str, other_target: &str) {
+        if other_target != target {
+            self.slot_request.no_wait = true;
+            self.send_request(other_target);
         }
     }
 
-    fn send_ask(&self, target: &str) {
-        self.kernel.deliver(target, Message::SlotRequest(Box::new(self.ask.clone())));
+    fn send_request(&self, target: &str) {
+        self.kernel.deliver(target, Message::SlotRequest(Box::new(self.slot_request.clone())));
     }
 
-    fn take(&mut self, from: String, grant: Grant) -> HeldSlot {
-        if self.waits_at.as_ref() == Some(&from) {
-            self.waits_at = None;
+    fn hold_slot(&mut self, from: String, grant: Grant) -> HeldSlot {
+        if self.queued_at.as_ref() == Some(&from) {
+            self.queued_at = None;
         }
         self.withdraw();
-        let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
+        let (model, id) = (self.slot_request.scope.model.clone(), self.slot_request.id.clone());
         let held = (from.clone(), model.clone(), id.clone());
         locked(&self.kernel.placements.held_slots).insert(held);
         HeldSlot { grant, dispatcher: from, model, id }
     }
 
     fn withdraw(&mut self) {
-        let Some(target) = self.waits_at.take() else {
+        let Some(target) = self.queued_at.take() else {
             return;
         };
-        let (model, id) = (self.ask.scope.model.clone(), self.ask.id.clone());
+        let (model, id) = (self.slot_request.scope.model.clone(), self.slot_request.id.clone());
         self.kernel.deliver(&target, Message::WithdrawSlotRequest { model, id });
     }
 
-    /// Keeps the refusal that tells the caller most.
-    fn note(&mut self, refusal: Refusal) {
-        let better = self.refusal.as_ref().is_none_or(|old| old.reason == Reason::NoUpstream);
-        if better {
+    /// Keeps the first refusal that tells the caller more than that there is no upstream.
+    fn record_refusal(&mut self, refusal: Refusal) {
+        let replaces = self.refusal.as_ref().is_none_or(|old| old.reason == Reason::NoUpstream);
+        if replaces {
             self.refusal = Some(refusal);
         }
     }
 }
 
-fn unplaced() -> Refusal {
-    Refusal::not_run(Reason::NoUpstream).retry_at(now_ms() + UNPLACED_RETRY_MS)
+fn no_slot_refusal() -> Refusal {
+    Refusal::not_run(Reason::NoUpstream).retry_at(now_ms() + NO_SLOT_RETRY_MS)
 }
 
-/// Dispatchers to ask, in order: the home hall's, then the region's others by
-/// the same ranking, then the other regions'.
-fn targets(kernel: &Kernel, ask: &SlotRequest) -> Vec<String> {
-    let key = ask.prefix.root.to_string();
+/// Addresses of the dispatchers to try, in order: the home hall's, the region's others by
+/// the same ranking, then those of the other regions.
+fn target_dispatchers(kernel: &Kernel, slot_request: &SlotRequest) -> Vec<String> {
+    let key = slot_request.prefix.root.to_string();
     let membership = kernel.membership();
     let own = &kernel.settings;
-    let mut near = BTreeSet::new();
-    let mut far = BTreeSet::new();
+    let mut same_region = BTreeSet::new();
+    let mut other_regions = BTreeSet::new();
     for member in membership.view().members().filter(|member| member.takes_work()) {
-        let halls = if member.region == own.region { &mut near } else { &mut far };
+        let halls = if member.region == own.region { &mut same_region } else { &mut other_regions };
         halls.insert(member.hall.as_str());
     }
-    let mut halls = ranked(&key, near.iter().copied(), near.len());
-    if ask.prefix.is_empty() {
-        // Nothing to gather: the own hall is the nearest.
+    let mut halls = ranked(&key, same_region.iter().copied(), same_region.len());
+    if slot_request.prefix.is_empty() {
+        // Without a cacheable prefix there is no home hall: prefer the own hall as the nearest.
         halls.sort_by_key(|hall| *hall != own.hall);
     }
-    halls.extend(far.difference(&near));
-    let passed_over = locked(&kernel.placements.dispatcher_cooldowns);
+    halls.extend(other_regions.difference(&same_region));
+    let cooldowns = locked(&kernel.placements.dispatcher_cooldowns);
     let now_ms = now_ms();
     let owners = halls.into_iter().filter_map(|hall| {
         let members = membership.view().available_in_hall(hall);
-        let name = owner(&ask.scope.model, members.iter().map(|one| one.id.name.as_str()))?;
+        let name =
+            owner(&slot_request.scope.model, members.iter().map(|member| member.id.name.as_str()))?;
         let address = &membership.view().member(name)?.address;
-        let answers = passed_over.get(address).is_none_or(|until_ms| *until_ms <= now_ms);
-        answers.then(|| address.clone())
+        let is_available = cooldowns.get(address).is_none_or(|until_ms| *until_ms <= now_ms);
+        is_available.then(|| address.clone())
     });
     owners.collect()
 }
 
-fn pass_over(kernel: &Kernel, target: &str) {
+fn start_cooldown(kernel: &Kernel, target: &str) {
     if target == kernel.settings.advertise {
         return;
     }
-    debug!(target: "placing", "Dispatcher {target} did not answer.");
+    debug!(target: "placing", "Dispatcher {target} did not respond in time.");
     metrics::counter!("coursestile_asks_unanswered_total").increment(1);
-    let mut passed_over = locked(&kernel.placements.dispatcher_cooldowns);
-    passed_over.insert(target.to_owned(), now_ms() + PASSED_OVER_MS);
+    let mut cooldowns = locked(&kernel.placements.dispatcher_cooldowns);
+    cooldowns.insert(target.to_owned(), now_ms() + DISPATCHER_COOLDOWN_MS);
 }
 
 fn send_report(kernel: &Arc<Kernel>, dispatcher: &str, model: &str, report: SlotReport) {
     kernel.deliver(dispatcher, Message::SlotReport { model: model.to_owned(), report });
 }
 
-/// Hands a verdict to the search that waits for it. A place that nobody waits
-/// for any more is given back.
+/// Passes a response to the search that waits for it. A granted slot that is no longer
+/// waited for is released.
 fn deliver(
     kernel: &Arc<Kernel>,
     from: &str,
@@ -300,10 +322,10 @@
     let inbox = locked(&kernel.placements.response_senders).get(&id).cloned();
     let granted = matches!(response, SlotResponse::Granted(_));
     let received = ReceivedResponse { from: from.to_owned(), response };
-    let taken = inbox.is_some_and(|inbox| inbox.try_send(received).is_ok());
+    let delivered = inbox.is_some_and(|inbox| inbox.try_send(received).is_ok());
     let held = (from.to_owned(), model.to_owned(), id.clone());
     let in_use = locked(&kernel.placements.held_slots).contains(&held);
-    if granted && !taken && !in_use {
+    if granted && !delivered && !in_use {
         let request = String::new();
         let done = SlotReport::Done { id, request, generated_tokens: 0, end: SlotEnd::Unused };
         send_report(kernel, from, model, done);
@@ -317,10 +339,10 @@
 }
 
 fn start(kernel: &Arc<Kernel>) {
-    tokio::spawn(renew_forever(kernel.clone()));
+    tokio::spawn(renew_held_slots(kernel.clone()));
 }
 
-async fn renew_forever(kernel: Arc<Kernel>) {
+async fn renew_held_slots(kernel: Arc<Kernel>) {
     let mut ticks = tokio::time::interval(RENEW_PERIOD);
     loop {
         ticks.tick().await;
