--- a/src/callers.rs
+++ b/src/callers.rs
@@ -23,7 +23,7 @@
 use crate::calls::{give_ticket, serve_once, serve_plain, single_key};
 use crate::chunk::{events, last_chunk};
 use crate::clock::{instant_at, now_ms};
-use crate::completion::{self, Job};
+use crate::completion::{self, CompletionJob};
 use crate::context::token_count;
 use crate::kernel::{Kernel, Plugin};
 use crate::ledger::{Answer, CallKey};
@@ -133,7 +133,7 @@
     16
 }
 
-fn job(kernel: &Kernel, caller: Caller, body: &[u8]) -> Result<(Job, bool), Rejection> {
+fn job(kernel: &Kernel, caller: Caller, body: &[u8]) -> Result<(CompletionJob, bool), Rejection> {
     let request: Completion =
         serde_json::from_slice(body).map_err(|error| bad_request(error.to_string()))?;
     if !(1..=MAX_TOKENS).contains(&request.max_tokens) {
@@ -152,7 +152,8 @@
     }
     let Caller { account, terms, deadline_ms, trace } = caller;
     let (prompt, max_tokens) = (request.prompt, request.max_tokens);
-    let job = Job { account, terms, model, version, prompt, max_tokens, deadline_ms, trace };
+    let job =
+        CompletionJob { account, terms, model, version, prompt, max_tokens, deadline_ms, trace };
     Ok((job, request.stream))
 }
 
