--- a/src/callers.rs
+++ b/src/callers.rs
@@ -20,7 +20,7 @@
 
 use crate::account::Terms;
 use crate::box_phase::BoxPhase;
-use crate::calls::{give_ticket, serve_once, serve_plain, single_key};
+use crate::calls::{generate_key, issue_ticket, serve_at_most_once, serve_without_ticket};
 use crate::chunk::{events, last_chunk};
 use crate::clock::{instant_at, now_ms};
 use crate::completion::{self, CompletionJob};
@@ -33,7 +33,7 @@
 use crate::streams::{AnswerStream, StreamEnd, StreamUpdate};
 use crate::trace::TraceId;
 use crate::wire::Call;
-use crate::workers::repeatable;
+use crate::workers::is_repeatable;
 
 /// Header with the time that the caller waits, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
@@ -249,7 +249,7 @@
 fn ticket(request: &Request, Data(kernel): Data<&Arc<Kernel>>) -> Response {
     match caller(kernel, request) {
         Ok(caller) => {
-            let (prefix, expires_at_ms) = give_ticket(kernel, &caller.account);
+            let (prefix, expires_at_ms) = issue_ticket(kernel, &caller.account);
             Json(json!({ "prefix": prefix, "expires_at_ms": expires_at_ms })).into_response()
         }
         Err(rejection) => rejection.into_response(),
@@ -289,13 +289,13 @@
     let uri = request.uri();
     let prefix = format!("/app/{service}");
     let path = uri.path().strip_prefix(&prefix).unwrap_or(uri.path());
-    let repeatable = repeatable(kernel, &service, path).ok_or(Reason::NotFound)?;
+    let repeatable = is_repeatable(kernel, &service, path).ok_or(Reason::NotFound)?;
     let query = uri.query().map(|query| format!("?{query}")).unwrap_or_default();
     let key = request.header("idempotency-key").map(str::to_owned);
     let account = caller.account;
     let call_key = match &key {
         Some(key) => CallKey { account, key: key.clone() },
-        None => single_key(kernel, &account),
+        None => generate_key(kernel, &account),
     };
     let call = Call {
         key: call_key,
@@ -310,8 +310,8 @@
     };
     metrics::counter!("coursestile_requests_total", "kind" => "call").increment(1);
     let answer = match key {
-        Some(key) if !repeatable => serve_once(kernel, call, &key).await,
-        _ => serve_plain(kernel, &call, repeatable).await,
+        Some(key) if !repeatable => serve_at_most_once(kernel, call, &key).await,
+        _ => serve_without_ticket(kernel, &call, repeatable).await,
     };
     Ok(answer?)
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -1,9 +1,9 @@
-//! Calls to plain services, and the promise that some run at most once.
+//! Calls to plain services, some of which run at most once.
 //!
-//! A call with a ticket is run by the incarnation that gave the ticket, under
-//! its ledger (`spending`); any other box forwards it there (`forwarding`). When that incarnation cannot
-//! be reached the outcome is unknown. When it has stopped as planned, its heir
-//! answers from the ledger that it was given.
+//! A call with a ticket is run by the box incarnation that issued the ticket, its
+//! spender, and is recorded in the ledger there (`spending`). Any other box forwards the
+//! call to it (`forwarding`). If the spender cannot be reached, the outcome is unknown.
+//! After a planned stop, its heir, a peer that took over the ledger, answers from it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 
 use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
-use crate::forwarding::{forward, take_call};
+use crate::forwarding::{forward_call, handle_forwarded_call};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::ledger::{Answer, CallKey, Outcome};
 use crate::refusal::{Reason, Refusal};
-use crate::spending::spend;
+use crate::spending::run_at_most_once;
 use crate::sync::locked;
 use crate::ticket::{Ticket, TicketError};
 use crate::wire::{Call, CallEnd, Envelope, Message};
-use crate::workers::run;
+use crate::workers::call_worker;
 
-/// Time for which a ticket prefix may be used.
+/// Lifetime of a ticket prefix, in milliseconds.
 pub const TICKET_TTL_MS: u64 = 600_000;
-/// How often expired keys are forgotten.
+/// How often expired keys are removed.
 const EXPIRE_PERIOD: Duration = Duration::from_secs(5);
-/// Time to come back when the spender cannot be reached.
+/// Time after which the caller may retry if no other time is known.
 const UNREACHABLE_RETRY_MS: u64 = 2000;
 
 inventory::submit! {
     Plugin { name: "calls", start, receive: Some((Topic::Calls, receive)) }
 }
 
-/// A new ticket prefix for `account`.
+/// Issues a ticket prefix for `account`, and returns it with its expiry time.
 #[must_use]
-pub fn give_ticket(kernel: &Kernel, account: &str) -> (String, u64) {
+pub fn issue_ticket(kernel: &Kernel, account: &str) -> (String, u64) {
     let ticket = Ticket {
         spender: kernel.box_id.clone(),
         expires_at_ms: now_ms() + TICKET_TTL_MS,
@@ -44,47 +44,47 @@
     (ticket.sign(&kernel.settings.cluster_key, account), ticket.expires_at_ms)
 }
 
-/// Serves a call that its caller may repeat, or that has no key.
+/// Serves a call that is repeatable or has no key.
 ///
 /// # Errors
-/// Fails with a refusal that says whether it may have run.
-pub async fn serve_plain(
+/// Fails with a refusal that says whether the call may have run.
+pub async fn serve_without_ticket(
     kernel: &Arc<Kernel>,
     call: &Call,
     repeatable: bool,
 ) -> Result<Answer, Refusal> {
     let _running = kernel.calls.count_running();
-    let end = run(kernel, call, repeatable).await;
-    answer_of(end)
+    let end = call_worker(kernel, call, repeatable).await;
+    into_answer(end)
 }
 
-/// Serves a call under its ticket.
+/// Serves a call that runs at most once, under the ticket in its key.
 ///
 /// # Errors
-/// Fails with a refusal that says whether it may have run.
-pub async fn serve_once(
+/// Fails with a refusal that says whether the call may have run.
+pub async fn serve_at_most_once(
     kernel: &Arc<Kernel>,
     mut call: Call,
     idempotency_key: &str,
 ) -> Result<Answer, Refusal> {
     let _running = kernel.calls.count_running();
     let key = &kernel.settings.cluster_key;
-    let ticket = Ticket::verify(key, &call.key.account, idempotency_key).map_err(bad_ticket)?;
+    let ticket = Ticket::verify(key, &call.key.account, idempotency_key).map_err(ticket_refusal)?;
     call.ticket_expires_at_ms = ticket.expires_at_ms;
     let end = if ticket.spender == kernel.box_id {
-        spend(kernel, &call).await
+        run_at_most_once(kernel, &call).await
     } else {
-        forward(kernel, &ticket.spender, call).await
+        forward_call(kernel, &ticket.spender, call).await
     };
-    answer_of(end)
+    into_answer(end)
 }
 
-fn bad_ticket(error: TicketError) -> Refusal {
-    info!(target: "calls", "Ticket refused: {error}.");
+fn ticket_refusal(error: TicketError) -> Refusal {
+    info!(target: "calls", "Ticket rejected: {error}.");
     Refusal::not_run(Reason::BadTicket)
 }
 
-fn answer_of(end: CallEnd) -> Result<Answer, Refusal> {
+fn into_answer(end: CallEnd) -> Result<Answer, Refusal> {
     let retry_at_ms = end.retry_at_ms.unwrap_or_else(|| now_ms() + UNREACHABLE_RETRY_MS);
     match end.outcome {
         Outcome::Answered(answer) => Ok(answer),
@@ -96,7 +96,7 @@
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     match envelope.message {
         Message::Call { number, spender, call } => {
-            tokio::spawn(take_call(
+            tokio::spawn(handle_forwarded_call(
                 kernel.clone(),
                 envelope.from,
                 envelope.reply_to,
@@ -109,7 +109,7 @@
             kernel.calls.forwarded.deliver_answer(number, end);
         }
         Message::Handover { of, ledger } => {
-            info!(target: "calls", "Took over {} keys of {of}.", ledger.len());
+            info!(target: "calls", "Took over the ledger of {of} with {} keys.", ledger.len());
             let mut inherited = locked(&kernel.calls.inherited_ledgers);
             inherited.insert(of.clone(), *ledger);
             drop(inherited);
@@ -142,9 +142,9 @@
     });
 }
 
-/// Names the key of a call that has none of its own.
+/// Generates a key for a call whose caller gave none.
 #[must_use]
-pub fn single_key(kernel: &Kernel, account: &str) -> CallKey {
+pub fn generate_key(kernel: &Kernel, account: &str) -> CallKey {
     CallKey {
         account: account.to_owned(),
         key: format!("{}-{}", kernel.box_id, kernel.unique_number()),
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -16,7 +16,7 @@
 use crate::assembler::Assembler;
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::context::{PrefixChain, Scope, cache_salt, token_count};
-use crate::crashes::{note_answered, note_broken_off, quarantined_until_ms};
+use crate::crashes::{quarantined_until_ms, record_abort, record_answered};
 use crate::external::{EngineError, EnginePiece, GenerateRequest, ModelEngines, PieceStream};
 use crate::fingerprint::Fingerprint;
 use crate::import::ContextImport;
@@ -132,7 +132,7 @@
             let (engine, url) = (slot.grant.engine.clone(), slot.grant.url.clone());
             match self.run_attempt(slot).await {
                 AttemptEnd::Finished(reason) => {
-                    note_answered(self.kernel, self.fingerprint);
+                    record_answered(self.kernel, self.fingerprint);
                     return StreamEnd::Finished(reason);
                 }
                 AttemptEnd::Cancelled => {
@@ -143,7 +143,7 @@
                 AttemptEnd::OtherVersion { ran } => self.adopt_current_version(engine, ran),
                 ended @ (AttemptEnd::Unreachable | AttemptEnd::Failed(_)) => {
                     if matches!(ended, AttemptEnd::Failed(_)) {
-                        note_broken_off(self.kernel, &engine, &url, self.fingerprint).await;
+                        record_abort(self.kernel, &engine, &url, self.fingerprint).await;
                     }
                     self.excluded_engines.push(engine);
                     if !retry_budget(&self.kernel.placements.retries).spend() {
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -1,9 +1,9 @@
-//! Calls that another box must answer: the one that gave their ticket, or its heir.
+//! Forwards calls to the box that issued their ticket, or to the heir of its ledger.
 //!
-//! A message may be lost, and news of an heir come late, so a call is sent again until
-//! it is answered, to whoever answers for the ticket by then. It keeps its number: the
-//! other box does not begin a call again that is under way there, nor one of which it
-//! has said that it has not run. All else it answers from the ledger.
+//! Messages may be lost, and this box may learn of an heir late, so a call is sent again
+//! until it is answered, each time to the current holder of the ledger. It keeps its
+//! number: the receiver does not start a call again that is still running there, nor one
+//! that it has answered as not run. In all other cases it answers from the ledger.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,34 +16,34 @@
 use crate::kernel::Kernel;
 use crate::ledger::Outcome;
 use crate::refusal::Reason;
-use crate::spending::{answer_as_heir, spend};
+use crate::spending::{answer_from_inherited_ledger, run_at_most_once};
 use crate::sync::locked;
 use crate::ticket::BoxRef;
 use crate::trace::Hop;
 use crate::wire::{Call, CallEnd, Message};
 
-/// Time after which a call is sent again; each next time is twice as long, since the
-/// other box may be at work on it.
-const RESEND_AFTER_MS: u64 = 500;
-/// Time in which news of who answers for a ticket is waited for: a box that starts
-/// asks for all of it once a second.
-const NEWS_TIMEOUT_MS: u64 = 2000;
-/// How often some peers are asked for it.
-const NEWS_ASK_PERIOD_MS: u64 = 400;
-/// How often that is looked for.
-const NEWS_POLL: Duration = Duration::from_millis(100);
-/// Answers to one call that may wait to be read.
-const ANSWERS_LEN: usize = 4;
+/// Time after which a call is first sent again. It doubles each time, since the other box
+/// may still be running the call.
+const FIRST_RESEND_AFTER_MS: u64 = 500;
+/// Maximum time to wait until the holder of a ticket's ledger is known. A starting box
+/// requests the whole member table once a second.
+const HEIR_LOOKUP_TIMEOUT_MS: u64 = 2000;
+/// How often peers are queried for the heir.
+const HEIR_QUERY_PERIOD_MS: u64 = 400;
+/// How often the view is checked for the heir.
+const HEIR_POLL_PERIOD: Duration = Duration::from_millis(100);
+/// Unread answers that are buffered per call.
+const ANSWER_BUFFER_LEN: usize = 4;
 
-/// Forwards a call to the box that may spend its ticket, or to its heir.
-pub async fn forward(kernel: &Arc<Kernel>, spender: &BoxRef, call: Call) -> CallEnd {
-    let (began_at_us, trace) = (now_us(), call.trace);
+/// Forwards a call to the box `spender`, which issued its ticket, or to its heir.
+pub async fn forward_call(kernel: &Arc<Kernel>, spender: &BoxRef, call: Call) -> CallEnd {
+    let (started_at_us, trace) = (now_us(), call.trace);
     let number = kernel.unique_number();
-    let (waiting, answers) = mpsc::channel(ANSWERS_LEN);
-    locked(&kernel.calls.forwarded.answer_senders).insert(number, waiting);
+    let (answer_sender, answers) = mpsc::channel(ANSWER_BUFFER_LEN);
+    locked(&kernel.calls.forwarded.answer_senders).insert(number, answer_sender);
     let end = forward_until_answered(kernel, spender, &call, number, answers).await;
     locked(&kernel.calls.forwarded.answer_senders).remove(&number);
-    kernel.span(trace, Hop::Spender, began_at_us, spender.to_string());
+    kernel.span(trace, Hop::Spender, started_at_us, spender.to_string());
     end
 }
 
@@ -55,13 +55,15 @@
     mut answers: mpsc::Receiver<CallEnd>,
 ) -> CallEnd {
     let unreachable = CallEnd::unknown(Reason::SpenderUnreachable);
-    let news_deadline_ms = now_ms() + NEWS_TIMEOUT_MS;
-    let mut resend_after_ms = RESEND_AFTER_MS;
-    let mut ask_at_ms = now_ms();
+    let lookup_deadline_ms = now_ms() + HEIR_LOOKUP_TIMEOUT_MS;
+    let mut resend_after_ms = FIRST_RESEND_AFTER_MS;
+    let mut query_at_ms = now_ms();
     while now_ms() < call.deadline_ms {
         let found = kernel.membership().view().ledger_holder(spender).cloned();
         let end = match found {
-            Some(member) if member.id == kernel.box_id => answer_as_heir(kernel, spender, call),
+            Some(member) if member.id == kernel.box_id => {
+                answer_from_inherited_ledger(kernel, spender, call)
+            }
             Some(member) => {
                 let (spender, call) = (spender.clone(), Box::new(call.clone()));
                 let resend_at_ms = call.deadline_ms.min(now_ms() + resend_after_ms);
@@ -77,14 +79,15 @@
         };
         match end {
             Some(end) if end != unreachable => return end,
-            // Nobody is known to answer, or the box asked does not: news may be due.
-            Some(_) | None if now_ms() < news_deadline_ms => {
-                if now_ms() >= ask_at_ms {
-                    ask_at_ms = now_ms() + NEWS_ASK_PERIOD_MS;
-                    let asked = kernel.membership().ask_heirs(spender);
-                    send_gossip(kernel, asked);
+            // No ledger holder is known, or the box that was tried does not hold the ledger:
+            // this box may be about to learn of an heir.
+            Some(_) | None if now_ms() < lookup_deadline_ms => {
+                if now_ms() >= query_at_ms {
+                    query_at_ms = now_ms() + HEIR_QUERY_PERIOD_MS;
+                    let queries = kernel.membership().ask_heirs(spender);
+                    send_gossip(kernel, queries);
                 }
-                tokio::time::sleep(NEWS_POLL).await;
+                tokio::time::sleep(HEIR_POLL_PERIOD).await;
             }
             Some(_) | None => break,
         }
@@ -92,8 +95,9 @@
     unreachable
 }
 
-/// Answers a call that the box `from`, which listens at `reply_to`, has forwarded.
-pub async fn take_call(
+/// Answers a call that the box `from`, which listens at `reply_to`, has forwarded. A
+/// repeated message for a call that still runs here is ignored.
+pub async fn handle_forwarded_call(
     kernel: Arc<Kernel>,
     from: BoxRef,
     reply_to: String,
@@ -102,27 +106,27 @@
     call: Box<Call>,
 ) {
     let _running = kernel.calls.count_running();
-    let name = (from, number);
+    let call_id = (from, number);
     let deadline_ms = call.deadline_ms;
-    let known = {
+    let earlier = {
         let mut received = locked(&kernel.calls.forwarded.received);
-        let known = received.get(&name).map(|call| call.not_run.clone());
-        received.entry(name.clone()).or_insert(ReceivedCall { not_run: None, deadline_ms });
-        known
+        let earlier = received.get(&call_id).map(|call| call.not_run.clone());
+        received.entry(call_id.clone()).or_insert(ReceivedCall { not_run: None, deadline_ms });
+        earlier
     };
-    let end = match known {
+    let end = match earlier {
         Some(None) => return,
         Some(Some(not_run)) => not_run,
-        None if spender == kernel.box_id => spend(&kernel, &call).await,
-        None => answer_as_heir(&kernel, &spender, &call)
+        None if spender == kernel.box_id => run_at_most_once(&kernel, &call).await,
+        None => answer_from_inherited_ledger(&kernel, &spender, &call)
             .unwrap_or_else(|| CallEnd::unknown(Reason::SpenderUnreachable)),
     };
     {
         let mut received = locked(&kernel.calls.forwarded.received);
         if end.outcome == Outcome::NotRun {
-            received.insert(name, ReceivedCall { not_run: Some(end.clone()), deadline_ms });
+            received.insert(call_id, ReceivedCall { not_run: Some(end.clone()), deadline_ms });
         } else {
-            received.remove(&name);
+            received.remove(&call_id);
         }
     }
     kernel.send(&reply_to, Message::CallEnd { number, end });
