--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -78,7 +78,7 @@
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     match envelope.message {
         Message::SlotRequest(slot_request) => {
-            request_slot(kernel, &envelope.reply_to, *slot_request)
+            request_slot(kernel, &envelope.reply_to, *slot_request);
         }
         Message::WithdrawSlotRequest { model, id } => withdraw(kernel, &model, &id),
         Message::SlotReport { model, report } => handle_report(kernel, &model, &report),
