--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -110,7 +110,7 @@
     {
         return false;
     }
-    if upstream.resting_until_ms(now_ms).is_some() {
+    if upstream.requested_backoff_until_ms(now_ms).is_some() {
         return false;
     }
     // Requests must not start on overdue weights even if no other engine is left.
--- a/src/gateway/decisions/upstream/health.rs
+++ b/src/gateway/decisions/upstream/health.rs
@@ -38,8 +38,8 @@
         self.consecutive_rejections = 0;
     }
 
-    /// Time until which this box prefers other upstreams because this one rests or rejected a
-    /// request; `None` if there is no such time.
+    /// Time until which this box prefers other upstreams because this one asked for a back-off or
+    /// rejected a request; `None` if there is no such time.
     #[must_use]
     pub fn backoff_until_ms(&self, now_ms: u64) -> Option<u64> {
         let until_ms = self.notices.backoff_until_ms.max(self.rejecting_until_ms);
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -162,10 +162,9 @@
         self.entry.leaving || self.notices.leaving
     }
 
-    /// Time until which it rests, that is, has asked this box not to send requests; `None` if it
-    /// accepts them.
+    /// Time until which it asked this box not to send requests; `None` if it accepts them.
     #[must_use]
-    pub fn resting_until_ms(&self, now_ms: u64) -> Option<u64> {
+    pub fn requested_backoff_until_ms(&self, now_ms: u64) -> Option<u64> {
         Some(self.notices.backoff_until_ms).filter(|until_ms| now_ms < *until_ms)
     }
 
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -150,9 +150,9 @@
         let untried = self.of_service(service).filter(|upstream| {
             !tried.iter().any(|incarnation| upstream.is_incarnation(incarnation))
         });
-        let resting_until_ms: Option<Vec<u64>> =
-            untried.map(|upstream| upstream.resting_until_ms(now_ms)).collect();
-        resting_until_ms?.into_iter().min()
+        let backoffs: Option<Vec<u64>> =
+            untried.map(|upstream| upstream.requested_backoff_until_ms(now_ms)).collect();
+        backoffs?.into_iter().min()
     }
 
     /// The upstreams of a service that are not superseded or about to leave.
