--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -45,7 +45,7 @@
     /// Scheduling priority at engines; lower values run first.
     pub priority: u8,
     /// Whether the request may run more than once.
-    pub repeat: RetryPolicy,
+    pub retry_policy: RetryPolicy,
     /// When the request is given up.
     pub deadline_ms: u64,
     /// When the response, or its first event, is due.
--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -91,7 +91,8 @@
     let timeout_ms = head.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     let priority = account.as_ref().and_then(|account| account.priority).unwrap_or(route.priority);
     let isolated_account = account.as_ref().filter(|account| account.isolated);
-    let waited_ms = gateway.state().usual_limits.elapsed_ms(arrived_at_ms, &route.name, timeout_ms);
+    let waited_ms =
+        gateway.state().route_timeouts.elapsed_ms(arrived_at_ms, &route.name, timeout_ms);
     let objective_at_ms = (arrived_at_ms + route.latency_objective_ms).saturating_sub(waited_ms);
     Ok(AdmittedRequest {
         prompt: head.prompt.clone(),
@@ -120,7 +121,7 @@
             body,
             account: account.map(|account| account.name),
             priority,
-            repeat: route.retry_policy,
+            retry_policy: route.retry_policy,
             deadline_ms: arrived_at_ms + timeout_ms.min(route.timeout_ms),
             objective_at_ms,
         },
--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -132,7 +132,7 @@
         let now_ms = now_ms();
         update_role(&gateway, &mut state, now_ms);
         state.apply_peer_reports(now_ms);
-        state.limits.recover(TICK.as_secs_f64());
+        state.admission_limits.recover(TICK.as_secs_f64());
         let changes = state.view.apply_due_removals(now_ms);
         apply(&gateway, &mut state, now_ms, NamedAt::Now, changes);
         metrics::gauge!("coursestile_weights_behind_seconds").set(longest_lag_s(&state, now_ms));
@@ -401,7 +401,7 @@
         "event=configuration_in_force version={} before={in_force} routes={} accounts={}",
         configuration.version, configuration.routes.len(), configuration.accounts.len());
     state.stores.configure(&configuration.stores);
-    state.usual_limits.retain(|route| configuration.has_route(route));
+    state.route_timeouts.retain(|route| configuration.has_route(route));
     state.configuration = Some(Arc::new(configuration));
     true
 }
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -172,7 +172,7 @@
         peers: state.peers.addresses_to_share(now_ms),
         loads: reported_loads(own_loads(state, now_ms)),
         fetches: fetches(state),
-        limits: state.limits.own_limits(),
+        limits: state.admission_limits.own_limits(),
         loading_engines: loading(state, now_ms),
         superseded: superseded(state),
         leaving: leaving(state),
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -32,8 +32,8 @@
     memory_tokens: u32,
     fetches: Vec<(String, u32)>,
     fetch_ms: f64,
-    expected_ms: f64,
-    calm: bool,
+    expected_first_token_ms: f64,
+    engine_wait_negligible: bool,
     begun_at_ms: u64,
     /// When the first token is due. Set only at an engine that was nearly full, until the first
     /// token arrives.
@@ -69,8 +69,8 @@
             memory_tokens: choice.memory_tokens,
             fetches,
             fetch_ms: context.map_or(0.0, |plan| plan.fetch_ms),
-            expected_ms: choice.expected_first_token_ms,
-            calm: choice.engine_wait_negligible,
+            expected_first_token_ms: choice.expected_first_token_ms,
+            engine_wait_negligible: choice.engine_wait_negligible,
             begun_at_ms,
             objective_at_ms: choice
                 .objective_at_ms
@@ -88,10 +88,11 @@
     /// Records that the prompt has been read, and how long fetching context took. A prompt that
     /// had to wait for the engine says nothing about the stores.
     pub fn record_first_bytes(&mut self) {
-        let late_ms =
-            as_f64(now_ms() - self.begun_at_ms) - self.expected_ms - FIRST_TOKEN_OVERHEAD_MS;
-        let slowdown =
-            (self.calm && self.fetch_ms > 0.0).then(|| 1.0 + late_ms.max(0.0) / self.fetch_ms);
+        let late_ms = as_f64(now_ms() - self.begun_at_ms)
+            - self.expected_first_token_ms
+            - FIRST_TOKEN_OVERHEAD_MS;
+        let slowdown = (self.engine_wait_negligible && self.fetch_ms > 0.0)
+            .then(|| 1.0 + late_ms.max(0.0) / self.fetch_ms);
         self.record_first_token();
         self.end_prompt(slowdown);
     }
@@ -124,7 +125,7 @@
             .get_incarnation(&self.upstream)
             .map(|upstream| upstream.entry.service.clone());
         if let Some(service) = service {
-            state.limits.record_first_token(&service, end);
+            state.admission_limits.record_first_token(&service, end);
         }
     }
 
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -54,11 +54,11 @@
     pub upstreams: Upstreams,
     pub stores: Stores,
     /// Time limits that clients usually send, by route.
-    pub usual_limits: RouteTimeouts,
+    pub route_timeouts: RouteTimeouts,
     /// Limits on the load of engines, learned per service.
-    pub limits: AdmissionLimits,
+    pub admission_limits: AdmissionLimits,
     /// Retry budgets, by service.
-    pub budget: RetryBudget,
+    pub retry_budget: RetryBudget,
     /// Requests that crashed upstreams.
     pub quarantine: Quarantine,
     /// The other boxes of the fleet.
@@ -134,7 +134,7 @@
     /// Applies the reports of all other boxes. Load reported by boxes that have fallen silent
     /// lapses; and an upstream may be new to this box although peers have reported on it before.
     pub fn apply_peer_reports(&mut self, now_ms: u64) {
-        let Self { peers, upstreams, stores, limits, .. } = self;
+        let Self { peers, upstreams, stores, admission_limits, .. } = self;
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
             upstream.peer_load = peers.load(upstream.number);
@@ -143,7 +143,7 @@
         for (_, store) in stores.iter_mut() {
             store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
         }
-        limits.set_peer_limits(peers.limits(now_ms));
+        admission_limits.set_peer_limits(peers.limits(now_ms));
     }
 
     /// Updates the offset from the time that the upstreams' clock showed when a message was sent.
@@ -229,7 +229,7 @@
     /// Fails when an HTTP client cannot be created.
     pub fn new(settings: Settings) -> Result<Arc<Self>> {
         let bounds = &settings.bounds;
-        let terms = budget::RetryBudgetConfig {
+        let retry_config = budget::RetryBudgetConfig {
             ratio: bounds.retry_ratio,
             window_ms: bounds.retry_window_ms,
             extra: bounds.retry_extra,
@@ -241,9 +241,9 @@
             weights: HashMap::new(),
             upstreams: Upstreams::default(),
             stores: Stores::default(),
-            usual_limits: RouteTimeouts::default(),
-            limits: AdmissionLimits::default(),
-            budget: RetryBudget::new(terms, now_ms()),
+            route_timeouts: RouteTimeouts::default(),
+            admission_limits: AdmissionLimits::default(),
+            retry_budget: RetryBudget::new(retry_config, now_ms()),
             quarantine: Quarantine::default(),
             peers: Peers::new(own(&settings), &settings.seeds),
             follows_metadata: true,
--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -107,7 +107,7 @@
                 return Some(Err(BodyAborted::Upstream));
             };
             let deadline = instant_at(self.request.outgoing.deadline_ms);
-            let resumable = self.request.outgoing.repeat == RetryPolicy::StreamResumable;
+            let resumable = self.request.outgoing.retry_policy == RetryPolicy::StreamResumable;
             let may_move_at = self.may_move_at.filter(|_| resumable);
             let has_event = self.last_event_id.is_some();
             let next = tokio::select! {
@@ -162,7 +162,7 @@
 
     /// The bytes that can be forwarded now. Of a resumable stream, these are whole events.
     fn complete_events(&mut self, bytes: Bytes) -> Bytes {
-        if self.request.outgoing.repeat != RetryPolicy::StreamResumable {
+        if self.request.outgoing.retry_policy != RetryPolicy::StreamResumable {
             return bytes;
         }
         self.buffer.extend_from_slice(&bytes);
@@ -185,7 +185,7 @@
             &self.choice.upstream,
             self.request.outgoing.fingerprint,
         );
-        if self.request.outgoing.repeat != RetryPolicy::StreamResumable {
+        if self.request.outgoing.retry_policy != RetryPolicy::StreamResumable {
             return Some(BodyAborted::Upstream);
         }
         loop {
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -60,7 +60,7 @@
 pub fn log_attempt_start(gateway: &Gateway, request: &AdmittedRequest, choice: &Choice) {
     let (limit, behind_ms) = {
         let state = gateway.state();
-        (state.limits.limit_of(&request.service), behind_ms(&state, request, choice))
+        (state.admission_limits.limit_of(&request.service), behind_ms(&state, request, choice))
     };
     let context = choice.context.as_ref();
     info!(target: "serve",
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -82,7 +82,7 @@
             return response::refusal(reason, request_id.as_deref(), retry_after_ms);
         }
     };
-    gateway.state().budget.record_request(arrived_at_ms, &request.service);
+    gateway.state().retry_budget.record_request(arrived_at_ms, &request.service);
     let mut response = run_attempts(&gateway, request).await;
     // The request stays in flight until its response body has been sent.
     let body = std::mem::replace(response.body_mut(), response::full_body(Bytes::new()));
@@ -249,7 +249,7 @@
 
 /// Whether the request may be sent to another upstream, leaving the retry budget aside.
 pub(super) fn is_retry_allowed(request: &AdmittedRequest, now_ms: u64) -> bool {
-    let allowed = !request.may_have_run || request.outgoing.repeat.may_retry();
+    let allowed = !request.may_have_run || request.outgoing.retry_policy.may_retry();
     let time_left = now_ms + MIN_RETRY_TIME_MS < request.outgoing.deadline_ms;
     allowed && request.attempts_made < request.route.max_attempts && time_left
 }
@@ -266,7 +266,7 @@
         return false;
     }
     let boxes = state.peers.live_boxes(now_ms);
-    state.budget.try_spend(now_ms, &request.service, boxes)
+    state.retry_budget.try_spend(now_ms, &request.service, boxes)
 }
 
 /// Forwards an upstream's response; `None` if the request is to be sent again.
@@ -279,7 +279,7 @@
     if let (Some(version), Some(prompt)) = (response.head.ran_version, &request.prompt) {
         response.in_flight.record_version(&prompt.model, version);
     }
-    if request.outgoing.repeat.is_stream() && response.status.is_success() {
+    if request.outgoing.retry_policy.is_stream() && response.status.is_success() {
         return Some(relay::stream(gateway, request, response, choice, Bytes::new()));
     }
     let deadline = instant_at(request.outgoing.deadline_ms);
@@ -314,7 +314,7 @@
     choice: &Choice,
     status: StatusCode,
 ) -> bool {
-    if request.outgoing.repeat != RetryPolicy::Repeatable {
+    if request.outgoing.retry_policy != RetryPolicy::Repeatable {
         return false;
     }
     request.record_attempt(&choice.upstream);
@@ -422,7 +422,7 @@
                 .higher_priority_ranks(&request.service, request.route.priority),
             objective_ms: request.route.latency_objective_ms,
             objective_missed: now_ms >= request.outgoing.objective_at_ms,
-            load_limit: state.limits.limit_of(&request.service),
+            load_limit: state.admission_limits.limit_of(&request.service),
         },
         objective_at_ms: Some(request.outgoing.objective_at_ms),
     };
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -46,7 +46,7 @@
     request: &AdmittedRequest,
     current: &Choice,
 ) -> Choice {
-    if !request.outgoing.repeat.may_retry() {
+    if !request.outgoing.retry_policy.may_retry() {
         return pending().await;
     }
     loop {
