--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -19,9 +19,9 @@
 use crate::dispatch_state::Dispatchers;
 use crate::error::Result;
 use crate::heartbeat::{HeartbeatAction, Heartbeats};
-use crate::link::{self, Link};
 use crate::member::{Gossip, Health, Member};
 use crate::membership::Membership;
+use crate::peer_sockets::{self, PeerSockets};
 use crate::placement_state::Placements;
 use crate::quarantine::Quarantine;
 use crate::settings::Settings;
@@ -128,7 +128,7 @@
     pub streams: AnswerStreams,
     /// Requests that crash upstreams.
     pub quarantine: Mutex<Quarantine>,
-    link: Link,
+    peer_sockets: PeerSockets,
     heartbeats: Mutex<Heartbeats>,
     membership: Mutex<Membership>,
     phase: watch::Sender<BoxPhase>,
@@ -161,7 +161,7 @@
             calls: Calls::default(),
             streams: AnswerStreams::default(),
             quarantine: Mutex::default(),
-            link: Link::new(settings.routes.clone()),
+            peer_sockets: PeerSockets::new(settings.routes.clone()),
             heartbeats: Mutex::default(),
             membership: Mutex::new(membership),
             phase: watch::Sender::new(BoxPhase::Serving),
@@ -175,7 +175,7 @@
     /// # Errors
     /// Fails when the peer address cannot be bound.
     pub async fn run(self: &Arc<Self>) -> Result<()> {
-        let mut received = link::listen(&self.settings.peers.to_string())?;
+        let mut received = peer_sockets::listen(&self.settings.peers.to_string())?;
         let mut handlers = BTreeMap::new();
         for plugin in inventory::iter::<Plugin> {
             debug!(target: "kernel", "Starting plug-in {}.", plugin.name);
@@ -227,7 +227,7 @@
                 HeartbeatAction::SendHeartbeat(peer) => peer,
                 HeartbeatAction::Redial(peer) => {
                     info!(target: "kernel", "Peer {peer} is silent: reconnecting.");
-                    self.link.redial(&peer);
+                    self.peer_sockets.redial(&peer);
                     peer
                 }
             };
@@ -266,7 +266,7 @@
         locked(&self.heartbeats).record_sent(now_ms(), to);
         let envelope = self.envelope(to, message);
         match encode(&self.settings.cluster_key, &envelope) {
-            Ok(bytes) => self.link.send(to, &bytes),
+            Ok(bytes) => self.peer_sockets.send(to, &bytes),
             Err(error) => warn!(target: "kernel", "Message to peer {to} not sent: {error}."),
         }
     }
--- a/src/link.rs
+++ b/src/peer_sockets.rs
@@ -1,9 +1,9 @@
-//! The sockets between boxes.
+//! Sockets for messages between boxes.
 //!
-//! Each box listens on one pull socket and dials a push socket to each peer
-//! that it talks to. A message that cannot be sent at once is dropped: all
-//! that is said here is said again, or its absence is noticed by a deadline.
-//! A socket that has gone silent is noticed by `heartbeat`.
+//! Each box listens on one pull socket and dials a push socket for each peer that it
+//! sends to. A message that cannot be sent at once is dropped: every message is either
+//! repeated or followed by a time-out that reveals its loss. Sockets that have gone
+//! silent are detected in `heartbeat`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -17,29 +17,30 @@
 use crate::sync::locked;
 use crate::wire::MAX_MESSAGE_BYTES;
 
-/// Messages held for one peer.
+/// Capacity of the send buffer for one peer, in messages.
 const SEND_BUFFER_LEN: i32 = 256;
-/// Messages received and not yet looked at.
+/// Capacity of the queue of received messages.
 const RECEIVE_BUFFER_LEN: usize = 8192;
-/// Most peers with an open socket.
-const MAX_OPEN_PEERS: usize = 128;
+/// Maximum number of open push sockets.
+const MAX_OPEN_SOCKETS: usize = 128;
 
-struct Peer {
+struct PeerSocket {
     socket: Socket,
-    used_at: Instant,
+    last_used_at: Instant,
 }
 
-/// Sends to peers, and counts what it sends.
-pub struct Link {
+/// Push sockets to peers, with metrics of what is sent.
+pub struct PeerSockets {
+    /// Addresses to dial instead of a peer's own address, for example those of proxies.
     routes: BTreeMap<String, String>,
-    peers: Mutex<HashMap<String, Peer>>,
+    peers: Mutex<HashMap<String, PeerSocket>>,
 }
 
 fn listen_error(address: &str, error: nng::Error) -> Error {
     Error::Listen(address.to_owned(), error.to_string())
 }
 
-/// Listens on `address`; what comes arrives at the receiver.
+/// Listens on `address`; returns a queue of the messages received.
 ///
 /// # Errors
 /// Fails when the address cannot be bound.
@@ -50,7 +51,7 @@
         .and_then(|()| socket.listen(&format!("tcp://{address}")))
         .map_err(|error| listen_error(address, error))?;
     let (sender, receiver) = mpsc::channel(RECEIVE_BUFFER_LEN);
-    // The socket's receive call blocks, so it gets a thread of its own.
+    // `recv` blocks, so it runs on a thread of its own.
     std::thread::spawn(move || {
         while let Ok(message) = socket.recv() {
             if sender.blocking_send(message.as_slice().to_vec()).is_err() {
@@ -61,21 +62,22 @@
     Ok(receiver)
 }
 
-impl Link {
-    /// A link that reaches some peers by `routes`.
+impl PeerSockets {
+    /// Creates the sockets' state; a peer whose address is in `routes` is dialled at the
+    /// address given there.
     #[must_use]
     pub fn new(routes: BTreeMap<String, String>) -> Self {
         Self { routes, peers: Mutex::default() }
     }
 
-    /// Sends bytes to a peer, or drops them.
+    /// Sends bytes to a peer; drops them if they cannot be sent at once.
     pub fn send(&self, address: &str, bytes: &[u8]) {
         let size = bytes.len() as u64;
         let mut peers = locked(&self.peers);
         if !peers.contains_key(address) {
-            close_idle(&mut peers);
-            let way = self.routes.get(address).map_or(address, String::as_str);
-            let Some(peer) = dial(way) else {
+            close_least_recently_used(&mut peers);
+            let target = self.routes.get(address).map_or(address, String::as_str);
+            let Some(peer) = dial(target) else {
                 return;
             };
             peers.insert(address.to_owned(), peer);
@@ -83,7 +85,7 @@
         let Some(peer) = peers.get_mut(address) else {
             return;
         };
-        peer.used_at = Instant::now();
+        peer.last_used_at = Instant::now();
         if peer.socket.try_send(nng::Message::from(bytes)).is_ok() {
             metrics::counter!("coursestile_peer_sent_bytes_total").increment(size);
             metrics::counter!("coursestile_peer_sent_messages_total").increment(1);
@@ -92,9 +94,9 @@
         }
     }
 
-    /// Gives up the socket to a peer; the next message dials anew.
+    /// Closes the socket to a peer; the next message opens a new one.
     pub fn redial(&self, address: &str) {
-        // Closed after the lock is let go, since that may take a while.
+        // The socket is dropped after the lock is released, as closing it may take a while.
         let closed = locked(&self.peers).remove(address);
         if closed.is_some() {
             metrics::counter!("coursestile_peer_redials_total").increment(1);
@@ -102,19 +104,19 @@
     }
 }
 
-fn dial(address: &str) -> Option<Peer> {
+fn dial(address: &str) -> Option<PeerSocket> {
     let socket = Socket::new(Protocol::Push0).ok()?;
     socket.set_opt::<SendBufferSize>(SEND_BUFFER_LEN).ok()?;
     socket.dial_async(&format!("tcp://{address}")).ok()?;
-    Some(Peer { socket, used_at: Instant::now() })
+    Some(PeerSocket { socket, last_used_at: Instant::now() })
 }
 
-/// Closes the socket used longest ago when there are many.
-fn close_idle(peers: &mut HashMap<String, Peer>) {
-    if peers.len() < MAX_OPEN_PEERS {
+/// Closes the least recently used socket when the limit is reached.
+fn close_least_recently_used(peers: &mut HashMap<String, PeerSocket>) {
+    if peers.len() < MAX_OPEN_SOCKETS {
         return;
     }
-    let oldest = peers.iter().min_by_key(|(_, peer)| peer.used_at);
+    let oldest = peers.iter().min_by_key(|(_, peer)| peer.last_used_at);
     if let Some(address) = oldest.map(|(address, _)| address.clone()) {
         peers.remove(&address);
     }
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,10 +1,9 @@
-//! HTTP connections kept open to one outside system.
+//! Pools of HTTP connections to external systems.
 //!
-//! A connection can go silent while both its ends stay up: the system's keep-alive
-//! shows it where the network loses what is sent, and only a time-out of the call's
-//! own where it does not. The connections kept beside one that was silent have most
-//! likely gone the same way, so all are let go together, and the next call connects
-//! anew.
+//! A connection can go silent while both of its ends stay up. TCP keep-alive detects that
+//! if the network drops packets; otherwise only the time-out of a call does. The other
+//! connections in the pool are then most likely silent too, so the whole pool is
+//! discarded, and the next call opens a new connection.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -14,36 +13,36 @@
 
 use crate::sync::locked;
 
-/// Time to connect.
+/// Timeout of connection attempts.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Connections kept open to one system for later calls.
+/// Maximum number of idle connections to one system.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Time for which they are kept.
+/// Time after which an idle connection is closed.
 const IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
-/// Silence after which the kernel probes a connection, and time between its probes.
+/// Idle time after which TCP sends a keep-alive probe, and time between probes.
 pub const KEEPALIVE_PERIOD: Duration = Duration::from_secs(1);
-/// Unanswered probes after which a connection is over.
+/// Unanswered keep-alive probes after which a connection is closed.
 pub const KEEPALIVE_RETRIES: u32 = 2;
-/// Time for which bytes that were sent may stay unacknowledged.
+/// Time for which sent data may stay unacknowledged before the connection is closed.
 pub const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The connections to one system.
+/// Pool of connections to one external system.
 pub struct ConnectionPool {
     current: Mutex<ClientGeneration>,
     max_idle: usize,
 }
 
-/// Connections that are let go together.
+/// A client whose connections are discarded together.
 #[derive(Clone)]
 struct ClientGeneration {
     http: Client,
     number: u64,
 }
 
-/// The connections that a call uses.
+/// A pool's client, for use by one call.
 #[derive(Clone)]
 pub struct PooledClient {
-    /// Client that opens and keeps them.
+    /// Client that opens and reuses connections.
     pub http: Client,
     number: u64,
     pool: Arc<ConnectionPool>,
@@ -61,13 +60,13 @@
         Self { current, max_idle }
     }
 
-    /// A pool that keeps no connection: each call opens its own.
+    /// A pool without reuse: each call opens a connection of its own.
     #[must_use]
     pub fn without_reuse() -> Self {
         Self::with_max_idle(0)
     }
 
-    /// The connections to use for a call.
+    /// The client to use for a call.
     #[must_use]
     pub fn client(self: &Arc<Self>) -> PooledClient {
         let ClientGeneration { http, number } = locked(&self.current).clone();
@@ -76,20 +75,20 @@
 }
 
 impl PooledClient {
-    /// Sends a call; when it is not answered in time, the others are let go.
+    /// Sends a call; when it times out, the pool's connections are discarded.
     ///
     /// # Errors
-    /// Fails as the call does.
+    /// Fails when the call does.
     pub async fn send(&self, call: RequestBuilder) -> reqwest::Result<Response> {
-        let answer = call.send().await;
-        if answer.as_ref().is_err_and(reqwest::Error::is_timeout) {
+        let response = call.send().await;
+        if response.as_ref().is_err_and(reqwest::Error::is_timeout) {
             self.report_silent();
         }
-        answer
+        response
     }
 
-    /// Lets the kept connections go, since one was silent; does nothing when that
-    /// was done since this call began.
+    /// Discards the pool's connections, as one of them was silent. Does nothing if they
+    /// have been discarded since this client was taken from the pool.
     pub fn report_silent(&self) {
         let mut current = locked(&self.pool.current);
         if current.number == self.number {
@@ -102,14 +101,14 @@
     }
 }
 
-/// A pool for each of several systems.
+/// One pool for each of several systems, by URL.
 #[derive(Default)]
 pub struct ConnectionPools {
     by_url: Mutex<HashMap<String, Arc<ConnectionPool>>>,
 }
 
 impl ConnectionPools {
-    /// The connections to use for a call to the system at `url`.
+    /// The client to use for a call to the system at `url`.
     #[must_use]
     pub fn client(&self, url: &str) -> PooledClient {
         let mut by_url = locked(&self.by_url);
--- a/src/port.rs
+++ b/src/port.rs
@@ -1,5 +1,5 @@
-//! Whether anybody listens at an address: a process that has crashed refuses connections
-//! until it is started again.
+//! Detects whether a process listens at an address. The address of a crashed process
+//! refuses connections until the process is started again.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -7,43 +7,52 @@
 use tokio::net::{TcpStream, ToSocketAddrs};
 use tokio::time::timeout;
 
-/// Time in which a connection must come up: less than the second after which a lost packet
-/// is sent again.
+/// Timeout of a connection attempt: less than the second after which TCP sends a lost
+/// packet again.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time in which a process that ends closes all of its sockets.
+/// Time within which a process that exits closes all of its sockets.
 const SETTLE_TIME: Duration = Duration::from_millis(50);
-/// Connections that are tried, while each comes up and is closed again.
-const LOOKS: u32 = 3;
+/// Maximum number of attempts, while each connection is accepted and closed at once.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// What a connection shows of a port.
-enum Look {
+/// Result of a connection attempt.
+enum ProbeResult {
     Open,
     Refused,
-    /// The connection was closed as soon as it came up.
+    /// The connection was closed as soon as it was established.
     Closing,
     NoAnswer,
 }
 
 /// Whether connections to an address are refused.
 pub async fn is_closed(address: impl ToSocketAddrs + Copy) -> bool {
-    for _ in 0..LOOKS {
-        match look(address).await {
-            Look::Refused => return true,
-            // A process that ends may close its connections before its port.
-            Look::Closing => {}
-            Look::Open | Look::NoAnswer => return false,
+    for _ in 0..MAX_ATTEMPTS {
+        match probe(address).await {
+            ProbeResult::Refused => return true,
+            // A process that exits may close its connections before its listening socket.
+            ProbeResult::Closing => {}
+            ProbeResult::Open | ProbeResult::NoAnswer => return false,
         }
     }
     false
 }
 
-async fn look(address: impl ToSocketAddrs) -> Look {
+async fn probe(address: impl ToSocketAddrs) -> ProbeResult {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Look::Refused,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => return Look::Closing,
-        Ok(Err(_)) | Err(_) => return Look::NoAnswer,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
+            return ProbeResult::Refused;
+        }
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => {
+            return ProbeResult::Closing;
+        }
+        Ok(Err(_)) | Err(_) => return ProbeResult::NoAnswer,
     };
-    // The other side has nothing to say: what can be read is its end.
-    if timeout(SETTLE_TIME, stream.readable()).await.is_ok() { Look::Closing } else { Look::Open }
+    // The peer sends nothing before it has a request, so a readable socket means that the
+    // connection was closed.
+    if timeout(SETTLE_TIME, stream.readable()).await.is_ok() {
+        ProbeResult::Closing
+    } else {
+        ProbeResult::Open
+    }
 }
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -8,8 +8,8 @@
 use common::{call, fleet, runs};
 use coursestile::clock::now_ms;
 use coursestile::ledger::{CallKey, Ledger, Outcome};
-use coursestile::link::{Link, listen};
 use coursestile::member::{Gossip, Health, Member};
+use coursestile::peer_sockets::{PeerSockets, listen};
 use coursestile::ticket::{BoxRef, ClusterKey, Ticket};
 use coursestile::trace::TraceId;
 use coursestile::wire::{Call, CallEnd, Envelope, Message, decode, encode};
@@ -23,7 +23,7 @@
     address: String,
     spender: BoxRef,
     to: String,
-    link: Link,
+    sockets: PeerSockets,
     received: mpsc::Receiver<Vec<u8>>,
     _network: Network,
 }
@@ -48,7 +48,7 @@
             address,
             spender: BoxRef { name: name.to_owned(), incarnation },
             to: host,
-            link: Link::new(std::collections::BTreeMap::new()),
+            sockets: PeerSockets::new(std::collections::BTreeMap::new()),
             _network: network,
         }
     }
@@ -78,7 +78,7 @@
             config_revision: 0,
             message,
         };
-        self.link.send(&self.to, &encode(&cluster_key(), &envelope).unwrap());
+        self.sockets.send(&self.to, &encode(&cluster_key(), &envelope).unwrap());
     }
 
     /// The next end of a call, with its number.
