--- a/src/chunk.rs
+++ b/src/chunk.rs
@@ -1,4 +1,4 @@
-//! Answers as callers get them: pieces of JSON, streamed as events.
+//! Answers in the format sent to callers: JSON chunks, streamed as server-sent events.
 
 use std::sync::Arc;
 
@@ -9,10 +9,10 @@
 use crate::rejection::error_body;
 use crate::streams::{AnswerStream, ReaderGuard, StreamEnd, StreamUpdate};
 
-/// Last event of a whole answer.
+/// Data of the last event of a complete answer.
 const END_MARK: &str = "[DONE]";
 
-/// A piece of an answer, as callers get it.
+/// A chunk of an answer, as sent to callers.
 #[derive(Serialize)]
 pub struct Chunk<'a> {
     id: &'a str,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The last piece, which tells the usage.
+/// The last chunk, which has the finish reason and the token usage.
 pub fn last_chunk<'a>(
     stream: &'a AnswerStream,
     version: &'a str,
@@ -87,7 +87,7 @@
     _reader: ReaderGuard,
 }
 
-/// The events of an answer from its piece `from` on, for one reader.
+/// The events of an answer from piece `from` on, for one reader.
 pub fn events(
     stream: Arc<AnswerStream>,
     reader: ReaderGuard,
@@ -106,10 +106,10 @@
 }
 
 impl Cursor {
-    /// The next events. The end mark follows only a whole answer.
+    /// The next events. The end mark is sent only after a complete answer.
     async fn next_batch(&mut self) -> Vec<Event> {
         match self.stream.next(self.next).await {
-            StreamUpdate::Texts(texts) => texts.iter().map(|text| self.piece(text)).collect(),
+            StreamUpdate::Texts(texts) => texts.iter().map(|text| self.chunk_event(text)).collect(),
             StreamUpdate::End(StreamEnd::Finished(reason)) => {
                 self.ended = true;
                 let last = last_chunk(&self.stream, &self.version, self.next, "", &reason);
@@ -123,12 +123,12 @@
         }
     }
 
-    fn piece(&mut self, text: &str) -> Event {
+    fn chunk_event(&mut self, text: &str) -> Event {
         if self.version.is_empty() {
             self.version = self.stream.version_and_cached_tokens().0;
         }
-        let piece = event(&chunk(&self.stream, &self.version, self.next, text));
+        let event = event(&chunk(&self.stream, &self.version, self.next, text));
         self.next += 1;
-        piece
+        event
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of a box: an INI file, checked whole.
+//! Settings of a box, read from an INI file.
 //!
-//! Every finding is collected with its line, and all are reported together.
+//! All errors in the file are collected with their lines and reported together.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use crate::share::SharePolicy;
 use crate::ticket::ClusterKey;
 
-/// What an upstream is.
+/// Kind of an upstream, with its settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UpstreamKind {
     /// A model engine.
     Engine(EngineSettings),
-    /// A context store box.
+    /// A context store.
     Store(StoreSettings),
     /// A worker of a plain service.
     Service {
         /// Service that it belongs to.
         service: String,
-        /// Paths whose calls may be repeated.
+        /// Path prefixes under which a call may be sent more than once.
         repeatable: Vec<String>,
     },
 }
@@ -34,35 +34,35 @@
 pub struct EngineSettings {
     /// Model that it serves.
     pub model: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Size of its prefix cache.
+    /// Size of its prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// First estimate of the time to prefill a token, in microseconds.
+    /// Initial estimate of the prefill time per token, in microseconds.
     pub prefill_token_us: f64,
-    /// Size of kept context, in bytes a token.
+    /// Size of stored context, in bytes per token.
     pub kv_token_bytes: u64,
-    /// Whether it checks who gives it an order.
+    /// Whether it checks the fencing token of the orders that it gets.
     pub checks_orders: bool,
 }
 
-/// Settings of a context store box.
+/// Settings of a context store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// Bytes that this hall may use there.
+    /// Capacity that this hall may use, in bytes.
     pub capacity_bytes: u64,
-    /// First estimate of its link's rate, in bytes a millisecond.
+    /// Initial estimate of the transfer rate of its network link, in bytes per millisecond.
     pub link_bytes_per_ms: f64,
 }
 
-/// An upstream.
+/// Settings of an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Upstream {
     /// Name.
     pub name: String,
-    /// Where it listens.
+    /// Base URL.
     pub url: String,
-    /// What it is.
+    /// Kind, with the settings of that kind.
     pub kind: UpstreamKind,
 }
 
@@ -71,37 +71,37 @@
 pub struct Settings {
     /// Name of the box.
     pub name: String,
-    /// Data hall.
+    /// Data hall of the box.
     pub hall: String,
     /// Region of the hall.
     pub region: String,
-    /// Where callers reach it.
+    /// Address to listen on for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// Address to listen on for operators.
     pub operators: SocketAddr,
-    /// Where it listens for its peers.
+    /// Address to listen on for peers.
     pub peers: SocketAddr,
-    /// Where its peers reach it.
+    /// Address at which peers reach this box, as told to them.
     pub advertise: String,
-    /// Ways to peers that are not reached where they say: address and way.
+    /// Addresses to dial instead of those that peers advertise, by advertised address.
     pub routes: BTreeMap<String, String>,
-    /// Peers to learn the others from.
+    /// Addresses of the peers to contact first, from which this box learns of the others.
     pub seeds: Vec<String>,
     /// Key shared by all boxes.
     pub cluster_key: ClusterKey,
-    /// Where the platform's key-value service listens.
+    /// Base URL of the platform's key-value store.
     pub platform_url: String,
-    /// Longest body of a request.
+    /// Maximum length of a request body.
     pub max_body_bytes: usize,
-    /// Time after which a request without a deadline of its own is given up.
+    /// Timeout of requests that have no deadline of their own.
     pub default_timeout_ms: u64,
-    /// Time that a planned stop leaves for running requests.
+    /// Time for which a planned stop waits for running requests.
     pub drain_timeout_ms: u64,
-    /// Records of prompts that a dispatcher remembers.
+    /// Maximum number of prompts that a dispatcher keeps a record of.
     pub prompt_records: usize,
-    /// Policies of placing and sharing.
+    /// Policies for choosing an engine and for sharing the fleet between accounts.
     pub policies: Policies,
-    /// Policy of keeping.
+    /// Policy for keeping context in stores.
     pub keep: KeepPolicy,
     /// Upstreams of the hall.
     pub upstreams: Vec<Upstream>,
@@ -111,18 +111,18 @@
     /// Reads settings from the text of `file`.
     ///
     /// # Errors
-    /// Fails with every finding.
+    /// Fails with all errors that were found.
     pub fn parse(file: &str, text: &str) -> Result<Self> {
-        let mut reader = Reader(IniFile::read(file, text));
+        let mut reader = SettingsReader(IniFile::read(file, text));
         let settings = reader.settings();
         reader.0.finish(settings)
     }
 }
 
 /// Reads the settings of a box from its file.
-struct Reader<'a>(IniFile<'a>);
+struct SettingsReader<'a>(IniFile<'a>);
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     fn settings(&mut self) -> Settings {
         self.0.check_known_names(known_keys);
         let name: String = self.0.required("box", "name");
@@ -145,10 +145,10 @@
             drain_timeout_ms: self.0.optional("limits", "drain_timeout_ms", 60_000),
             prompt_records: self.0.optional("limits", "prompt_records", 40_000),
             policies: Policies {
-                route: self.named("route", RoutePolicy::from_name),
-                share: self.named("share", SharePolicy::from_name),
+                route: self.policy("route", RoutePolicy::from_name),
+                share: self.policy("share", SharePolicy::from_name),
             },
-            keep: self.named("keep", KeepPolicy::from_name),
+            keep: self.policy("keep", KeepPolicy::from_name),
             upstreams: self.upstreams(),
             name,
         }
@@ -187,7 +187,8 @@
                 repeatable: self.0.list(section, "repeatable"),
             }),
             Some(kind) => {
-                let text = format!("kind '{kind}' is none of engine, store and service");
+                let text =
+                    format!("kind: unknown kind '{kind}', expected engine, store or service");
                 self.0.add_finding(section, "kind", text);
                 None
             }
@@ -198,12 +199,12 @@
         }
     }
 
-    fn named<T: Default>(&mut self, key: &str, from_name: impl Fn(&str) -> Option<T>) -> T {
+    fn policy<T: Default>(&mut self, key: &str, from_name: impl Fn(&str) -> Option<T>) -> T {
         let Some(value) = self.0.text("policy", key).map(str::to_owned) else {
             return T::default();
         };
         from_name(&value).unwrap_or_else(|| {
-            self.0.add_finding("policy", key, format!("{key}: there is no policy '{value}'"));
+            self.0.add_finding("policy", key, format!("{key}: unknown policy '{value}'"));
             T::default()
         })
     }
@@ -211,10 +212,10 @@
     fn routes(&mut self) -> BTreeMap<String, String> {
         let mut routes = BTreeMap::new();
         for pair in self.0.list("box", "routes") {
-            if let Some((address, way)) = pair.split_once('>') {
-                routes.insert(address.to_owned(), way.to_owned());
+            if let Some((address, target)) = pair.split_once('>') {
+                routes.insert(address.to_owned(), target.to_owned());
             } else {
-                let text = format!("routes: '{pair}' is not address>way");
+                let text = format!("routes: '{pair}' is not of the form address>target");
                 self.0.add_finding("box", "routes", text);
             }
         }
@@ -224,7 +225,11 @@
     fn url(&mut self, section: &str) -> String {
         let url: String = self.0.required(section, "url");
         if !url.is_empty() && !url.starts_with("http://") && !url.starts_with("https://") {
-            self.0.add_finding(section, "url", format!("url: '{url}' begins with no http://"));
+            self.0.add_finding(
+                section,
+                "url",
+                format!("url: '{url}' does not begin with http:// or https://"),
+            );
         }
         url.trim_end_matches('/').to_owned()
     }
@@ -232,7 +237,7 @@
     fn cluster_key(&mut self, digits: &str) -> ClusterKey {
         let parsed = blake3::Hash::from_hex(digits).map(|hash| *hash.as_bytes());
         if parsed.is_err() && !digits.is_empty() {
-            let text = "cluster_key: 64 hex digits are needed".to_owned();
+            let text = "cluster_key: expected 64 hexadecimal digits".to_owned();
             self.0.add_finding("box", "cluster_key", text);
         }
         parsed.unwrap_or_default()
--- a/src/streams.rs
+++ b/src/streams.rs
@@ -1,8 +1,8 @@
-//! Answers under way: what was generated so far, and who reads it.
+//! Answers in progress: the text generated so far, and the number of readers.
 //!
-//! An answer is generated whether or not its caller is connected, so that a
-//! caller whose connection broke can go on reading by the request's id. One
-//! that nobody reads is cancelled after a while.
+//! An answer is generated whether or not its caller is connected, so that a caller whose
+//! connection broke can resume reading by the request's id. An answer without readers is
+//! cancelled after [`UNREAD_TIMEOUT_MS`].
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,19 +14,19 @@
 use crate::refusal::Refusal;
 use crate::sync::locked;
 
-/// Time for which an ended answer can still be read.
+/// Time for which an ended answer is kept for its readers.
 const RETENTION_MS: u64 = 30_000;
-/// Ended answers that are kept at most.
+/// Maximum number of ended answers kept.
 const MAX_ENDED: usize = 512;
-/// Time after which an answer that nobody reads is cancelled.
+/// Time without a reader after which an answer is cancelled.
 pub const UNREAD_TIMEOUT_MS: u64 = 15_000;
 
 /// How an answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// It is whole; the reason is the engine's.
+    /// It is complete, with the finish reason that the engine gave.
     Finished(String),
-    /// It was refused, or broke off.
+    /// The request was refused, or the answer broke off.
     Refused(Refusal),
 }
 
@@ -40,15 +40,15 @@
     unread_since_ms: u64,
 }
 
-/// One answer.
+/// One answer and its readers.
 pub struct AnswerStream {
-    /// Name of the request.
+    /// Id of the request.
     pub id: String,
     /// Client account that it belongs to.
     pub account: String,
-    /// Model that was asked.
+    /// Model that the request names.
     pub model: String,
-    /// Length of the prompt.
+    /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
     content: Mutex<Content>,
     changed: watch::Sender<()>,
@@ -56,15 +56,15 @@
     readers: AtomicUsize,
 }
 
-/// What a reader finds past the place that it has read to.
+/// What follows the pieces that a reader has read.
 pub enum StreamUpdate {
-    /// More text, one for each piece.
+    /// Texts of the next pieces.
     Texts(Vec<String>),
-    /// The end.
+    /// The end of the answer.
     End(StreamEnd),
 }
 
-/// Counts a reader for as long as it lives.
+/// Counts as a reader of an answer until it is dropped.
 pub struct ReaderGuard(Arc<AnswerStream>);
 
 impl Drop for ReaderGuard {
@@ -79,7 +79,7 @@
         locked(&self.content)
     }
 
-    /// Adds a piece.
+    /// Appends a piece. `version` and `cached_tokens` are taken from the first piece only.
     pub fn push(&self, text: String, version: &str, cached_tokens: u32) {
         {
             let mut content = self.content();
@@ -92,7 +92,7 @@
         self.changed.send_replace(());
     }
 
-    /// Ends the answer; the first end counts.
+    /// Ends the answer; later calls have no effect.
     pub fn finish(&self, end: StreamEnd) {
         {
             let mut content = self.content();
@@ -105,20 +105,21 @@
         self.changed.send_replace(());
     }
 
-    /// Version that ran and prompt tokens that were cached, once known.
+    /// Weight version that ran and number of cached prompt tokens; empty and 0 before the
+    /// first piece.
     #[must_use]
     pub fn version_and_cached_tokens(&self) -> (String, u32) {
         let content = self.content();
         (content.version.clone(), content.cached_tokens)
     }
 
-    /// The text so far.
+    /// The text generated so far.
     #[must_use]
     pub fn text(&self) -> String {
         self.content().texts.concat()
     }
 
-    /// Waits for news past the first `read` pieces.
+    /// Waits for pieces after the first `read` ones, or for the end.
     pub async fn next(&self, read: usize) -> StreamUpdate {
         let mut changed = self.changed.subscribe();
         loop {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Counts a reader.
+    /// Adds a reader, which counts until the guard is dropped.
     pub fn add_reader(self: &Arc<Self>) -> ReaderGuard {
         self.readers.fetch_add(1, Ordering::AcqRel);
         ReaderGuard(self.clone())
@@ -154,7 +155,7 @@
         let _ = cancelled.wait_for(|cancelled| *cancelled).await;
     }
 
-    /// When it ended; none while it runs.
+    /// When the answer ended; `None` while it is generated.
     fn ended_at_ms(&self) -> Option<u64> {
         let content = self.content();
         content.end.as_ref().map(|_| content.ended_at_ms)
@@ -166,14 +167,14 @@
     }
 }
 
-/// All answers of this box.
+/// All answers of this box, by request id.
 #[derive(Default)]
 pub struct AnswerStreams {
     by_id: Mutex<HashMap<String, Arc<AnswerStream>>>,
 }
 
 impl AnswerStreams {
-    /// Opens an answer.
+    /// Creates an empty answer.
     pub fn open(
         &self,
         id: String,
@@ -196,7 +197,7 @@
         stream
     }
 
-    /// The answer called `id`, if it belongs to `account`.
+    /// The answer with this id, if it belongs to `account`.
     #[must_use]
     pub fn find(&self, account: &str, id: &str) -> Option<Arc<AnswerStream>> {
         let by_id = locked(&self.by_id);
@@ -210,13 +211,14 @@
         by_id.values().filter(|stream| stream.ended_at_ms().is_none()).count()
     }
 
-    /// Forgets answers that ended long ago and cancels those that nobody reads.
+    /// Removes answers that ended more than the retention time ago, and cancels those that
+    /// have had no reader for too long.
     pub fn remove_expired(&self, now_ms: u64) {
         let mut by_id = locked(&self.by_id);
         let ended = by_id.values().filter_map(|stream| stream.ended_at_ms());
         let mut ended: Vec<_> = ended.collect();
         ended.sort_unstable_by(|left, right| right.cmp(left));
-        // Under a high rate the newest ones are kept only.
+        // At high request rates, only the `MAX_ENDED` newest answers are kept.
         let over_limit_ms = ended.get(MAX_ENDED).copied().unwrap_or(0);
         let remove_before_ms = over_limit_ms.max(now_ms.saturating_sub(RETENTION_MS));
         by_id.retain(|_, stream| stream.ended_at_ms().is_none_or(|at_ms| at_ms > remove_before_ms));
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -62,10 +62,10 @@
     let report = Settings::parse("box.ini", text).unwrap_err().to_string();
     for finding in [
         "box.ini:4: callers: 'nowhere' cannot be read",
-        "box.ini:5: cluster_key: 64 hex digits are needed",
-        "box.ini:8: url: 'ftp://x' begins with no http://",
-        "box.ini:11: route: there is no policy 'random'",
-        "box.ini:14: kind 'motor' is none of engine, store and service",
+        "box.ini:5: cluster_key: expected 64 hexadecimal digits",
+        "box.ini:8: url: 'ftp://x' does not begin with http:// or https://",
+        "box.ini:11: route: unknown policy 'random'",
+        "box.ini:14: kind: unknown kind 'motor', expected engine, store or service",
         "box.ini:16: [upstream.s1] has no capacity_bytes",
         "box.ini:20: section [typo] is not known",
     ] {
