--- a/src/call_state.rs
+++ b/src/call_state.rs
@@ -1,4 +1,4 @@
-//! What a box knows of calls: ledgers, calls forwarded, and workers.
+//! State of a box's calls to plain services: ledgers, forwarded calls, and workers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,14 +11,16 @@
 use crate::ticket::BoxRef;
 use crate::wire::CallEnd;
 
-/// Ledgers, forwarded calls and the workers of plain services.
+/// Ledgers, forwarded calls, and the availability of workers.
 pub struct Calls {
     pub(crate) own_ledger: Mutex<Ledger>,
+    /// Ledgers that stopped boxes have handed over to this one.
     pub(crate) inherited_ledgers: Mutex<HashMap<BoxRef, Ledger>>,
     pub(crate) forwarded: ForwardedCalls,
-    /// The workers of plain services.
+    /// Availability of the workers of plain services.
     pub workers: WorkerStates,
     running: AtomicUsize,
+    /// Latest confirmation of a handover: the heir, and the box whose ledger it took.
     pub(crate) handover_confirmed: watch::Sender<Option<(BoxRef, BoxRef)>>,
 }
 
@@ -35,7 +37,7 @@
     }
 }
 
-/// Counts a running call for as long as it lives.
+/// Counts as a running call until it is dropped.
 pub(crate) struct RunningCall<'a>(&'a AtomicUsize);
 
 impl<'a> RunningCall<'a> {
@@ -52,7 +54,7 @@
 }
 
 impl Calls {
-    /// Counts a call that runs until the value is dropped.
+    /// Counts a running call until the guard is dropped.
     pub(crate) fn count_running(&self) -> RunningCall<'_> {
         RunningCall::new(&self.running)
     }
@@ -67,53 +69,54 @@
         self.running.load(Ordering::Acquire)
     }
 
-    /// Number of keys in the ledger.
+    /// Number of keys in this box's own ledger.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.ledger().len()
     }
 }
 
-/// Calls forwarded to other boxes, and by them to this one.
+/// Calls that this box forwards to others, and calls that others forward to it.
 #[derive(Default)]
 pub struct ForwardedCalls {
-    /// Where the answers to calls forwarded go, by the number of the call.
+    /// Channels for the answers to calls that this box forwards, by call number.
     pub(crate) answer_senders: Mutex<HashMap<u64, mpsc::Sender<CallEnd>>>,
-    /// Calls that other boxes forwarded, by box and number.
+    /// Calls that other boxes have forwarded to this one, by box and call number.
     pub(crate) received: Mutex<HashMap<(BoxRef, u64), ReceivedCall>>,
 }
 
-/// A call that another box forwarded.
+/// A call that another box has forwarded to this one.
 pub(crate) struct ReceivedCall {
-    /// How it ended, if it has not run; none while it is under way.
+    /// Result of a call that was not run; `None` while the call is in progress.
     pub(crate) not_run: Option<CallEnd>,
-    /// When it may be forgotten, since it would not be begun again.
+    /// When it may be removed: a call past its deadline would not be started again.
     pub(crate) deadline_ms: u64,
 }
 
 impl ForwardedCalls {
-    /// Takes the answer to a forwarded call.
+    /// Delivers the answer to a forwarded call.
     pub fn deliver_answer(&self, number: u64, end: CallEnd) {
         if let Some(sender) = locked(&self.answer_senders).get(&number) {
-            // A caller that has its answer, or has given up, does not read this one.
+            // Fails if the call was answered already or given up; the answer is not needed
+            // then.
             let _ = sender.try_send(end);
         }
     }
 
-    /// Forgets calls past their deadline.
+    /// Removes calls that were not run and whose deadline has passed.
     pub fn expire(&self, now_ms: u64) {
         locked(&self.received)
             .retain(|_, call| call.not_run.is_none() || now_ms < call.deadline_ms);
     }
 }
 
-/// What this box knows of the workers.
+/// Availability of workers, by name.
 #[derive(Default)]
 pub struct WorkerStates {
-    /// Until when each worker that could not be reached is left alone.
+    /// Time until which a worker that could not be reached is not called.
     pub(crate) cooldown_until_ms: Mutex<BTreeMap<String, u64>>,
-    /// Until when each worker that turned a call away wants no other.
+    /// Time until which a worker that refused a call has asked not to be called.
     pub(crate) unavailable_until_ms: Mutex<BTreeMap<String, u64>>,
-    /// Counts calls, so that each begins at another worker.
+    /// Counter for starting each call at the next worker.
     pub(crate) round_robin: AtomicUsize,
 }
--- a/src/config_in_force.rs
+++ b/src/config_in_force.rs
@@ -1,5 +1,5 @@
-//! The configuration in force on this box: the copy of the log, and what the
-//! rest of the box reads of it. Its revision only rises.
+//! The configuration in force on this box: its copy of the configuration log, and the
+//! snapshot that the rest of the box reads. The revision never decreases.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 use crate::invariant::{Invariant, check};
 use crate::sync::locked;
 
-/// The configuration in force.
+/// The configuration in force on this box.
 pub struct Configuration {
     log: Mutex<ConfigLog>,
     current: watch::Sender<Arc<Config>>,
@@ -32,7 +32,7 @@
 }
 
 impl Configuration {
-    /// Revision in force.
+    /// Revision of the configuration in force; 0 before there is one.
     pub fn revision(&self) -> u64 {
         self.revision.load(Ordering::Acquire)
     }
@@ -42,22 +42,22 @@
         self.current.borrow().clone()
     }
 
-    /// Tells of each change.
+    /// A receiver that is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<Arc<Config>> {
         self.current.subscribe()
     }
 
-    /// When the platform answered last, in Unix milliseconds; 0 means never.
+    /// When the platform last answered, in Unix milliseconds; 0 if it never has.
     pub fn platform_answered_at_ms(&self) -> u64 {
         self.platform_answered_at_ms.load(Ordering::Relaxed)
     }
 
-    /// Notes that the platform has answered.
+    /// Records that the platform has answered.
     pub(crate) fn record_platform_answer(&self) {
         self.platform_answered_at_ms.store(now_ms(), Ordering::Relaxed);
     }
 
-    /// Takes news into the log and, if it is newer, into force.
+    /// Updates the log with `apply`, and puts the result in force if it is newer.
     pub(crate) fn adopt(&self, apply: impl FnOnce(&mut ConfigLog) -> Adopted) -> Adopted {
         let mut log = locked(&self.log);
         let before = log.revision();
@@ -68,17 +68,17 @@
             self.revision.store(after, Ordering::Release);
             self.current.send_replace(log.config());
             metrics::gauge!("coursestile_config_revision").set(u32::try_from(after).unwrap_or(0));
-            info!(target: "config", "Revision {after} is in force.");
+            info!(target: "config", "Configuration revision {after} is in force.");
         }
         adopted
     }
 
-    /// The changes after `revision`, when all of them are still here.
+    /// The changes after `revision`, if the log still has all of them.
     pub(crate) fn entries_after(&self, revision: u64) -> Option<Vec<Entry>> {
         locked(&self.log).entries_after(revision)
     }
 
-    /// The state in force.
+    /// The state of the configuration in force.
     pub(crate) fn state(&self) -> State {
         locked(&self.log).state().clone()
     }
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -1,4 +1,4 @@
-//! The dispatchers that act on a box, and who waits for their verdicts.
+//! The dispatchers that run on a box, and the boxes that wait for their responses.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -12,21 +12,20 @@
 use crate::sync::locked;
 use crate::trace::TraceId;
 
-/// Time after its last ask for which a dispatcher acts.
+/// Time for which a dispatcher stays active after its last slot request.
 const ACTIVE_FOR_MS: u64 = 30_000;
 
-/// A dispatcher, and who asked it.
+/// The dispatcher of a model, and the slot requests that it has not finally answered.
 pub(crate) struct ActiveDispatcher {
-    /// The dispatcher.
     pub(crate) dispatcher: Dispatcher,
-    /// When it was asked last.
+    /// When it last received a slot request.
     pub(crate) last_request_at_ms: u64,
-    /// Who waits, by ask.
+    /// Requesters that wait for a response, by slot request.
     pub(crate) requesters: BTreeMap<SlotRequestId, Requester>,
 }
 
 impl ActiveDispatcher {
-    /// Takes in what operators want.
+    /// Applies the operators' configuration to the dispatcher.
     pub(crate) fn apply_config(&mut self, model: &str, config: &Config) {
         self.dispatcher.fleet.set_leaving(|name| config.state.leaving.contains(name));
         let version = config.state.models.get(model).map(String::as_str);
@@ -34,57 +33,58 @@
     }
 }
 
-/// Who waits for a verdict.
+/// A box that waits for the response to a slot request.
 #[derive(Clone)]
 pub(crate) struct Requester {
-    /// Where that box listens.
+    /// Peer address of that box.
     pub(crate) reply_to: String,
     /// Trace of the request.
     pub(crate) trace: TraceId,
-    /// When it asked.
+    /// When the slot request arrived, in Unix microseconds.
     pub(crate) requested_at_us: u64,
 }
 
-/// The dispatchers of this box.
+/// The dispatchers of this box, by model.
 #[derive(Default)]
 pub struct Dispatchers {
     by_model: Mutex<BTreeMap<String, ActiveDispatcher>>,
 }
 
-/// A dispatcher as the status page shows it.
+/// Status of a dispatcher, as shown on the status page.
 #[derive(Debug, Serialize)]
 pub struct DispatcherStatus {
     /// Model.
     pub model: String,
-    /// Asks that wait.
+    /// Slot requests in the queue.
     pub waiting: usize,
-    /// Places in use.
-    pub places_in_use: usize,
-    /// Prompts known.
+    /// Slots in use.
+    #[serde(rename = "places_in_use")]
+    pub slots_in_use: usize,
+    /// Prompts that the dispatcher has a record of.
     pub prompts: usize,
-    /// Engines, with the places in use on each.
+    /// Slots in use on each engine.
     pub engines: BTreeMap<String, u32>,
-    /// Work served over share, by account, in tokens.
+    /// Work served divided by share, in tokens, by account.
     pub served_tokens: BTreeMap<String, f64>,
 }
 
 impl Dispatchers {
-    /// Runs `act` on the dispatcher of `model`, which `make` starts if need be.
+    /// Runs `act` on the dispatcher of `model`, which `create` makes if there is none.
     pub(crate) fn with_dispatcher<T>(
         &self,
         model: &str,
-        make: impl FnOnce() -> ActiveDispatcher,
+        create: impl FnOnce() -> ActiveDispatcher,
         act: impl FnOnce(&mut ActiveDispatcher) -> T,
     ) -> T {
         let mut by_model = locked(&self.by_model);
         if !by_model.contains_key(model) {
-            let new = make();
+            let new = create();
             by_model.insert(model.to_owned(), new);
         }
-        act(by_model.get_mut(model).expect("it was just made"))
+        act(by_model.get_mut(model).expect("a missing dispatcher was inserted above"))
     }
 
-    /// Models that were asked for lately.
+    /// Models whose dispatchers are active.
     pub(crate) fn models(&self) -> Vec<String> {
         let by_model = locked(&self.by_model);
         let idle_before_ms = now_ms().saturating_sub(ACTIVE_FOR_MS);
@@ -92,7 +92,7 @@
         live.map(|(model, _)| model.clone()).collect()
     }
 
-    /// What the dispatchers do now.
+    /// Status of all dispatchers.
     #[must_use]
     pub fn status(&self) -> Vec<DispatcherStatus> {
         let by_model = locked(&self.by_model);
@@ -103,7 +103,7 @@
             DispatcherStatus {
                 model: model.clone(),
                 waiting: dispatcher.queue_len(),
-                places_in_use: dispatcher.slots_in_use(),
+                slots_in_use: dispatcher.slots_in_use(),
                 prompts: dispatcher.context.directory.len(),
                 engines: engines.map(|engine| (engine.name.clone(), engine.outstanding)).collect(),
                 served_tokens: served.map(|(name, tokens)| (name.to_owned(), tokens)).collect(),
--- a/src/ini_file.rs
+++ b/src/ini_file.rs
@@ -1,7 +1,7 @@
-//! An INI file of settings, read with every finding kept.
+//! Reads settings from an INI file.
 //!
-//! Settings are checked whole: each fault is collected with its line, and all
-//! are reported together.
+//! Errors do not end the reading: each is collected with its line as a finding, and all
+//! findings are reported together.
 
 use std::fmt::{Display, Write as _};
 use std::str::FromStr;
@@ -10,12 +10,12 @@
 
 use crate::error::{Error, Result};
 
-/// A fault in the settings, with its place.
+/// An error in the settings, with its location.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// File that it is in.
     pub file: String,
-    /// Line, from 1 on.
+    /// Line number, starting at 1.
     pub line: usize,
     /// What is wrong.
     pub text: String,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Reads one file and collects what is wrong with it.
+/// An INI file and the findings in it.
 pub struct IniFile<'a> {
     file: &'a str,
     text: &'a str,
@@ -36,8 +36,8 @@
 }
 
 impl<'a> IniFile<'a> {
-    /// Reads the text of `file`; one that cannot be read counts as empty and
-    /// is a finding.
+    /// Parses `text`, the content of `file`. A text that cannot be parsed is treated as
+    /// empty and adds a finding.
     #[must_use]
     pub fn read(file: &'a str, text: &'a str) -> Self {
         let option = ParseOption { enabled_escape: false, ..ParseOption::default() };
@@ -50,10 +50,10 @@
         Self { file, text, ini, findings }
     }
 
-    /// Fails with every finding, when there is one.
+    /// Returns the settings if there are no findings.
     ///
     /// # Errors
-    /// Fails with [`Error::Settings`].
+    /// Fails with [`Error::Settings`], which lists all findings.
     pub fn finish<T>(self, settings: T) -> Result<T> {
         let mut findings = self.findings;
         if findings.is_empty() {
@@ -67,14 +67,14 @@
         Err(Error::Settings(findings.len(), report))
     }
 
-    /// Finds sections and keys that mean nothing, which are mostly typing
-    /// errors; `known_keys` gives the keys of a section.
+    /// Adds a finding for each unknown section or key, most of which are typing errors.
+    /// `known_keys` returns the keys of a section; none for an unknown section.
     pub fn check_known_names(&mut self, known_keys: impl Fn(&str) -> &'static [&'static str]) {
         let mut found = Vec::new();
         for (section, properties) in &self.ini {
             let Some(section) = section else {
                 for (key, _) in properties {
-                    found.push(("", key, format!("'{key}' stands before the first section")));
+                    found.push(("", key, format!("'{key}' precedes the first section")));
                 }
                 continue;
             };
@@ -96,18 +96,19 @@
         }
     }
 
-    /// The sections, in order.
+    /// The sections, in the order of the file.
     pub fn sections(&self) -> impl Iterator<Item = (&str, &Properties)> {
         self.ini.iter().filter_map(|(section, properties)| Some((section?, properties)))
     }
 
-    /// The text of a key, `None` when it is absent or empty.
+    /// The value of a key; `None` when it is absent or empty.
     #[must_use]
     pub fn text(&self, section: &str, key: &str) -> Option<&str> {
         self.ini.get_from(Some(section), key).filter(|value| !value.is_empty())
     }
 
-    /// A value that must be there.
+    /// The value of a required key. If it is absent, adds a finding and returns the
+    /// default of its type.
     pub fn required<T: FromStr + Default>(&mut self, section: &str, key: &str) -> T {
         if self.text(section, key).is_none() {
             self.add_finding(section, "", format!("[{section}] has no {key}"));
@@ -116,7 +117,8 @@
         self.optional(section, key, T::default())
     }
 
-    /// A value, or `default` when the key is absent or empty.
+    /// The value of an optional key, or `default` when it is absent, empty or invalid; an
+    /// invalid value adds a finding.
     pub fn optional<T: FromStr>(&mut self, section: &str, key: &str, default: T) -> T {
         let Some(value) = self.text(section, key) else {
             return default;
@@ -129,41 +131,42 @@
         default
     }
 
-    /// The items of a list separated by commas.
+    /// The items of a comma-separated list.
     #[must_use]
     pub fn list(&self, section: &str, key: &str) -> Vec<String> {
-        list(self.text(section, key).unwrap_or_default())
+        comma_separated(self.text(section, key).unwrap_or_default())
     }
 
-    /// Adds a finding at a key, or at its section's head when `key` is empty.
+    /// Adds a finding at the line of a key, or of the section header when `key` is empty.
     pub fn add_finding(&mut self, section: &str, key: &str, text: String) {
         let line = line_of(self.text, section, key);
         self.findings.push(Finding { file: self.file.to_owned(), line, text });
     }
 }
 
-/// The items of `text`, separated by commas.
+/// The items of `text`, a comma-separated list.
 #[must_use]
-pub fn list(text: &str) -> Vec<String> {
+pub fn comma_separated(text: &str) -> Vec<String> {
     let items = text.split(',').map(str::trim).filter(|item| !item.is_empty());
     items.map(str::to_owned).collect()
 }
 
+/// Line of a key in a section, or of the section header when the key is not found.
 fn line_of(text: &str, section: &str, key: &str) -> usize {
     let mut current = "";
-    let mut head = 1;
+    let mut header_line = 1;
     for (index, line) in text.lines().enumerate() {
         let line = line.trim();
         if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.strip_suffix(']')) {
             current = name.trim();
             if current == section {
-                head = index + 1;
+                header_line = index + 1;
             }
         }
-        let own_key = line.split(['=', ':']).next().map(str::trim);
-        if current == section && !key.is_empty() && own_key == Some(key) {
+        let line_key = line.split(['=', ':']).next().map(str::trim);
+        if current == section && !key.is_empty() && line_key == Some(key) {
             return index + 1;
         }
     }
-    head
+    header_line
 }
--- a/src/placement_state.rs
+++ b/src/placement_state.rs
@@ -1,4 +1,4 @@
-//! Asks made from a box, the places that it holds, and what it may retry.
+//! Slot requests sent by a box, the slots that it holds, and its retry budget.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Mutex;
@@ -8,23 +8,22 @@
 use crate::ask::{SlotRequestId, SlotResponse};
 use crate::retry::RetryBudget;
 
-/// A verdict that came in.
+/// A response to a slot request.
 pub(crate) struct ReceivedResponse {
-    /// Dispatcher that gave it.
+    /// Peer address of the dispatcher that sent it.
     pub(crate) from: String,
-    /// The verdict.
     pub(crate) response: SlotResponse,
 }
 
-/// Asks made from this box, and the places that it holds.
+/// Slot requests sent by this box, and the slots that it holds.
 #[derive(Default)]
 pub struct Placements {
-    /// Where the verdicts on each ask go.
+    /// Channels for the responses to each slot request.
     pub(crate) response_senders: Mutex<BTreeMap<SlotRequestId, mpsc::Sender<ReceivedResponse>>>,
-    /// Places in use: dispatcher, model and ask.
+    /// Slots in use: dispatcher, model and slot request.
     pub(crate) held_slots: Mutex<BTreeSet<(String, String, SlotRequestId)>>,
-    /// Until when each dispatcher that did not answer is passed over.
+    /// Time until which a dispatcher that did not answer is not asked.
     pub(crate) dispatcher_cooldowns: Mutex<BTreeMap<String, u64>>,
-    /// Budget for further attempts.
+    /// Budget for retries.
     pub retries: Mutex<RetryBudget>,
 }
