--- a/src/error.rs
+++ b/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the library.
+//! Error type of the library.
 
 use crate::object::Object;
 
@@ -13,17 +13,17 @@
     Conflict { object: Object, expected_revision: u64, found_revision: u64 },
     /// the change is refused: {0:?}
     BadChange(Vec<String>),
-    /// the platform's key-value service does not answer: {0}
+    /// call to the platform's key-value store failed: {0}
     Platform(String),
-    /// the platform's key-value service does not serve: {0}
+    /// the platform's key-value store is unable to serve the call: {0}
     PlatformUnable(String),
-    /// the platform's value of '{0}' cannot be read: {1}
+    /// invalid value of '{0}' in the platform's key-value store: {1}
     PlatformValue(String, String),
-    /// other operators were faster each time; try again
+    /// concurrent changes by other operators won each attempt; try again
     Contended,
-    /// an upstream does not answer as it should: {0}
+    /// unexpected response from an upstream: {0}
     Upstream(String),
-    /// an upstream takes no more calls for now: {0}
+    /// an upstream accepts no more calls for now: {0}
     Busy(String),
     /// cannot listen on {0}: {1}
     Listen(String, String),
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,13 +1,13 @@
-//! Invariants, checked where they would break.
+//! Run-time checks of the system's invariants.
 //!
-//! The checks are always on. A violation is counted, logged by name, and the
-//! caller takes the safe way: it refuses rather than go on.
+//! The checks are enabled in all builds. A violation is counted and logged, and the code
+//! that found it fails safe: it refuses the request or call rather than continue.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use log::error;
 
-/// What must always hold.
+/// A property that must always hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Invariant {
     /// a block id is used once
@@ -34,20 +34,21 @@
 
 static VIOLATIONS: AtomicU64 = AtomicU64::new(0);
 
-/// Violations since the start of the process.
+/// Number of violations since the start of the process.
 #[must_use]
 pub fn violations() -> u64 {
     VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Counts and logs a violation when `holds` is false; returns `holds`.
+/// Counts and logs a violation when `holds` is false; returns `holds`. `context` tells
+/// where it occurred, for example by a call's key.
 pub fn check(invariant: Invariant, holds: bool, context: impl FnOnce() -> String) -> bool {
     if !holds {
         VIOLATIONS.fetch_add(1, Ordering::Relaxed);
         metrics::counter!("coursestile_invariant_violations_total",
             "invariant" => format!("{invariant:?}"))
         .increment(1);
-        error!(target: "invariant", "Violated: {invariant}. Place: {}.", context());
+        error!(target: "invariant", "Violated: {invariant}. Context: {}.", context());
     }
     holds
 }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output: time, level, the part's name, and fields.
+//! Logging to standard output: time, level, log target and message.
 //!
-//! A line waits in a bounded queue for the thread that writes it, so that
-//! nobody waits for the output. Lines that find no room are counted, and the
-//! count is written once there is room again.
+//! Lines go through a bounded queue to a thread that writes them, so that callers do not
+//! block on the output. Lines that do not fit into the queue are dropped and counted; the
+//! count is logged with the next lines.
 
 use std::io::Write as _;
 use std::sync::Arc;
@@ -19,45 +19,46 @@
 
 use crate::error::{Error, Result};
 
-/// Pattern of a line; the part's name is the log target.
+/// Pattern of a line; `{t}` is the log target.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} {l:5} {t}: {m}{n}";
-/// Lines that may wait: some seconds of a box under load, under 1 MB.
+/// Capacity of the queue: some seconds of log lines of a box under load, in less than 1 MB.
 const QUEUE_LEN: usize = 4096;
-/// Longest time that the end of the process waits for its last lines.
-const FLUSH_TIME: Duration = Duration::from_millis(200);
-/// How often it looks.
+/// Maximum time for which the process waits at its exit for queued lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
+/// Polling period of that wait.
 const FLUSH_POLL: Duration = Duration::from_millis(2);
 
-/// Hands lines to the thread that writes them.
+/// Log appender that queues lines for the writer thread.
 #[derive(Debug)]
-struct Queue {
+struct QueueAppender {
     encoder: PatternEncoder,
     lines: SyncSender<Vec<u8>>,
-    counts: Arc<Counts>,
+    counts: Arc<LineCounts>,
 }
 
-/// Lines that were handed over, written and lost.
+/// Numbers of lines queued, written and dropped; dropped lines are counted since the
+/// number was last logged.
 #[derive(Debug, Default)]
-struct Counts {
+struct LineCounts {
     queued: AtomicU64,
     written: AtomicU64,
-    lost: AtomicU64,
+    dropped: AtomicU64,
 }
 
-impl Append for Queue {
+impl Append for QueueAppender {
     fn append(&self, record: &Record<'_>) -> anyhow::Result<()> {
         let mut line = SimpleWriter(Vec::with_capacity(256));
         self.encoder.encode(&mut line, record)?;
         match self.lines.try_send(line.0) {
             Ok(()) => self.counts.queued.fetch_add(1, Ordering::Relaxed),
-            Err(_) => self.counts.lost.fetch_add(1, Ordering::Relaxed),
+            Err(_) => self.counts.dropped.fetch_add(1, Ordering::Relaxed),
         };
         Ok(())
     }
 
-    /// Waits a little until all lines are written, for the end of the process.
+    /// Waits until all queued lines are written, at most for [`FLUSH_TIMEOUT`].
     fn flush(&self) {
-        let until = Instant::now() + FLUSH_TIME;
+        let until = Instant::now() + FLUSH_TIMEOUT;
         let written = || self.counts.written.load(Ordering::Relaxed);
         while written() < self.counts.queued.load(Ordering::Relaxed) && Instant::now() < until {
             std::thread::sleep(FLUSH_POLL);
@@ -65,37 +66,38 @@
     }
 }
 
-/// Starts to log to standard output.
+/// Starts logging to standard output.
 ///
 /// # Errors
-/// Fails when the process logs already, or no thread can be had.
+/// Fails when a logger is already installed or the writer thread cannot be started.
 pub fn start(level: LevelFilter) -> Result<()> {
-    let (lines, waiting) = sync_channel(QUEUE_LEN);
-    let counts = Arc::new(Counts::default());
-    let queue = Queue { encoder: PatternEncoder::new(PATTERN), lines, counts: counts.clone() };
+    let (lines, queued_lines) = sync_channel(QUEUE_LEN);
+    let counts = Arc::new(LineCounts::default());
+    let queue =
+        QueueAppender { encoder: PatternEncoder::new(PATTERN), lines, counts: counts.clone() };
     let appender = Appender::builder().build("queue", Box::new(queue));
     let root = Root::builder().appender("queue").build(level);
     let config = Config::builder().appender(appender).build(root);
     let config = config.map_err(|error| Error::Usage(error.to_string()))?;
     log4rs::init_config(config).map_err(|error| Error::Usage(error.to_string()))?;
     let thread = std::thread::Builder::new().name("log".to_owned());
-    let started = thread.spawn(move || write(&waiting, &counts));
+    let started = thread.spawn(move || write_lines(&queued_lines, &counts));
     started.map(drop).map_err(|error| Error::Usage(error.to_string()))
 }
 
-fn write(waiting: &Receiver<Vec<u8>>, counts: &Counts) {
+fn write_lines(queued_lines: &Receiver<Vec<u8>>, counts: &LineCounts) {
     let mut output = std::io::stdout();
-    while let Ok(mut bytes) = waiting.recv() {
+    while let Ok(mut bytes) = queued_lines.recv() {
         let mut lines = 1;
-        for line in waiting.try_iter() {
+        for line in queued_lines.try_iter() {
             bytes.extend(line);
             lines += 1;
         }
-        let lost = counts.lost.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            bytes.extend_from_slice(format!("event=lines_lost count={lost}\n").as_bytes());
+        let dropped = counts.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            bytes.extend_from_slice(format!("event=lines_lost count={dropped}\n").as_bytes());
         }
-        // When nobody reads the output there is nobody to tell.
+        // An error is ignored: there is no other place to report that output has failed.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
         counts.written.fetch_add(lines, Ordering::Relaxed);
     }
--- a/src/prometheus.rs
+++ b/src/prometheus.rs
@@ -1,16 +1,16 @@
-//! Metrics of this process in Prometheus text.
+//! Metrics of this process in Prometheus text format.
 
 use std::sync::OnceLock;
 use std::time::Duration;
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 
-/// How often the recorder tidies its histograms.
+/// Period of the recorder's upkeep, which drains its histograms so that they do not grow.
 const UPKEEP_PERIOD: Duration = Duration::from_secs(5);
 
 static RECORDER: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Starts to record metrics; a second call does nothing.
+/// Installs the metrics recorder; later calls have no effect.
 pub fn install() {
     if RECORDER.get().is_some() {
         return;
@@ -28,7 +28,7 @@
     }
 }
 
-/// The metrics page.
+/// The metrics in Prometheus text format; empty before [`install`].
 #[must_use]
 pub fn render() -> String {
     RECORDER.get().map(PrometheusHandle::render).unwrap_or_default()
--- a/src/trace.rs
+++ b/src/trace.rs
@@ -1,7 +1,8 @@
-//! Traces: a span for each hop of a request, joined over boxes by trace id.
+//! Request tracing: each hop of a request adds a span, and a trace id joins the spans of
+//! all boxes.
 //!
-//! Spans are kept in a ring in memory. The trace id comes from the caller's
-//! `traceparent` header, or is made here.
+//! Spans are kept in a ring buffer in memory. The trace id is taken from the caller's
+//! `traceparent` header, or generated if there is none.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -10,10 +11,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Spans that a box remembers.
+/// Capacity of the ring buffer, in spans.
 const MAX_SPANS: usize = 8192;
 
-/// Names a trace.
+/// Id of a trace.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TraceId(pub u128);
 
@@ -44,13 +45,13 @@
 pub enum Hop {
     /// From the caller's request to the end of the answer.
     Caller,
-    /// From an ask to its verdict, as the entry box sees it.
+    /// From a slot request to its final response, as seen by the entry box.
     Ask,
-    /// From an ask to its verdict, at the dispatcher.
+    /// From a slot request to its final response, as seen by the dispatcher.
     Owner,
-    /// From a box to the box that may spend a ticket.
+    /// A call forwarded to the box that may spend its ticket.
     Spender,
-    /// The bringing of kept context.
+    /// Import of context from a store.
     Import,
     /// One attempt on an upstream.
     Upstream,
@@ -59,41 +60,41 @@
 /// One span.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Span {
-    /// Trace that it belongs to, in hex.
+    /// Id of the trace that it belongs to, in hexadecimal.
     pub trace: String,
-    /// Which hop it is.
+    /// Hop that it covers.
     pub hop: Hop,
-    /// Box that did it.
+    /// Name of the box that recorded it.
     pub entry_box: String,
     /// Start, in Unix microseconds.
     pub started_at_us: u64,
     /// End, in Unix microseconds.
     pub ended_at_us: u64,
-    /// Where it went and how it ended.
+    /// Target and result of the hop.
     pub note: String,
 }
 
-/// The spans that a box remembers.
+/// Ring buffer of a box's latest spans.
 #[derive(Default)]
 pub struct Traces {
-    ring: Mutex<VecDeque<Span>>,
+    buffer: Mutex<VecDeque<Span>>,
 }
 
 impl Traces {
-    /// Adds a span.
+    /// Adds a span, in place of the oldest one if the buffer is full.
     pub fn add(&self, span: Span) {
-        let mut ring = locked(&self.ring);
-        if ring.len() >= MAX_SPANS {
-            ring.pop_front();
+        let mut buffer = locked(&self.buffer);
+        if buffer.len() >= MAX_SPANS {
+            buffer.pop_front();
         }
-        ring.push_back(span);
+        buffer.push_back(span);
     }
 
-    /// The spans of a trace, in order of their start.
+    /// The spans of a trace, ordered by start time.
     #[must_use]
     pub fn spans(&self, trace: &str) -> Vec<Span> {
-        let ring = locked(&self.ring);
-        let mut spans: Vec<_> = ring.iter().filter(|span| span.trace == trace).cloned().collect();
+        let buffer = locked(&self.buffer);
+        let mut spans: Vec<_> = buffer.iter().filter(|span| span.trace == trace).cloned().collect();
         spans.sort_by_key(|span| (span.started_at_us, span.hop));
         spans
     }
