--- a/src/bin/coursestile-gateway/main.rs
+++ b/src/bin/coursestile-gateway/main.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::sync::Arc;
 
-use coursestile::command_line::{Daemon, read_text};
+use coursestile::command_line::{Daemon, read_file};
 use coursestile::error::{Error, Result};
 use coursestile::gateway::daemon;
 use coursestile::gateway::kernel::Gateway;
@@ -65,7 +65,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hangup.recv() => match read_text(&path).and_then(|text| Settings::parse(&path, &text)) {
+            _ = hangup.recv() => match read_file(&path).and_then(|text| Settings::parse(&path, &text)) {
                 Ok(settings) => daemon::reload(&gateway, &settings),
                 Err(error) => warn!(target: "daemon", "event=reload_refused cause=\"{error}\""),
             },
--- a/src/box_phase.rs
+++ b/src/box_phase.rs
@@ -1,14 +1,15 @@
-//! Where a box is in its life, from its start to a planned stop.
+//! Phases of a box, from its start to a planned stop.
 
-/// Where the box is in its life.
+/// Phase of a box; phases follow each other in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BoxPhase {
-    /// Takes requests.
+    /// Accepts requests.
     Serving,
-    /// Still takes requests, but is not ready for more.
+    /// Still accepts requests, but reports that it is not ready, so that load balancers
+    /// send no more.
     Leaving,
-    /// Finishes what runs.
+    /// Accepts no new requests, and waits for running ones to end.
     Draining,
-    /// Done.
+    /// All work has ended or was given up.
     Stopped,
 }
--- a/src/cache.rs
+++ b/src/cache.rs
@@ -1,22 +1,22 @@
-//! A model of an engine's prefix cache, which forgets what was used longest ago.
+//! Model of an engine's prefix cache, with least-recently-used eviction.
 //!
-//! The dispatcher sees every request of its engines, so it can follow what
-//! each cache holds. How much that is, it learns from hits and misses.
+//! A dispatcher sees every request to its engines, so it can predict which context each
+//! cache holds. It estimates the size of a cache from hits and misses.
 
 use std::collections::BTreeMap;
 
-/// A hit lets the believed size grow by one part in so many: slowly, since a
-/// hit near the top says nothing of the bottom, and a wrong belief costs a whole
-/// recompute.
+/// After a hit, the estimated size grows by itself divided by this number. Growth is slow
+/// because a hit on recently used context says nothing about the least recently used, and
+/// because a wrong estimate costs the recomputation of a whole context.
 const GROWTH_DIVISOR: u64 = 4000;
-/// Least size that a cache is believed to have.
+/// Lower limit on the estimated size.
 const MIN_SIZE_TOKENS: u64 = 4096;
 
-/// A use of a cache; later uses are greater.
+/// Sequence number of a use of a cache; later uses have greater numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CacheUse(u64);
 
-/// What a cache is believed to hold.
+/// Predicted contents and estimated size of a cache.
 #[derive(Clone, Debug)]
 pub struct CacheModel {
     uses: BTreeMap<CacheUse, u32>,
@@ -27,14 +27,15 @@
 }
 
 impl CacheModel {
-    /// An empty cache of `size_tokens`.
+    /// An empty cache with an initial size estimate; the estimate grows to at most twice
+    /// that.
     #[must_use]
     pub fn new(size_tokens: u64) -> Self {
         let (uses, max_size_tokens) = (BTreeMap::new(), size_tokens.saturating_mul(2));
         Self { uses, total_tokens: 0, next_use: 0, size_tokens, max_size_tokens }
     }
 
-    /// Notes a use of context of `tokens`, last used at `previous`.
+    /// Records a use of context of length `tokens`, whose last use was `previous`.
     pub fn record_use(&mut self, previous: Option<CacheUse>, tokens: u32) -> CacheUse {
         let known = previous.and_then(|previous| self.uses.remove(&previous));
         self.total_tokens -= u64::from(known.unwrap_or(0));
@@ -55,19 +56,19 @@
         }
     }
 
-    /// Whether context last used at `at` is still held.
+    /// Whether context last used at `at` is predicted to be in the cache.
     #[must_use]
     pub fn contains(&self, at: CacheUse) -> bool {
         self.uses.contains_key(&at)
     }
 
-    /// Tokens used since `at`, and those used then.
+    /// Total tokens of the context used at `at` and of all context used since.
     #[must_use]
     pub fn depth_tokens(&self, at: CacheUse) -> u64 {
         self.uses.range(at..).map(|(_, tokens)| u64::from(*tokens)).sum()
     }
 
-    /// Learns from context at that depth, which was there or not.
+    /// Adjusts the estimated size after a hit or miss on context at `depth_tokens`.
     pub fn adjust_size(&mut self, depth_tokens: u64, hit: bool) {
         let grown = (self.size_tokens + self.size_tokens / GROWTH_DIVISOR).max(depth_tokens);
         let shrunk = self.size_tokens.min(depth_tokens.saturating_sub(1)).max(MIN_SIZE_TOKENS);
@@ -75,7 +76,7 @@
         self.evict();
     }
 
-    /// Forgets everything.
+    /// Empties the model, for an engine whose cache was lost.
     pub fn clear(&mut self) {
         self.uses.clear();
         self.total_tokens = 0;
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
-//! The clock, read at the edges only.
+//! The system clock. Decision code does not read it, but is passed the time.
 //!
-//! Follows the wall clock as it stood at the process's start and never goes
-//! back, so that what has expired stays expired when the wall clock is set.
-//! Counts the time for which the machine was suspended, too: leases and
-//! deadlines that others go by have run on meanwhile.
+//! The clock reads the wall clock once, when it is first used, and from then on counts
+//! with the monotonic boot-time clock. It never goes back, so that what has expired stays
+//! expired when the wall clock is set. It includes the time for which the machine was
+//! suspended, as leases and deadlines kept by other machines go on meanwhile.
 
 use std::sync::LazyLock;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -11,7 +11,7 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Unix time, counted on from the start of the process.
+/// A clock of Unix time that is based on one reading of the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     since_epoch: Duration,
@@ -19,13 +19,13 @@
 }
 
 impl Clock {
-    /// A clock that was right when the machine had been up for `since_boot`.
+    /// A clock from readings of the wall clock and of the boot-time clock, taken together.
     #[must_use]
     pub fn new(since_epoch: Duration, since_boot: Duration) -> Self {
         Self { since_epoch, since_boot }
     }
 
-    /// Time since the epoch when the machine has been up, or suspended, for `since_boot`.
+    /// Unix time at the reading `since_boot` of the boot-time clock.
     #[must_use]
     pub fn at(&self, since_boot: Duration) -> Duration {
         self.since_epoch + since_boot.saturating_sub(self.since_boot)
@@ -49,20 +49,20 @@
     u64::try_from(since_epoch().as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The moment of a deadline given in Unix milliseconds. Timers stand still while the machine
-/// is suspended: whoever waits for one looks at [`now_ms`] afterwards.
+/// Converts a deadline in Unix milliseconds to an [`Instant`]. Timers stop while the machine
+/// is suspended, so code that waits for the instant must check [`now_ms`] afterwards.
 #[must_use]
 pub fn instant_at(deadline_ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(deadline_ms.saturating_sub(now_ms()))
 }
 
-/// Time since the machine was started; unlike the steady clock it counts suspensions.
+/// Time since the machine was booted; unlike `CLOCK_MONOTONIC` it includes suspensions.
 ///
 /// # Panics
-/// Panics when the system has no such clock.
+/// Panics when the system has no `CLOCK_BOOTTIME`.
 #[must_use]
 pub fn since_boot() -> Duration {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has had this clock for long").into()
+    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux provides CLOCK_BOOTTIME").into()
 }
 
 fn since_epoch() -> Duration {
--- a/src/command_line.rs
+++ b/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line that all daemons share, and their start.
+//! Command line and start-up shared by all daemons.
 
 use std::process::ExitCode;
 
@@ -8,7 +8,7 @@
 use crate::error::{Error, Result};
 use crate::{logging, prometheus};
 
-/// What to do.
+/// Action that the command line requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
     Serve,
@@ -17,34 +17,36 @@
     Version,
 }
 
-/// A daemon, as its command line presents it.
+/// Command-line properties of a daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Daemon {
     /// Name of the program.
     pub name: &'static str,
-    /// Text of `--help`.
+    /// Output of `--help`.
     pub help: &'static str,
-    /// Variable that names the settings file when the command line does not.
+    /// Environment variable with the path of the settings file, used when the command line
+    /// has none.
     pub settings_variable: Option<&'static str>,
-    /// Worker threads without `--threads`; `None` when there is but one.
+    /// Default number of worker threads; `None` for a daemon with a single thread and no
+    /// `--threads` option.
     pub threads: Option<usize>,
 }
 
-/// The command line of a daemon.
+/// Parsed command line of a daemon.
 #[derive(Clone, Debug)]
 pub struct Args {
     mode: Mode,
-    /// Settings file.
+    /// Path of the settings file.
     pub settings: String,
-    /// Level from which on to log.
+    /// Minimum level of log lines.
     pub level: LevelFilter,
-    /// Worker threads.
+    /// Number of worker threads.
     pub threads: usize,
 }
 
 impl Daemon {
-    /// Does what the command line asks: `read` reads the settings from the text
-    /// of a file, `serve` serves with them.
+    /// Runs the action that the command line requests. `read` parses the settings from a
+    /// path and the file's content, and `serve` runs the daemon with them.
     pub fn start<S>(
         &self,
         read: impl FnOnce(&str, &str) -> Result<S>,
@@ -76,16 +78,16 @@
             }
             Mode::CheckSettings | Mode::Serve => {}
         }
-        let settings = read(&args.settings, &read_text(&args.settings)?)?;
+        let settings = read(&args.settings, &read_file(&args.settings)?)?;
         if args.mode == Mode::CheckSettings {
             println!("{}: no findings", args.settings);
             return Ok(());
         }
         logging::start(args.level)?;
         prometheus::install();
-        let ended = serve(settings, &args);
+        let result = serve(settings, &args);
         log::logger().flush();
-        ended
+        result
     }
 
     fn parse(&self, mut parser: lexopt::Parser) -> Result<Args> {
@@ -95,21 +97,23 @@
             level: LevelFilter::Info,
             threads: self.threads.unwrap_or(1),
         };
-        while let Some(argument) = parser.next().map_err(usage)? {
+        while let Some(argument) = parser.next().map_err(usage_error)? {
             match argument {
                 Long("check-settings") => args.mode = Mode::CheckSettings,
                 Long("log") => {
-                    args.level = parser.value().map_err(usage)?.parse().map_err(usage)?;
+                    args.level =
+                        parser.value().map_err(usage_error)?.parse().map_err(usage_error)?;
                 }
                 Long("threads") if self.threads.is_some() => {
-                    args.threads = parser.value().map_err(usage)?.parse().map_err(usage)?;
+                    args.threads =
+                        parser.value().map_err(usage_error)?.parse().map_err(usage_error)?;
                 }
                 Short('h') | Long("help") => args.mode = Mode::Help,
                 Short('V') | Long("version") => args.mode = Mode::Version,
                 Value(path) if args.settings.is_empty() => {
                     args.settings = path.to_string_lossy().into_owned();
                 }
-                other => return Err(usage(other.unexpected())),
+                unexpected => return Err(usage_error(unexpected.unexpected())),
             }
         }
         if let Some(variable) = self.settings_variable.filter(|_| args.settings.is_empty()) {
@@ -117,20 +121,20 @@
         }
         let needed = matches!(args.mode, Mode::Serve | Mode::CheckSettings);
         if needed && args.settings.is_empty() {
-            return Err(usage("no settings file given"));
+            return Err(usage_error("no settings file given"));
         }
         Ok(args)
     }
 }
 
-/// The text of a file.
+/// Reads a text file.
 ///
 /// # Errors
-/// Fails with the name of the file.
-pub fn read_text(path: &str) -> Result<String> {
+/// Fails with an error that names the file.
+pub fn read_file(path: &str) -> Result<String> {
     std::fs::read_to_string(path).map_err(|error| Error::Usage(format!("{path}: {error}")))
 }
 
-fn usage(error: impl std::fmt::Display) -> Error {
+fn usage_error(error: impl std::fmt::Display) -> Error {
     Error::Usage(format!("{error}; see --help"))
 }
--- a/src/listen.rs
+++ b/src/listen.rs
@@ -1,4 +1,4 @@
-//! HTTP listeners that send each piece at once.
+//! HTTP listeners for streamed responses, which must not be delayed by TCP.
 
 use std::io::Result;
 use std::net::SocketAddr;
@@ -9,18 +9,18 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpSocket;
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: u32 = 1024;
-/// Silence after which the kernel probes a caller's connection, and time between its
-/// probes.
+/// Idle time after which TCP sends a keep-alive probe to a caller, and time between probes.
 const KEEPALIVE_PERIOD: Duration = Duration::from_secs(5);
-/// Time for which a caller may acknowledge nothing, or read nothing, before its
-/// connection is over. It can go on reading its answer by the request's id.
+/// Time for which sent data may stay unacknowledged, or the caller's receive window closed,
+/// before the connection is closed. The caller can still resume its answer by the request's
+/// id.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A server on `address`. Accepted connections inherit that small pieces are
-/// not held back until earlier ones are acknowledged, and that silent callers are
-/// noticed.
+/// A server on `address`. Accepted connections inherit the options of the listening socket:
+/// `TCP_NODELAY`, so that small writes are not held back until earlier data is acknowledged,
+/// and keep-alive and user time-out, so that silent callers are detected.
 ///
 /// # Errors
 /// Fails when the address cannot be bound.
--- a/src/object.rs
+++ b/src/object.rs
@@ -1,6 +1,6 @@
-//! What operators change.
+//! Objects of the configuration.
 
-/// The object that a change touches.
+/// An object of the configuration that an operator can change.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Object {
     /// template {0}
--- a/src/slot_guard.rs
+++ b/src/slot_guard.rs
@@ -1,4 +1,4 @@
-//! A place on an engine, for as long as an attempt holds it.
+//! Guard of a slot on an engine, held for one attempt.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use crate::kernel::Kernel;
 use crate::placing::HeldSlot;
 
-/// Gives a place back also when the attempt is dropped at its deadline.
+/// Releases a slot when dropped, also when the attempt is dropped at its deadline.
 pub struct SlotGuard<'a> {
     kernel: &'a Arc<Kernel>,
     slot: Option<HeldSlot>,
@@ -15,22 +15,22 @@
 }
 
 impl<'a> SlotGuard<'a> {
-    /// Holds a place for `run`.
+    /// Holds a slot for the run with id `run`.
     #[must_use]
     pub fn new(kernel: &'a Arc<Kernel>, slot: HeldSlot, run: &'a str) -> Self {
         Self { kernel, slot: Some(slot), run }
     }
 
-    /// The place.
+    /// The slot.
     ///
     /// # Panics
-    /// Panics when it was given back.
+    /// Panics when the slot was released.
     #[must_use]
     pub fn slot(&self) -> &HeldSlot {
-        self.slot.as_ref().expect("the place is held until it is given back")
+        self.slot.as_ref().expect("the slot is held until it is released")
     }
 
-    /// Gives the place back.
+    /// Releases the slot, and cancels its run if `end` says so; later calls have no effect.
     pub fn release(&mut self, generated_tokens: u32, end: SlotEnd) {
         let Some(slot) = self.slot.take() else {
             return;
