--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -77,9 +77,7 @@
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     match envelope.message {
-        Message::SlotRequest(slot_request) => {
-            request_slot(kernel, &envelope.reply_to, *slot_request);
-        }
+        Message::SlotRequest(request) => request_slot(kernel, &envelope.reply_to, *request),
         Message::WithdrawSlotRequest { model, id } => withdraw(kernel, &model, &id),
         Message::SlotReport { model, report } => handle_report(kernel, &model, &report),
         _ => {}
@@ -133,10 +131,10 @@
     });
 }
 
-async fn delete_block(kernel: Arc<Kernel>, model: String, delete: BlockDeletion) {
-    if kernel.upstreams.delete(&delete.store_url, &delete.block).await {
+async fn delete_block(kernel: Arc<Kernel>, model: String, deletion: BlockDeletion) {
+    if kernel.upstreams.delete(&deletion.store_url, &deletion.block).await {
         with_dispatcher(&kernel, &model, |active| {
-            active.dispatcher.context.record_deletion(&delete.block);
+            active.dispatcher.context.record_deletion(&deletion.block);
         });
     }
 }
@@ -158,7 +156,7 @@
     }
 }
 
-/// Polls the engines and deletes blocks from the stores, for each model with an active
+/// Polls the engines and deletions blocks from the stores, for each model with an active
 /// dispatcher.
 async fn poll_engines_and_stores(kernel: Arc<Kernel>) {
     let mut ticks = tokio::time::interval(FAST_REPORT_PERIOD);
@@ -174,10 +172,10 @@
             if !slow {
                 continue;
             }
-            let deletes =
+            let deletions =
                 with_dispatcher(&kernel, &model, |active| active.dispatcher.context.tick(now_ms()));
-            for delete in deletes {
-                tokio::spawn(delete_block(kernel.clone(), model.clone(), delete));
+            for deletion in deletions {
+                tokio::spawn(delete_block(kernel.clone(), model.clone(), deletion));
             }
         }
     }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -268,7 +268,7 @@
     let order = LoadOrder { fence: lease.fence, expect_version, version };
     let executed = kernel.upstreams.order(&upstream.url, &order).await;
     info!(target: "orders", "Order to load {version} on {}: {}.", load.engine,
-        if executed { "executed" } else { "refused, or no answer" });
+        if executed { "done" } else { "refused, or no answer" });
 }
 
 async fn is_lease_current(kernel: &Kernel, lease: &Lease) -> bool {
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -186,7 +186,7 @@
     ) -> Result<HeldSlot, Refusal> {
         let deadline = instant_at(self.slot_request.deadline_ms);
         let mut unanswered = 0;
-        let mut attempts = 0;
+        let mut resends = 0;
         while Instant::now() < deadline {
             let resend_at = (Instant::now() + RESEND_PERIOD).min(deadline);
             match tokio::time::timeout_at(resend_at, self.responses.recv()).await {
@@ -207,8 +207,8 @@
                     unanswered += 1;
                     self.slot_request.no_wait = false;
                     self.send_request(target);
-                    attempts += 1;
-                    self.request_elsewhere(target, &targets[attempts % targets.len()]);
+                    resends += 1;
+                    self.request_elsewhere(target, &targets[resends % targets.len()]);
                 }
             }
             if unanswered > 2 {
@@ -319,10 +319,11 @@
     id: SlotRequestId,
     response: SlotResponse,
 ) {
-    let inbox = locked(&kernel.placements.response_senders).get(&id).cloned();
+    let response_sender = locked(&kernel.placements.response_senders).get(&id).cloned();
     let granted = matches!(response, SlotResponse::Granted(_));
     let received = ReceivedResponse { from: from.to_owned(), response };
-    let delivered = inbox.is_some_and(|inbox| inbox.try_send(received).is_ok());
+    let delivered =
+        response_sender.is_some_and(|response_sender| response_sender.try_send(received).is_ok());
     let held = (from.to_owned(), model.to_owned(), id.clone());
     let in_use = locked(&kernel.placements.held_slots).contains(&held);
     if granted && !delivered && !in_use {
