--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,8 +1,8 @@
-//! The HTTP interface towards callers.
+//! HTTP interface for callers.
 //!
-//! Completions follow the usual completions protocol. Calls to plain services
-//! go below `/app/<service>/`. Every refusal says whether the call has run, why
-//! it is refused, and when to come back.
+//! Completions follow the `OpenAI` completions protocol. Calls to plain services go to
+//! `/app/<service>/`. Every refusal says whether the call has run, why it was refused,
+//! and when to retry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,32 +29,32 @@
 use crate::ledger::{Answer, CallKey};
 use crate::listen::server;
 use crate::refusal::{Reason, Refusal};
-use crate::rejection::{Rejection, bad_request, header};
+use crate::rejection::{Rejection, bad_request, header_value};
 use crate::streams::{AnswerStream, StreamEnd, StreamUpdate};
 use crate::trace::TraceId;
 use crate::wire::Call;
 use crate::workers::is_repeatable;
 
-/// Header with the time that the caller waits, in milliseconds.
+/// Header with the time for which the caller waits, in milliseconds.
 pub const TIMEOUT_HEADER: &str = "x-timeout-ms";
-/// Header with the name of a request.
-pub const REQUEST_HEADER: &str = "x-request-id";
-/// Header with the trace of a request.
-pub const TRACE_HEADER: &str = "x-trace-id";
-/// Longest time that a caller may wait, in milliseconds.
+/// Header with the id of a request.
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Header with the trace id of a request.
+pub const TRACE_ID_HEADER: &str = "x-trace-id";
+/// Maximum value of [`TIMEOUT_HEADER`].
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-/// A body that is too long is read up to so many times the limit.
-const DISCARD_FACTOR: usize = 16;
-/// Most tokens that a request may ask for.
-const MAX_TOKENS: u32 = 32_768;
-/// Time in which connections close after the last answer.
+/// A body that is too long is read and discarded up to this many times the limit.
+const DISCARD_LIMIT_FACTOR: usize = 16;
+/// Maximum number of tokens that a completion may request.
+const MAX_COMPLETION_TOKENS: u32 = 32_768;
+/// Time that open connections get to close when the box stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 inventory::submit! {
     Plugin { name: "callers", start, receive: None }
 }
 
-/// Who calls, and until when.
+/// The authenticated sender of a request, and the request's deadline.
 struct Caller {
     account: String,
     terms: Terms,
@@ -62,7 +62,7 @@
     trace: TraceId,
 }
 
-fn caller(kernel: &Kernel, request: &Request) -> Result<Caller, Rejection> {
+fn authenticate(kernel: &Kernel, request: &Request) -> Result<Caller, Rejection> {
     let config = kernel.configuration.current();
     if config.state.revision == 0 {
         return Err(Refusal::not_run(Reason::NotReady).retry_at(now_ms() + 1000).into());
@@ -87,32 +87,36 @@
         return Ok(kernel.settings.default_timeout_ms);
     };
     let parsed = text.parse().ok().filter(|timeout_ms| (1..=MAX_TIMEOUT_MS).contains(timeout_ms));
-    parsed.ok_or_else(|| bad_request(format!("{TIMEOUT_HEADER}: '{text}' is no time to wait")))
+    parsed.ok_or_else(|| {
+        bad_request(format!(
+            "{TIMEOUT_HEADER}: '{text}' is not a number of milliseconds between 1 and {MAX_TIMEOUT_MS}"
+        ))
+    })
 }
 
-/// Reads a body. One that is too long is read on for a while, so that its
-/// sender gets to read the refusal; one whose sender is silent is waited for until
-/// the deadline.
+/// Reads a body, and waits for it until the deadline. If it is too long, more of it is read
+/// and discarded, so that its sender can still read the refusal.
 async fn read_body(kernel: &Kernel, body: Body, deadline_ms: u64) -> Result<Vec<u8>, Rejection> {
     let limit = kernel.settings.max_body_bytes;
     let deadline = instant_at(deadline_ms);
     let mut chunks = body.into_bytes_stream();
     let mut bytes = Vec::new();
-    let mut read = 0;
+    let mut read_len = 0;
     loop {
         let next = tokio::time::timeout_at(deadline, chunks.next()).await;
         let Some(chunk) = next.map_err(|_| Reason::DeadlinePassed)? else {
             break;
         };
-        let chunk = chunk.map_err(|_| bad_request("the body broke off".to_owned()))?;
-        read += chunk.len();
-        if read <= limit {
+        let chunk =
+            chunk.map_err(|_| bad_request("the body could not be read to its end".to_owned()))?;
+        read_len += chunk.len();
+        if read_len <= limit {
             bytes.extend_from_slice(&chunk);
-        } else if read > limit.saturating_mul(DISCARD_FACTOR) {
+        } else if read_len > limit.saturating_mul(DISCARD_LIMIT_FACTOR) {
             break;
         }
     }
-    if read <= limit {
+    if read_len <= limit {
         return Ok(bytes);
     }
     let detail = format!("the body is longer than {limit} bytes");
@@ -120,7 +124,7 @@
 }
 
 #[derive(Deserialize)]
-struct Completion {
+struct CompletionBody {
     model: String,
     prompt: String,
     #[serde(default = "default_max_tokens")]
@@ -133,11 +137,17 @@
     16
 }
 
-fn job(kernel: &Kernel, caller: Caller, body: &[u8]) -> Result<(CompletionJob, bool), Rejection> {
-    let request: Completion =
+fn completion_job(
+    kernel: &Kernel,
+    caller: Caller,
+    body: &[u8],
+) -> Result<(CompletionJob, bool), Rejection> {
+    let request: CompletionBody =
         serde_json::from_slice(body).map_err(|error| bad_request(error.to_string()))?;
-    if !(1..=MAX_TOKENS).contains(&request.max_tokens) {
-        return Err(bad_request(format!("max_tokens must be between 1 and {MAX_TOKENS}")));
+    if !(1..=MAX_COMPLETION_TOKENS).contains(&request.max_tokens) {
+        return Err(bad_request(format!(
+            "max_tokens must be between 1 and {MAX_COMPLETION_TOKENS}"
+        )));
     }
     let config = kernel.configuration.current();
     let (model, version) = match request.model.split_once('@') {
@@ -161,7 +171,7 @@
 async fn complete(request: &Request, body: Body, Data(kernel): Data<&Arc<Kernel>>) -> Response {
     match start_completion(kernel, request, body).await {
         Ok((stream, true)) => send_events(stream, 0).await,
-        Ok((stream, false)) => send_whole(&stream).await,
+        Ok((stream, false)) => send_complete_answer(&stream).await,
         Err(rejection) => rejection.into_response(),
     }
 }
@@ -171,9 +181,9 @@
     request: &Request,
     body: Body,
 ) -> Result<(Arc<AnswerStream>, bool), Rejection> {
-    let caller = caller(kernel, request)?;
+    let caller = authenticate(kernel, request)?;
     let body = read_body(kernel, body, caller.deadline_ms).await?;
-    let (job, streamed) = job(kernel, caller, &body)?;
+    let (job, streamed) = completion_job(kernel, caller, &body)?;
     metrics::counter!("coursestile_requests_total", "kind" => "completion").increment(1);
     let id = format!("{}-{:x}", kernel.box_id.name, fastrand::u128(..));
     let prompt_tokens = token_count(job.prompt.len());
@@ -182,32 +192,33 @@
     Ok((stream, streamed))
 }
 
-async fn send_whole(stream: &Arc<AnswerStream>) -> Response {
+async fn send_complete_answer(stream: &Arc<AnswerStream>) -> Response {
     let _reader = stream.add_reader();
-    let mut read = 0;
+    let mut read_texts = 0;
     loop {
-        match stream.next(read).await {
-            StreamUpdate::Texts(texts) => read += texts.len(),
+        match stream.next(read_texts).await {
+            StreamUpdate::Texts(texts) => read_texts += texts.len(),
             StreamUpdate::End(StreamEnd::Refused(refusal)) => {
                 return Rejection::from(refusal).into_response();
             }
             StreamUpdate::End(StreamEnd::Finished(reason)) => {
                 let (version, text) = (stream.version_and_cached_tokens().0, stream.text());
-                let body = Json(last_chunk(stream, &version, read, &text, &reason));
-                return body.with_header(REQUEST_HEADER, &stream.id).into_response();
+                let body = Json(last_chunk(stream, &version, read_texts, &text, &reason));
+                return body.with_header(REQUEST_ID_HEADER, &stream.id).into_response();
             }
         }
     }
 }
 
-/// Sends the answer as events, once it is known that there is one.
+/// Sends the answer as server-sent events from event number `from` on. Waits for the first one
+/// or the end, so that a refusal still gets its own HTTP status.
 async fn send_events(stream: Arc<AnswerStream>, from: usize) -> Response {
     let reader = stream.add_reader();
     if let StreamUpdate::End(StreamEnd::Refused(refusal)) = stream.next(from).await {
         return Rejection::from(refusal).into_response();
     }
     let id = stream.id.clone();
-    SSE::new(events(stream, reader, from)).with_header(REQUEST_HEADER, id).into_response()
+    SSE::new(events(stream, reader, from)).with_header(REQUEST_ID_HEADER, id).into_response()
 }
 
 #[derive(Deserialize)]
@@ -216,8 +227,12 @@
     from: usize,
 }
 
-fn find(kernel: &Kernel, request: &Request, id: &str) -> Result<Arc<AnswerStream>, Rejection> {
-    let caller = caller(kernel, request)?;
+fn find_stream(
+    kernel: &Kernel,
+    request: &Request,
+    id: &str,
+) -> Result<Arc<AnswerStream>, Rejection> {
+    let caller = authenticate(kernel, request)?;
     Ok(kernel.streams.find(&caller.account, id).ok_or(Reason::NotFound)?)
 }
 
@@ -228,7 +243,7 @@
     Query(query): Query<ResumeQuery>,
     Data(kernel): Data<&Arc<Kernel>>,
 ) -> Response {
-    match find(kernel, request, &id) {
+    match find_stream(kernel, request, &id) {
         Ok(stream) => send_events(stream, query.from).await,
         Err(rejection) => rejection.into_response(),
     }
@@ -236,7 +251,7 @@
 
 #[handler]
 fn cancel(request: &Request, Path(id): Path<String>, Data(kernel): Data<&Arc<Kernel>>) -> Response {
-    match find(kernel, request, &id) {
+    match find_stream(kernel, request, &id) {
         Ok(stream) => {
             stream.cancel();
             StatusCode::OK.into()
@@ -247,7 +262,7 @@
 
 #[handler]
 fn ticket(request: &Request, Data(kernel): Data<&Arc<Kernel>>) -> Response {
-    match caller(kernel, request) {
+    match authenticate(kernel, request) {
         Ok(caller) => {
             let (prefix, expires_at_ms) = issue_ticket(kernel, &caller.account);
             Json(json!({ "prefix": prefix, "expires_at_ms": expires_at_ms })).into_response()
@@ -257,7 +272,7 @@
 }
 
 #[handler]
-async fn application(
+async fn app_call(
     request: &Request,
     Path((service, _)): Path<(String, String)>,
     body: Body,
@@ -285,7 +300,7 @@
     service: String,
     body: Body,
 ) -> Result<Answer, Rejection> {
-    let caller = caller(kernel, request)?;
+    let caller = authenticate(kernel, request)?;
     let uri = request.uri();
     let prefix = format!("/app/{service}");
     let path = uri.path().strip_prefix(&prefix).unwrap_or(uri.path());
@@ -316,18 +331,18 @@
     Ok(answer?)
 }
 
-/// Adds the trace to each answer, and closes connections of a stopping box.
-async fn with_headers<E: Endpoint>(
+/// Adds the trace id to each response, and closes connections while the box stops.
+async fn add_headers<E: Endpoint>(
     kernel: Arc<Kernel>,
     endpoint: Arc<E>,
     mut request: Request,
 ) -> poem::Result<Response> {
     let trace = TraceId::from_header(request.header("traceparent"));
-    request.headers_mut().insert("traceparent", header(&trace.header()));
+    request.headers_mut().insert("traceparent", header_value(&trace.header()));
     let mut response = endpoint.call(request).await?.into_response();
-    response.headers_mut().insert(TRACE_HEADER, header(&trace.to_string()));
+    response.headers_mut().insert(TRACE_ID_HEADER, header_value(&trace.to_string()));
     if kernel.phase() > BoxPhase::Serving {
-        response.headers_mut().insert("connection", header("close"));
+        response.headers_mut().insert("connection", header_value("close"));
     }
     Ok(response)
 }
@@ -335,15 +350,15 @@
 fn start(kernel: &Arc<Kernel>) {
     let kernel = kernel.clone();
     tokio::spawn(async move {
-        let calls = get(application).post(application).put(application).delete(application);
-        let layered = kernel.clone();
+        let calls = get(app_call).post(app_call).put(app_call).delete(app_call);
+        let header_kernel = kernel.clone();
         let app = Route::new()
             .at("/v1/completions", post(complete))
             .at("/v1/completions/:id", get(resume).delete(cancel))
             .at("/v1/tickets", post(ticket))
             .at("/app/:service/*path", calls)
             .data(kernel.clone())
-            .around(move |endpoint, request| with_headers(layered.clone(), endpoint, request));
+            .around(move |endpoint, request| add_headers(header_kernel.clone(), endpoint, request));
         let address = kernel.settings.callers;
         let served = match server(address) {
             Ok(server) => {
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,4 +1,4 @@
-//! Gives the ledgers of a box that stops to a peer.
+//! Hands the ledgers of a stopping box over to a peer, their heir.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,21 +13,22 @@
 use crate::ticket::BoxRef;
 use crate::wire::Message;
 
-/// Time in which an heir confirms a handover.
+/// Time within which an heir has to confirm a handover.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Time after which a ledger is given to the same heir again.
+/// Time after which a ledger is sent to the same heir again.
 const HANDOVER_RESEND_AFTER: Duration = Duration::from_millis(500);
-/// Boxes that are asked in turn to take a ledger over.
-const HANDOVER_TRIES: usize = 3;
-/// How often they are: a silent socket is noticed, and dialled anew, after the first.
+/// Number of peers that are tried in turn as heirs.
+const MAX_HEIR_CANDIDATES: usize = 3;
+/// Number of times that all of them are tried: a silent connection is detected during the
+/// first round, and then reopened.
 const HANDOVER_ROUNDS: usize = 2;
-/// How often every box is told of the heir before the box stops: a message to
-/// a peer may be lost, and probes reach just one box a second.
-const HEIR_NEWS_TIMES: usize = 3;
-/// Time after each telling.
-const HEIR_NEWS_PERIOD: Duration = Duration::from_millis(400);
+/// How many times the heir is announced to all boxes before the box stops: messages may be
+/// lost, and probes reach only one box per second.
+const HEIR_ANNOUNCEMENTS: usize = 3;
+/// Delay after each announcement.
+const HEIR_ANNOUNCEMENT_PERIOD: Duration = Duration::from_millis(400);
 
-/// Stops spending, and gives the own ledger and those inherited to a peer.
+/// Closes the own ledger, and hands it and the inherited ones over to a peer.
 pub async fn hand_over(kernel: &Arc<Kernel>) {
     let mut ledgers = std::mem::take(&mut *locked(&kernel.calls.inherited_ledgers));
     {
@@ -39,22 +40,22 @@
     if ledgers.is_empty() {
         return;
     }
-    let heirs = heirs(kernel);
-    for heir in std::iter::repeat_n(&heirs, HANDOVER_ROUNDS).flatten() {
-        if give_to(kernel, heir, &ledgers).await {
-            info!(target: "calls", "{} ledgers given to {}.", ledgers.len(), heir.id);
+    let candidates = heir_candidates(kernel);
+    for heir in std::iter::repeat_n(&candidates, HANDOVER_ROUNDS).flatten() {
+        if send_ledgers(kernel, heir, &ledgers).await {
+            info!(target: "calls", "Handed {} ledgers over to {}.", ledgers.len(), heir.id);
             kernel.membership().leave(Some(heir.id.clone()));
-            tell_of_heir(kernel).await;
+            announce_heir(kernel).await;
             return;
         }
     }
     warn!(target: "calls", "Nobody took the ledger: outcomes of its calls become unknown.");
 }
 
-/// Tells every box who answers for the ledger. One that learned of this box's
-/// next incarnation first would never hear of it.
-async fn tell_of_heir(kernel: &Arc<Kernel>) {
-    for _ in 0..HEIR_NEWS_TIMES {
+/// Announces the heir to all boxes. A box that first learns of this box's next incarnation
+/// would not hear of the heir by gossip any more.
+async fn announce_heir(kernel: &Arc<Kernel>) {
+    for _ in 0..HEIR_ANNOUNCEMENTS {
         let (me, others): (Member, Vec<String>) = {
             let membership = kernel.membership();
             let view = membership.view();
@@ -65,44 +66,48 @@
             let gossip = Gossip::Table { members: vec![me.clone()] };
             kernel.send(address, Message::Gossip(gossip));
         }
-        tokio::time::sleep(HEIR_NEWS_PERIOD).await;
+        tokio::time::sleep(HEIR_ANNOUNCEMENT_PERIOD).await;
     }
 }
 
-/// Gives all ledgers to one heir; true when it has confirmed each.
-async fn give_to(kernel: &Arc<Kernel>, heir: &Member, ledgers: &HashMap<BoxRef, Ledger>) -> bool {
-    for (of, ledger) in ledgers {
-        let given = give_one(kernel, heir, of, ledger);
-        if tokio::time::timeout(HANDOVER_TIMEOUT, given).await.is_err() {
+/// Sends all ledgers to one heir; true if it has confirmed each of them in time.
+async fn send_ledgers(
+    kernel: &Arc<Kernel>,
+    heir: &Member,
+    ledgers: &HashMap<BoxRef, Ledger>,
+) -> bool {
+    for (owner, ledger) in ledgers {
+        let sent = send_ledger(kernel, heir, owner, ledger);
+        if tokio::time::timeout(HANDOVER_TIMEOUT, sent).await.is_err() {
             return false;
         }
     }
     true
 }
 
-/// Gives a ledger to an heir until it has confirmed that. Taking it again changes
-/// nothing, and its confirmation may have been lost.
-async fn give_one(kernel: &Arc<Kernel>, heir: &Member, of: &BoxRef, ledger: &Ledger) {
-    let mut taken = kernel.calls.handover_confirmed.subscribe();
-    let expected = Some((heir.id.clone(), of.clone()));
+/// Sends a ledger to an heir until it confirms the handover. The ledger or the confirmation
+/// may get lost; receiving a ledger twice has no effect.
+async fn send_ledger(kernel: &Arc<Kernel>, heir: &Member, owner: &BoxRef, ledger: &Ledger) {
+    let mut confirmations = kernel.calls.handover_confirmed.subscribe();
+    let expected = Some((heir.id.clone(), owner.clone()));
     loop {
         let ledger = Box::new(ledger.clone());
-        kernel.send(&heir.address, Message::Handover { of: of.clone(), ledger });
-        let confirmed = taken.wait_for(|by| *by == expected);
+        kernel.send(&heir.address, Message::Handover { of: owner.clone(), ledger });
+        let confirmed = confirmations.wait_for(|confirmation| *confirmation == expected);
         if tokio::time::timeout(HANDOVER_RESEND_AFTER, confirmed).await.is_ok() {
             return;
         }
     }
 }
 
-/// Boxes that may take the ledger: those that answer before suspects, and of each those of
-/// the own hall first.
-fn heirs(kernel: &Kernel) -> Vec<Member> {
+/// Peers that can take over the ledgers, in the order to try them: those that answer probes
+/// before suspects, and boxes of the own hall first within each group.
+fn heir_candidates(kernel: &Kernel) -> Vec<Member> {
     let membership = kernel.membership();
-    let staying = membership.view().members().skip(1).filter(|member| member.takes_work());
-    let mut heirs: Vec<_> = staying.cloned().collect();
-    fastrand::shuffle(&mut heirs);
-    heirs.sort_by_key(|member| (member.health, member.hall != kernel.settings.hall));
-    heirs.truncate(HANDOVER_TRIES);
-    heirs
+    let available = membership.view().members().skip(1).filter(|member| member.takes_work());
+    let mut candidates: Vec<_> = available.cloned().collect();
+    fastrand::shuffle(&mut candidates);
+    candidates.sort_by_key(|member| (member.health, member.hall != kernel.settings.hall));
+    candidates.truncate(MAX_HEIR_CANDIDATES);
+    candidates
 }
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards operators and the balancer.
+//! HTTP interface for operators and the load balancer.
 
 use std::sync::Arc;
 
@@ -23,39 +23,40 @@
     Plugin { name: "operators", start, receive: None }
 }
 
-/// What a box says of itself.
+/// Status of this box.
 #[derive(Debug, Serialize)]
 pub struct Status {
     /// The box and its incarnation.
     pub name: String,
     /// Data hall.
     pub hall: String,
-    /// Whether it takes requests.
+    /// Whether the box accepts requests.
     pub ready: bool,
     /// Configuration revision in force.
     pub revision: u64,
-    /// Time since the platform answered last; none when it never did.
+    /// Time since the last answer of the platform; none if it never answered.
     pub platform_silent_ms: Option<u64>,
-    /// Boxes as this one sees them.
+    /// All boxes in this box's membership view.
     pub members: Vec<Member>,
-    /// Dispatchers that act here.
+    /// Dispatchers that run on this box.
     pub dispatchers: Vec<DispatcherStatus>,
-    /// Answers under way.
+    /// Number of answers in progress.
     pub streams: usize,
-    /// Keys in the ledger.
+    /// Number of keys in the ledger.
     pub ledger_keys: usize,
-    /// Invariants that were violated.
+    /// Number of invariant violations since the start.
     pub violations: u64,
 }
 
 fn status_of(kernel: &Kernel) -> Status {
-    let heard_at_ms = kernel.configuration.platform_answered_at_ms();
+    let last_answer_at_ms = kernel.configuration.platform_answered_at_ms();
     Status {
         name: kernel.box_id.to_string(),
         hall: kernel.settings.hall.clone(),
-        ready: ready(kernel),
+        ready: accepts_requests(kernel),
         revision: kernel.configuration.revision(),
-        platform_silent_ms: (heard_at_ms > 0).then(|| now_ms().saturating_sub(heard_at_ms)),
+        platform_silent_ms: (last_answer_at_ms > 0)
+            .then(|| now_ms().saturating_sub(last_answer_at_ms)),
         members: kernel.membership().view().members().cloned().collect(),
         dispatchers: kernel.dispatchers.status(),
         streams: kernel.streams.running_count(),
@@ -64,7 +65,7 @@
     }
 }
 
-fn ready(kernel: &Kernel) -> bool {
+fn accepts_requests(kernel: &Kernel) -> bool {
     kernel.phase() == BoxPhase::Serving && kernel.configuration.revision() > 0
 }
 
@@ -74,8 +75,8 @@
 }
 
 #[handler]
-fn is_ready(Data(kernel): Data<&Arc<Kernel>>) -> StatusCode {
-    if ready(kernel) { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
+fn ready(Data(kernel): Data<&Arc<Kernel>>) -> StatusCode {
+    if accepts_requests(kernel) { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }
 }
 
 #[handler]
@@ -84,12 +85,12 @@
 }
 
 #[handler]
-fn trace(Path(id): Path<String>, Data(kernel): Data<&Arc<Kernel>>) -> Json<Vec<Span>> {
+fn trace_spans(Path(id): Path<String>, Data(kernel): Data<&Arc<Kernel>>) -> Json<Vec<Span>> {
     Json(kernel.traces.spans(&id))
 }
 
 #[handler]
-fn metrics_page() -> String {
+fn render_metrics() -> String {
     render()
 }
 
@@ -105,10 +106,10 @@
     tokio::spawn(async move {
         let app = Route::new()
             .at("/live", get(live))
-            .at("/ready", get(is_ready))
+            .at("/ready", get(ready))
             .at("/status", get(status))
-            .at("/metrics", get(metrics_page))
-            .at("/traces/:id", get(trace))
+            .at("/metrics", get(render_metrics))
+            .at("/traces/:id", get(trace_spans))
             .at("/drain", post(drain))
             .data(kernel.clone());
         let address = kernel.settings.operators;
--- a/src/rejection.rs
+++ b/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Refusals as callers get them.
+//! Refusals as HTTP responses.
 
 use poem::http::{HeaderValue, StatusCode};
 use poem::web::Json;
@@ -11,11 +11,11 @@
 /// Header that says whether a refused call has run.
 pub const RAN_HEADER: &str = "x-coursestile-ran";
 
-/// A refusal on its way to the caller.
+/// A refusal with the text that the caller gets.
 pub struct Rejection {
     /// The refusal.
     pub refusal: Refusal,
-    /// What is wrong, in words.
+    /// Description of the fault.
     pub detail: String,
 }
 
@@ -39,22 +39,22 @@
         metrics::counter!("coursestile_refusals_total", &labels).increment(1);
         let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
         let mut response = (status, Json(error_body(&self.refusal, &self.detail))).into_response();
-        response.headers_mut().insert(RAN_HEADER, header(&ran.to_string()));
+        response.headers_mut().insert(RAN_HEADER, header_value(&ran.to_string()));
         if let Some(retry_at_ms) = retry_at_ms {
             let seconds = retry_at_ms.saturating_sub(now_ms()).div_ceil(1000);
-            response.headers_mut().insert("retry-after", header(&seconds.to_string()));
+            response.headers_mut().insert("retry-after", header_value(&seconds.to_string()));
         }
         response
     }
 }
 
-/// A header's value.
+/// Converts text to a header value; text that a header cannot hold becomes `unprintable`.
 #[must_use]
-pub fn header(text: &str) -> HeaderValue {
+pub fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("unprintable"))
 }
 
-/// Body that tells of a refusal.
+/// JSON body of a refusal.
 #[must_use]
 pub fn error_body(refusal: &Refusal, detail: &str) -> Value {
     json!({ "error": {
@@ -65,7 +65,7 @@
     }})
 }
 
-/// A request that is malformed.
+/// The rejection of a malformed request.
 #[must_use]
 pub fn bad_request(detail: String) -> Rejection {
     Rejection { refusal: Refusal::not_run(Reason::BadRequest), detail }
