--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,15 +1,15 @@
-//! The story of one request, told from the logs of many boxes.
+//! The timeline of one request, from the logs of several boxes.
 //!
-//! A request's own lines are put in order. Beside them stand the lines by
-//! which its boxes changed what they believe of the upstreams that it was sent
-//! to, of the configuration and of their dependencies, for a while before.
+//! The lines of the request are put in order of time. Lines of the same boxes are added
+//! that show changes of the upstreams it was sent to, of the configuration and of the
+//! boxes' dependencies, from some time before the request on.
 
 use std::collections::BTreeSet;
 
-/// Time before a request for which changes of belief are shown, in ms.
-const BEFORE_MS: i64 = 15_000;
-/// Events by which a box changes what it believes of everything.
-const GENERAL_EVENTS: [&str; 8] = [
+/// Time before a request from which on other lines of its boxes are shown, in ms.
+const LOOKBACK_MS: i64 = 15_000;
+/// Events that concern a whole box, not only one upstream.
+const BOX_EVENTS: [&str; 8] = [
     "dependency_lost",
     "dependency_regained",
     "configuration_in_force",
@@ -20,30 +20,30 @@
     "leadership_ended",
 ];
 
-/// A line of a log.
+/// A line of a log file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Place of the line among all that were read.
+    /// Position of the line among all lines that were read.
     pub number: usize,
-    /// Time within the day, in ms; lines without one are left out.
+    /// Time since the start of the month, in ms.
     pub time_ms: i64,
-    /// Name of the log that it is from.
+    /// Name of the log file.
     pub log: String,
-    /// Text as it stands.
+    /// Unchanged text of the line.
     pub text: String,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it has no time.
+    /// Parses a line; `None` if it has no timestamp.
     #[must_use]
     pub fn parse(number: usize, log: &str, text: &str) -> Option<Self> {
-        let stamp =
+        let timestamp =
             text.split_whitespace().find(|word| word.ends_with('Z') && word.contains('T'))?;
-        let time_ms = time_ms(stamp)?;
+        let time_ms = time_ms(timestamp)?;
         Some(Self { number, time_ms, log: log.to_owned(), text: text.to_owned() })
     }
 
-    /// Value of a field, without its quotes.
+    /// Value of a `name=value` field, without quotes.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&str> {
         let start = self.text.find(&format!(" {name}="))? + name.len() + 2;
@@ -55,10 +55,10 @@
     }
 }
 
-/// Milliseconds of a stamp such as `2026-12-02T14:10:01.250Z`, from the start
-/// of its month.
-fn time_ms(stamp: &str) -> Option<i64> {
-    let (date, time) = stamp.strip_suffix('Z')?.split_once('T')?;
+/// Milliseconds from the start of the month to a timestamp such as
+/// `2026-12-02T14:10:01.250Z`.
+fn time_ms(timestamp: &str) -> Option<i64> {
+    let (date, time) = timestamp.strip_suffix('Z')?.split_once('T')?;
     let day: i64 = date.rsplit('-').next()?.parse().ok()?;
     let mut parts = time.split(':');
     let hours: i64 = parts.next()?.parse().ok()?;
@@ -69,34 +69,39 @@
     Some((((day * 24 + hours) * 60 + minutes) * 60 + seconds) * 1000 + millis)
 }
 
-/// The lines that tell what became of a request, in order of time.
+/// The lines that explain what happened to a request, in order of time.
 #[must_use]
 pub fn request_timeline<'a>(lines: &'a [LogLine], request: &str) -> Vec<&'a LogLine> {
-    let own: Vec<&LogLine> =
+    let request_lines: Vec<&LogLine> =
         lines.iter().filter(|line| line.field("request") == Some(request)).collect();
-    let (Some(from_ms), Some(to_ms)) =
-        (own.iter().map(|line| line.time_ms).min(), own.iter().map(|line| line.time_ms).max())
-    else {
+    let (Some(from_ms), Some(to_ms)) = (
+        request_lines.iter().map(|line| line.time_ms).min(),
+        request_lines.iter().map(|line| line.time_ms).max(),
+    ) else {
         return Vec::new();
     };
-    let upstreams: BTreeSet<&str> = own.iter().filter_map(|line| line.field("upstream")).collect();
+    let upstreams: BTreeSet<&str> =
+        request_lines.iter().filter_map(|line| line.field("upstream")).collect();
     let fingerprints: BTreeSet<&str> =
-        own.iter().filter_map(|line| line.field("fingerprint")).collect();
-    let logs: BTreeSet<&str> = own.iter().map(|line| line.log.as_str()).collect();
-    let beside = lines.iter().filter(|line| {
-        let near = line.time_ms >= from_ms - BEFORE_MS && line.time_ms <= to_ms;
-        let general = line.field("event").is_some_and(|event| GENERAL_EVENTS.contains(&event));
-        let of_upstream = line.field("upstream").is_some_and(|id| upstreams.contains(id));
-        near && logs.contains(line.log.as_str())
+        request_lines.iter().filter_map(|line| line.field("fingerprint")).collect();
+    let logs: BTreeSet<&str> = request_lines.iter().map(|line| line.log.as_str()).collect();
+    let box_lines = lines.iter().filter(|line| {
+        let in_period = line.time_ms >= from_ms - LOOKBACK_MS && line.time_ms <= to_ms;
+        let is_box_event = line.field("event").is_some_and(|event| BOX_EVENTS.contains(&event));
+        let is_of_upstream = line.field("upstream").is_some_and(|id| upstreams.contains(id));
+        in_period
+            && logs.contains(line.log.as_str())
             && line.field("request").is_none()
-            && (general || of_upstream)
+            && (is_box_event || is_of_upstream)
     });
-    // A request may be held back for long after what its earlier tries did.
-    let earlier = lines.iter().filter(|line| {
-        let of_same = line.field("fingerprint").is_some_and(|one| fingerprints.contains(one));
-        of_same && line.field("request").is_none() && line.time_ms <= to_ms
+    // A request may be quarantined because of crashes long before, under other request ids.
+    let fingerprint_lines = lines.iter().filter(|line| {
+        let has_fingerprint =
+            line.field("fingerprint").is_some_and(|fingerprint| fingerprints.contains(fingerprint));
+        has_fingerprint && line.field("request").is_none() && line.time_ms <= to_ms
     });
-    let mut timeline: Vec<&LogLine> = own.iter().copied().chain(beside).chain(earlier).collect();
+    let mut timeline: Vec<&LogLine> =
+        request_lines.iter().copied().chain(box_lines).chain(fingerprint_lines).collect();
     timeline.sort_by_key(|line| (line.time_ms, line.number));
     timeline.dedup_by_key(|line| line.number);
     timeline
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -358,7 +358,8 @@
 
     /// The whole table, as far as this box knows it.
     fn table(&self, to: &str) -> Vec<Outgoing> {
-        let all: Vec<_> = self.view.members().chain(self.view.departed()).cloned().collect();
+        let all: Vec<_> =
+            self.view.members().chain(self.view.replaced_incarnations()).cloned().collect();
         let message = |members: Vec<Member>| {
             if self.joined { Gossip::Joined { members } } else { Gossip::Table { members } }
         };
--- a/src/view.rs
+++ b/src/view.rs
@@ -1,51 +1,51 @@
-//! What one box knows of all boxes, and how news of them is told apart.
+//! A box's view of all boxes, and how newer information about a box replaces older.
 
 use std::collections::BTreeMap;
 
 use crate::member::{Health, Member};
 use crate::ticket::BoxRef;
 
-/// Time until a suspect counts as dead.
+/// Time until a suspect is considered dead.
 const SUSPECT_TIMEOUT_MS: u64 = 3000;
-/// Time until a leaving member counts as dead.
+/// Time until a leaving member is considered dead.
 const LEAVING_TIMEOUT_MS: u64 = 120_000;
-/// Time until a dead member is forgotten.
-const FORGET_AFTER_MS: u64 = 900_000;
-/// Longest chain of heirs that is followed.
-const MAX_HEIRS: usize = 16;
-/// Member states carried by one message.
+/// Time until a dead member, or an incarnation that was replaced, is removed.
+const RETENTION_MS: u64 = 900_000;
+/// Maximum length of a chain of heirs.
+const MAX_HEIR_CHAIN: usize = 16;
+/// Maximum number of member states in one message.
 const MAX_UPDATES: usize = 6;
-/// How often a news item is sent along.
-const MAX_SENDS: u32 = 8;
-/// Time in which news is left to spread by itself.
-const NEWS_TIME_MS: u64 = 3000;
-/// Buckets of the table that are compared by digest.
+/// How many times a changed member state is sent along with messages.
+const MAX_SENDS_PER_UPDATE: u32 = 8;
+/// Time that a change gets to spread by itself before views are compared.
+const PROPAGATION_TIME_MS: u64 = 3000;
+/// Number of buckets of the member table; their digests are compared to find differences.
 pub const SYNC_BUCKETS: usize = 32;
 
-struct Known {
+struct KnownMember {
     member: Member,
     since_ms: u64,
     sends_left: u32,
 }
 
-/// An incarnation that stopped as planned and was replaced.
-struct Departed {
+/// An incarnation that stopped as planned and was replaced by a newer one.
+struct ReplacedIncarnation {
     member: Member,
     since_ms: u64,
 }
 
-/// A box's view of all boxes.
+/// This box's view of all boxes, including itself.
 pub struct View {
     me: Member,
-    others: BTreeMap<String, Known>,
-    departed: BTreeMap<BoxRef, Departed>,
+    others: BTreeMap<String, KnownMember>,
+    replaced_incarnations: BTreeMap<BoxRef, ReplacedIncarnation>,
 }
 
 impl View {
-    /// A view of `me` alone.
+    /// Creates a view with only `me`, this box.
     #[must_use]
     pub fn new(me: Member) -> Self {
-        Self { me, others: BTreeMap::new(), departed: BTreeMap::new() }
+        Self { me, others: BTreeMap::new(), replaced_incarnations: BTreeMap::new() }
     }
 
     /// This box.
@@ -54,18 +54,18 @@
         &self.me
     }
 
-    /// All boxes known, this one first.
+    /// All known boxes, this one first.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.others.values().map(|known| &known.member))
     }
 
-    /// The member called `name`.
+    /// The newest known incarnation of the box `name`.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members().find(|member| member.id.name == name)
     }
 
-    /// Whether a box's process is known to have ended, or is taken for dead.
+    /// Whether a box's process is known to have ended or is considered dead.
     #[must_use]
     pub fn is_gone(&self, id: &BoxRef) -> bool {
         self.member(&id.name).is_some_and(|member| {
@@ -74,42 +74,43 @@
         })
     }
 
-    /// Boxes of `hall` that take work, this one among them.
+    /// Boxes of `hall` that accept new work, including this one.
     #[must_use]
     pub fn available_in_hall(&self, hall: &str) -> Vec<&Member> {
         self.members().filter(|member| member.hall == hall && member.takes_work()).collect()
     }
 
-    /// The box that answers for the ledger of `spender`: itself, or the last of
-    /// its heirs.
+    /// The box that holds the ledger of `spender`: `spender` itself, or its last heir. `None` if
+    /// no box is known to hold it.
     #[must_use]
     pub fn ledger_holder(&self, spender: &BoxRef) -> Option<&Member> {
         let last = self.heir_chain(spender).into_iter().last()?;
-        let answers = last.heir.is_none() && last.health != Health::Dead;
-        answers.then_some(last)
+        let holds_ledger = last.heir.is_none() && last.health != Health::Dead;
+        holds_ledger.then_some(last)
     }
 
-    /// A box and its heirs, as far as they are known.
+    /// A box, its heir, the heir of that one and so on, as far as they are known.
     #[must_use]
     pub fn heir_chain(&self, of: &BoxRef) -> Vec<&Member> {
-        let next = |member: &&Member| member.heir.as_ref().and_then(|heir| self.run(heir));
-        std::iter::successors(self.run(of), next).take(MAX_HEIRS).collect()
+        let heir_of =
+            |member: &&Member| member.heir.as_ref().and_then(|heir| self.incarnation(heir));
+        std::iter::successors(self.incarnation(of), heir_of).take(MAX_HEIR_CHAIN).collect()
     }
 
-    /// A run of a box's process, which may have been replaced.
-    fn run(&self, id: &BoxRef) -> Option<&Member> {
+    /// An incarnation of a box, which may have been replaced.
+    fn incarnation(&self, id: &BoxRef) -> Option<&Member> {
         let member = self.member(&id.name).filter(|member| member.id == *id);
-        member.or_else(|| self.departed.get(id).map(|departed| &departed.member))
+        member.or_else(|| self.replaced_incarnations.get(id).map(|replaced| &replaced.member))
     }
 
-    /// Announces a planned stop, and who answers for the ledger.
+    /// Marks this box as leaving, with the heir of its ledger once there is one.
     pub fn leave(&mut self, heir: Option<BoxRef>) {
         self.me.health = Health::Leaving;
         self.me.heir = heir;
     }
 
-    /// Takes note that this box keeps the ledger of `leaver`, which may have had no
-    /// time to say so.
+    /// Records that this box inherited the ledger of `leaver`, which may stop before it has
+    /// announced that itself.
     pub fn record_inheritance(&mut self, now_ms: u64, leaver: &BoxRef) {
         let known = self.others.get(&leaver.name).map(|known| &known.member);
         if let Some(member) = known.filter(|member| member.id == *leaver) {
@@ -119,13 +120,13 @@
         }
     }
 
-    /// Hash of all that is known.
+    /// Hash of all member states.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.members().map(Member::digest).fold(0, u64::wrapping_add)
     }
 
-    /// Hash of what is known in each bucket.
+    /// Hash of the member states in each bucket.
     #[must_use]
     pub fn bucket_digests(&self) -> Vec<u64> {
         let mut digests = vec![0_u64; SYNC_BUCKETS];
@@ -136,7 +137,8 @@
         digests
     }
 
-    /// Lets suspects and leavers die, and forgets the dead.
+    /// Marks suspects and leaving members as dead after their timeouts, and removes members that
+    /// have been dead for long.
     pub fn expire_members(&mut self, now_ms: u64) {
         for known in self.others.values_mut() {
             let timeout_ms = match known.member.health {
@@ -147,35 +149,35 @@
             if now_ms >= known.since_ms + timeout_ms {
                 known.member.health = Health::Dead;
                 known.since_ms = now_ms;
-                known.sends_left = MAX_SENDS;
+                known.sends_left = MAX_SENDS_PER_UPDATE;
             }
         }
         self.others.retain(|_, known| {
-            known.member.health != Health::Dead || now_ms < known.since_ms + FORGET_AFTER_MS
+            known.member.health != Health::Dead || now_ms < known.since_ms + RETENTION_MS
         });
-        self.departed.retain(|_, departed| now_ms < departed.since_ms + FORGET_AFTER_MS);
+        self.replaced_incarnations.retain(|_, replaced| now_ms < replaced.since_ms + RETENTION_MS);
     }
 
-    /// Takes what is said of some members.
+    /// Merges the states of several members; see [`View::merge`].
     pub fn merge_members(&mut self, now_ms: u64, members: Vec<Member>) {
         for member in members {
             self.merge(now_ms, member);
         }
     }
 
-    /// Takes what is said of a member, if it is newer than what is known.
+    /// Merges the state of a member into the view, if it is newer than the known state.
     pub fn merge(&mut self, now_ms: u64, mut member: Member) {
         if member.id.name == self.me.id.name {
             self.refute(&member);
             if member.id.incarnation < self.me.id.incarnation {
-                self.depart(now_ms, member);
+                self.record_replaced(now_ms, member);
             }
             return;
         }
         let known = self.others.get(&member.id.name).map(|known| &known.member);
-        // A box that has left its ledger to an heir may not know that it was taken.
+        // A box that hands its ledger over may not know yet that the heir has confirmed it.
         if let Some(known) = known.filter(|known| known.id == member.id) {
-            // Nor may one that takes it for dead know of the heir.
+            // A box that considers the member dead may not know of the heir either.
             if known.heir.is_none() && member.heir.is_some() {
                 member.refutations = member.refutations.max(known.refutations);
                 member.health = member.health.max(known.health);
@@ -184,64 +186,66 @@
         }
         if let Some(known) = known.filter(|known| known.rank() >= member.rank()) {
             if known.id != member.id {
-                self.depart(now_ms, member);
+                self.record_replaced(now_ms, member);
             }
             return;
         }
         let name = member.id.name.clone();
         let id = member.id.clone();
-        let news = Known { member, since_ms: now_ms, sends_left: MAX_SENDS };
-        let replaced = self.others.insert(name, news);
+        let update = KnownMember { member, since_ms: now_ms, sends_left: MAX_SENDS_PER_UPDATE };
+        let replaced = self.others.insert(name, update);
         if let Some(replaced) = replaced.filter(|replaced| replaced.member.id != id) {
-            self.depart(now_ms, replaced.member);
+            self.record_replaced(now_ms, replaced.member);
         }
     }
 
-    /// Remembers who keeps the ledger of a replaced incarnation.
-    fn depart(&mut self, now_ms: u64, member: Member) {
+    /// Records a replaced incarnation that has an heir.
+    fn record_replaced(&mut self, now_ms: u64, member: Member) {
         if member.heir.is_some() {
-            let departed = Departed { member, since_ms: now_ms };
-            self.departed.entry(departed.member.id.clone()).or_insert(departed);
+            let replaced = ReplacedIncarnation { member, since_ms: now_ms };
+            self.replaced_incarnations.entry(replaced.member.id.clone()).or_insert(replaced);
         }
     }
 
-    fn refute(&mut self, rumour: &Member) {
-        let mine = rumour.id.incarnation == self.me.id.incarnation;
-        if mine && rumour.rank() > self.me.rank() {
-            self.me.refutations = rumour.refutations + 1;
+    /// Raises the beat of this box if another box wrongly considers it suspect, leaving or dead.
+    fn refute(&mut self, reported: &Member) {
+        let is_own_incarnation = reported.id.incarnation == self.me.id.incarnation;
+        if is_own_incarnation && reported.rank() > self.me.rank() {
+            self.me.refutations = reported.refutations + 1;
         }
     }
 
-    /// This box's state and the newest ones of others.
+    /// States to send along with a message: this box's and those of members that changed.
+    /// Counts them as sent.
     pub fn updates(&mut self) -> Vec<Member> {
         let mut updates = vec![self.me.clone()];
-        let mut fresh: Vec<_> =
+        let mut to_send: Vec<_> =
             self.others.values_mut().filter(|known| known.sends_left > 0).collect();
-        fresh.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
-        for known in fresh.into_iter().take(MAX_UPDATES - 1) {
+        to_send.sort_by_key(|known| std::cmp::Reverse(known.sends_left));
+        for known in to_send.into_iter().take(MAX_UPDATES - 1) {
             known.sends_left -= 1;
             updates.push(known.member.clone());
         }
         updates
     }
 
-    /// All boxes but this one.
+    /// All known boxes except this one.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.others.values().map(|known| &known.member)
     }
 
-    /// Incarnations that were replaced and have an heir.
-    pub fn departed(&self) -> impl Iterator<Item = &Member> {
-        self.departed.values().map(|departed| &departed.member)
+    /// Replaced incarnations that have an heir.
+    pub fn replaced_incarnations(&self) -> impl Iterator<Item = &Member> {
+        self.replaced_incarnations.values().map(|replaced| &replaced.member)
     }
 
-    /// Whether news came a moment ago, which explains why views differ.
+    /// Whether the view changed a moment ago, which can explain why the views of boxes differ.
     #[must_use]
     pub fn changed_recently(&self, now_ms: u64) -> bool {
-        self.others.values().any(|known| now_ms < known.since_ms + NEWS_TIME_MS)
+        self.others.values().any(|known| now_ms < known.since_ms + PROPAGATION_TIME_MS)
     }
 
-    /// Takes note that a member did not answer.
+    /// Marks a member as suspect because it did not answer.
     pub fn mark_suspect(&mut self, now_ms: u64, name: &str) {
         let known = self.others.get(name).map(|known| &known.member);
         if let Some(member) = known.filter(|member| member.health == Health::Alive) {
@@ -250,10 +254,10 @@
         }
     }
 
-    /// The members of some buckets, of [`SYNC_BUCKETS`].
+    /// The members in the given buckets, of [`SYNC_BUCKETS`] in total.
     #[must_use]
     pub fn members_in_buckets(&self, buckets: &[usize]) -> Vec<Member> {
-        let wanted = |member: &&Member| buckets.contains(&member.bucket(SYNC_BUCKETS));
-        self.members().filter(wanted).cloned().collect()
+        let in_wanted_bucket = |member: &&Member| buckets.contains(&member.bucket(SYNC_BUCKETS));
+        self.members().filter(in_wanted_bucket).cloned().collect()
     }
 }
