--- a/src/bin/coursestile-gateway/main.rs
+++ b/src/bin/coursestile-gateway/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry box on the users' platform.
+//! Daemon of an entry box on the users' platform: the gateway.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     name: "coursestile-gateway",
     help: HELP,
     settings_variable: Some("COURSESTILE_BOOT"),
-    // Entry boxes have a quarter of a core: one thread does.
+    // An entry box has a quarter of a CPU core, so one thread is enough.
     threads: None,
 };
 
@@ -49,11 +49,11 @@
 
 async fn serve(settings: Settings, path: String) -> Result<()> {
     let gateway = Gateway::new(settings)?;
-    tokio::spawn(obey_signals(gateway.clone(), path));
+    tokio::spawn(handle_signals(gateway.clone(), path));
     daemon::run(gateway).await
 }
 
-async fn obey_signals(gateway: Arc<Gateway>, path: String) {
+async fn handle_signals(gateway: Arc<Gateway>, path: String) {
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
     let hangup = signal(SignalKind::hangup());
--- a/src/bin/coursestile/args.rs
+++ b/src/bin/coursestile/args.rs
@@ -1,4 +1,4 @@
-//! Command line of the operators' tool.
+//! Command-line arguments of the operators' tool.
 
 use std::str::FromStr;
 
@@ -94,7 +94,7 @@
 ledger to a peer and ends.
 ";
 
-/// The help of a verb.
+/// Help text of a verb.
 pub fn help_for(verb: &str) -> &'static str {
     match verb {
         "template" => TEMPLATE_HELP,
@@ -108,7 +108,7 @@
     }
 }
 
-/// Terms given on the command line.
+/// Account terms given on the command line.
 #[derive(Debug, Default)]
 pub struct TermArgs {
     pub share: Option<f64>,
@@ -118,10 +118,10 @@
     pub models: Option<String>,
 }
 
-/// The command line.
+/// Parsed command line.
 #[derive(Debug, Default)]
 pub struct Args {
-    pub words: Vec<String>,
+    pub positional: Vec<String>,
     pub platform_url: String,
     pub boxes: Vec<String>,
     pub operator: String,
@@ -134,42 +134,43 @@
     pub drop_key: Option<String>,
 }
 
-/// A fault of usage.
-pub fn usage(text: impl std::fmt::Display) -> Error {
+/// Creates a usage error that refers to `--help`.
+pub fn usage_error(text: impl std::fmt::Display) -> Error {
     Error::Usage(format!("{text}; see --help"))
 }
 
-/// Reads a number called `name`.
-pub fn number<T: FromStr>(name: &str, text: &str) -> Result<T> {
-    text.parse().map_err(|_| usage(format!("{name}: '{text}' is no such number")))
+/// Parses a number; `name` says which one in the error message.
+pub fn parse_number<T: FromStr>(name: &str, text: &str) -> Result<T> {
+    text.parse().map_err(|_| usage_error(format!("{name}: '{text}' is no such number")))
 }
 
-fn split(text: &str) -> Vec<String> {
+fn split_list(text: &str) -> Vec<String> {
     text.split(',').filter(|item| !item.is_empty()).map(str::to_owned).collect()
 }
 
 impl Args {
-    /// Reads the command line and the environment.
+    /// Parses the command line; `COURSESTILE_PLATFORM`, `COURSESTILE_BOXES` and `USER` give
+    /// defaults.
     pub fn parse() -> Result<Self> {
-        let variable = |name| std::env::var(name).unwrap_or_default();
+        let env_var = |name| std::env::var(name).unwrap_or_default();
         let mut args = Self {
-            platform_url: variable("COURSESTILE_PLATFORM"),
-            boxes: split(&variable("COURSESTILE_BOXES")),
-            operator: variable("USER"),
+            platform_url: env_var("COURSESTILE_PLATFORM"),
+            boxes: split_list(&env_var("COURSESTILE_BOXES")),
+            operator: env_var("USER"),
             ..Self::default()
         };
         let mut parser = lexopt::Parser::from_env();
-        while let Some(arg) = parser.next().map_err(usage)? {
+        while let Some(arg) = parser.next().map_err(usage_error)? {
             match arg {
-                Value(word) => args.words.push(word.to_string_lossy().into_owned()),
+                Value(word) => args.positional.push(word.to_string_lossy().into_owned()),
                 Short('h') | Long("help") => args.help = true,
                 Long("json") => args.json = true,
                 Long(name) => {
                     let name = name.to_owned();
-                    let value = parser.value().map_err(usage)?;
+                    let value = parser.value().map_err(usage_error)?;
                     args.set(&name, value.to_string_lossy().into_owned())?;
                 }
-                other @ Short(_) => return Err(usage(other.unexpected())),
+                option @ Short(_) => return Err(usage_error(option.unexpected())),
             }
         }
         Ok(args)
@@ -178,26 +179,26 @@
     fn set(&mut self, name: &str, value: String) -> Result<()> {
         match name {
             "platform" => value.trim_end_matches('/').clone_into(&mut self.platform_url),
-            "boxes" => self.boxes = split(&value),
+            "boxes" => self.boxes = split_list(&value),
             "operator" => self.operator = value,
             "id" => self.id = Some(value),
-            "share" => self.terms.share = Some(number(name, &value)?),
-            "priority" => self.terms.priority = Some(number(name, &value)?),
-            "keep-for-s" => self.terms.keep_for_s = Some(number(name, &value)?),
+            "share" => self.terms.share = Some(parse_number(name, &value)?),
+            "priority" => self.terms.priority = Some(parse_number(name, &value)?),
+            "keep-for-s" => self.terms.keep_for_s = Some(parse_number(name, &value)?),
             "weights" => self.terms.weights = Some(value),
             "models" => self.terms.models = Some(value),
             "template" => self.template = Some(value),
             "add-key" => self.add_key = Some(value),
             "drop-key" => self.drop_key = Some(value),
-            _ => return Err(usage(format!("there is no option --{name}"))),
+            _ => return Err(usage_error(format!("there is no option --{name}"))),
         }
         Ok(())
     }
 
-    /// The platform's address.
-    pub fn platform(&self) -> Result<&str> {
+    /// URL of the platform, which must have been given.
+    pub fn require_platform_url(&self) -> Result<&str> {
         if self.platform_url.is_empty() {
-            return Err(usage("--platform is needed"));
+            return Err(usage_error("--platform is needed"));
         }
         Ok(&self.platform_url)
     }
--- a/src/bin/coursestile/change.rs
+++ b/src/bin/coursestile/change.rs
@@ -1,4 +1,4 @@
-//! Verbs that change something.
+//! Verbs that change the configuration or stop a box.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 use coursestile::error::{Error, Result};
 use coursestile::operator::{read_config, submit_proposal};
 
-use crate::args::{Args, number, usage};
+use crate::args::{Args, parse_number, usage_error};
 
-/// Makes the change that `words` ask for.
-pub async fn make(args: &Args, words: &[&str]) -> Result<()> {
-    let platform = Consul::new(args.platform()?);
+/// Submits the configuration change that `words` describe.
+pub async fn apply_change(args: &Args, words: &[&str]) -> Result<()> {
+    let platform = Consul::new(args.require_platform_url()?);
     let (_, state) = read_config(&platform).await?;
-    let change = change(args, &state, words)?;
+    let change = parse_change(args, &state, words)?;
     let object = change.object();
     let proposal = Proposal {
         id: args.id.clone().unwrap_or_else(|| format!("{:032x}", fastrand::u128(..))),
@@ -33,46 +33,46 @@
     Ok(())
 }
 
-fn change(args: &Args, state: &State, words: &[&str]) -> Result<Change> {
-    let named = |name: &str| name.to_owned();
+fn parse_change(args: &Args, state: &State, words: &[&str]) -> Result<Change> {
+    let owned = |name: &str| name.to_owned();
     match words {
         ["template", "set", name] => {
             let old = state.templates.get(*name).cloned().unwrap_or_default();
-            Ok(Change::SetTemplate { name: named(name), terms: template(args, &old)? })
+            Ok(Change::SetTemplate { name: owned(name), terms: update_template(args, &old)? })
         }
-        ["template", "remove", name] => Ok(Change::RemoveTemplate { name: named(name) }),
+        ["template", "remove", name] => Ok(Change::RemoveTemplate { name: owned(name) }),
         ["account", "set", name] => {
             let old = state.accounts.get(*name).cloned().unwrap_or_default();
-            Ok(Change::SetAccount { name: named(name), account: account(args, old)? })
+            Ok(Change::SetAccount { name: owned(name), account: update_account(args, old)? })
         }
-        ["account", "remove", name] => Ok(Change::RemoveAccount { name: named(name) }),
+        ["account", "remove", name] => Ok(Change::RemoveAccount { name: owned(name) }),
         ["model", "set", model, version] => {
-            Ok(Change::SetModel { model: named(model), version: named(version) })
+            Ok(Change::SetModel { model: owned(model), version: owned(version) })
         }
         ["upstream", "leave", name] => {
-            Ok(Change::SetLeaving { upstream: named(name), leaving: true })
+            Ok(Change::SetLeaving { upstream: owned(name), leaving: true })
         }
         ["upstream", "stay", name] => {
-            Ok(Change::SetLeaving { upstream: named(name), leaving: false })
+            Ok(Change::SetLeaving { upstream: owned(name), leaving: false })
         }
-        _ => Err(usage(format!("there is no verb '{}'", words.join(" ")))),
+        _ => Err(usage_error(format!("there is no verb '{}'", words.join(" ")))),
     }
 }
 
-fn template(args: &Args, old: &Terms) -> Result<Terms> {
-    let own = overrides(args, Overrides::default())?;
-    Ok(Account { overrides: own, ..Account::default() }.terms(old))
+fn update_template(args: &Args, old: &Terms) -> Result<Terms> {
+    let template_overrides = merge_overrides(args, Overrides::default())?;
+    Ok(Account { overrides: template_overrides, ..Account::default() }.terms(old))
 }
 
-fn account(args: &Args, mut account: Account) -> Result<Account> {
+fn update_account(args: &Args, mut account: Account) -> Result<Account> {
     if let Some(template) = &args.template {
         account.template.clone_from(template);
     }
-    account.overrides = overrides(args, account.overrides)?;
+    account.overrides = merge_overrides(args, account.overrides)?;
     if let Some(key) = &args.drop_key {
         let hash = key_hash(key);
         let before = account.key_hashes.len();
-        account.key_hashes.retain(|held| *held != hash);
+        account.key_hashes.retain(|known_hash| *known_hash != hash);
         if account.key_hashes.len() == before {
             return Err(Error::Usage("the account has no such key to drop".to_owned()));
         }
@@ -82,10 +82,10 @@
     Ok(account)
 }
 
-fn overrides(args: &Args, old: Overrides) -> Result<Overrides> {
+fn merge_overrides(args: &Args, old: Overrides) -> Result<Overrides> {
     let terms = &args.terms;
-    let weights = terms.weights.as_deref().map(weights).transpose()?;
-    let models = terms.models.as_deref().map(models);
+    let weights = terms.weights.as_deref().map(parse_weights).transpose()?;
+    let models = terms.models.as_deref().map(parse_models);
     Ok(Overrides {
         share: terms.share.or(old.share),
         priority: terms.priority.or(old.priority),
@@ -95,19 +95,19 @@
     })
 }
 
-fn weights(text: &str) -> Result<Weights> {
+fn parse_weights(text: &str) -> Result<Weights> {
     let parts: Vec<_> = text.split(',').collect();
     let [first_token, recompute, link] = parts.as_slice() else {
-        return Err(usage("weights: three numbers are needed"));
+        return Err(usage_error("weights: three numbers are needed"));
     };
     Ok(Weights {
-        first_token: number("weights", first_token)?,
-        recompute: number("weights", recompute)?,
-        link: number("weights", link)?,
+        first_token: parse_number("weights", first_token)?,
+        recompute: parse_number("weights", recompute)?,
+        link: parse_number("weights", link)?,
     })
 }
 
-fn models(text: &str) -> BTreeMap<String, Vec<String>> {
+fn parse_models(text: &str) -> BTreeMap<String, Vec<String>> {
     let items = text.split(',').filter(|item| !item.is_empty());
     items
         .map(|item| {
--- a/src/bin/coursestile/story.rs
+++ b/src/bin/coursestile/explain.rs
@@ -6,19 +6,19 @@
 use coursestile::error::{Error, Result};
 use coursestile::explain::{LogLine, request_timeline};
 
-/// Prints the story of a request; fails when no line names it.
-pub fn tell(request: &str, logs: &[&str]) -> Result<ExitCode> {
+/// Prints the timeline of a request; fails if no line contains its id.
+pub fn print_timeline(request: &str, logs: &[&str]) -> Result<ExitCode> {
     let mut lines = Vec::new();
     if logs.is_empty() {
         let mut text = String::new();
         let read = std::io::stdin().read_to_string(&mut text);
         read.map_err(|error| Error::Usage(format!("standard input: {error}")))?;
-        add(&mut lines, "-", &text);
+        add_lines(&mut lines, "-", &text);
     }
     for log in logs {
         let text = std::fs::read_to_string(log);
         let text = text.map_err(|error| Error::Usage(format!("{log}: {error}")))?;
-        add(&mut lines, log, &text);
+        add_lines(&mut lines, log, &text);
     }
     let timeline = request_timeline(&lines, request);
     if timeline.is_empty() {
@@ -31,9 +31,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn add(lines: &mut Vec<LogLine>, log: &str, text: &str) {
-    for one in text.lines() {
+fn add_lines(lines: &mut Vec<LogLine>, log: &str, text: &str) {
+    for line in text.lines() {
         let number = lines.len();
-        lines.extend(LogLine::parse(number, log, one));
+        lines.extend(LogLine::parse(number, log, line));
     }
 }
--- a/src/bin/coursestile/show.rs
+++ b/src/bin/coursestile/show.rs
@@ -1,4 +1,4 @@
-//! Verbs that show something.
+//! Verbs that only read.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -11,13 +11,13 @@
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::args::{Args, usage};
+use crate::args::{Args, usage_error};
 
-/// Time in which a box answers.
+/// Time within which a box has to answer.
 const BOX_TIMEOUT: Duration = Duration::from_secs(2);
 
-async fn state(args: &Args) -> Result<State> {
-    let platform = Consul::new(args.platform()?);
+async fn read_state(args: &Args) -> Result<State> {
+    let platform = Consul::new(args.require_platform_url()?);
     Ok(read_config(&platform).await?.1)
 }
 
@@ -28,9 +28,9 @@
     }
 }
 
-/// Lists all objects of a kind.
+/// Lists all objects of a kind, for example all accounts.
 pub async fn list(args: &Args, kind: &str) -> Result<()> {
-    let state = state(args).await?;
+    let state = read_state(args).await?;
     match (kind, args.json) {
         ("template", true) => print_json(&state.templates),
         ("account", true) => print_json(&state.accounts),
@@ -61,8 +61,8 @@
 }
 
 /// Shows one object.
-pub async fn one(args: &Args, kind: &str, name: &str) -> Result<()> {
-    let state = state(args).await?;
+pub async fn object(args: &Args, kind: &str, name: &str) -> Result<()> {
+    let state = read_state(args).await?;
     let missing = || Error::Usage(format!("there is no {kind} '{name}'"));
     if kind == "template" {
         print_json(state.templates.get(name).ok_or_else(missing)?);
@@ -74,7 +74,7 @@
 
 /// Shows the changes after a revision.
 pub async fn history(args: &Args, after_revision: u64) -> Result<()> {
-    let platform = Consul::new(args.platform()?);
+    let platform = Consul::new(args.require_platform_url()?);
     let (head, _) = read_config(&platform).await?;
     let entries = head.entries.iter().filter(|entry| entry.revision > after_revision);
     let entries: Vec<&Entry> = entries.collect();
@@ -93,38 +93,38 @@
     Ok(())
 }
 
-async fn get(address: &str, path: &str) -> Option<Value> {
-    let call = reqwest::Client::new().get(format!("http://{address}{path}"));
-    call.timeout(BOX_TIMEOUT).send().await.ok()?.json().await.ok()
+async fn fetch_json(address: &str, path: &str) -> Option<Value> {
+    let request = reqwest::Client::new().get(format!("http://{address}{path}"));
+    request.timeout(BOX_TIMEOUT).send().await.ok()?.json().await.ok()
 }
 
-fn boxes(args: &Args) -> Result<&[String]> {
+fn box_addresses(args: &Args) -> Result<&[String]> {
     if args.boxes.is_empty() {
-        return Err(usage("--boxes is needed"));
+        return Err(usage_error("--boxes is needed"));
     }
     Ok(&args.boxes)
 }
 
-/// Shows what each box says of itself; fails when one does not answer.
+/// Shows the status of each box; fails if a box does not answer.
 pub async fn status(args: &Args) -> Result<ExitCode> {
     let mut all = Vec::new();
-    let mut silent = 0;
+    let mut unanswered = 0;
     if !args.json {
         println!(
             "{:<22} {:<10} {:>6} {:>9} {:>8} {:>8} {:>8} {:>10}",
             "BOX", "HALL", "READY", "REVISION", "MEMBERS", "STREAMS", "KEYS", "VIOLATIONS"
         );
     }
-    for address in boxes(args)? {
-        let Some(status) = get(address, "/status").await else {
-            silent += 1;
+    for address in box_addresses(args)? {
+        let Some(status) = fetch_json(address, "/status").await else {
+            unanswered += 1;
             eprintln!("{address}: no answer");
             continue;
         };
         if !args.json {
             let text = |key: &str| match &status[key] {
                 Value::String(text) => text.clone(),
-                other => other.to_string(),
+                value => value.to_string(),
             };
             let members = status["members"].as_array().map_or(0, Vec::len);
             println!(
@@ -144,19 +144,19 @@
     if args.json {
         print_json(&all);
     }
-    Ok(if silent == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if unanswered == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// Tells where a revision is in force.
+/// Shows the revision of each box; fails if one does not answer or has an older revision.
 pub async fn in_force(args: &Args, revision: u64) -> Result<ExitCode> {
     let mut behind = 0;
-    for address in boxes(args)? {
-        let status = get(address, "/status").await;
-        let found = status.and_then(|status| status["revision"].as_u64());
-        let current = found.is_some_and(|found| found >= revision);
-        behind += u8::from(!current);
-        match found {
-            Some(found) => println!("{address}: revision {found}"),
+    for address in box_addresses(args)? {
+        let status = fetch_json(address, "/status").await;
+        let box_revision = status.and_then(|status| status["revision"].as_u64());
+        let is_in_force = box_revision.is_some_and(|box_revision| box_revision >= revision);
+        behind += u8::from(!is_in_force);
+        match box_revision {
+            Some(box_revision) => println!("{address}: revision {box_revision}"),
             None => println!("{address}: no answer"),
         }
     }
@@ -166,9 +166,9 @@
 /// Shows a request's hops over all boxes, in order of time.
 pub async fn trace(args: &Args, id: &str) -> Result<()> {
     let mut spans: Vec<Span> = Vec::new();
-    for address in boxes(args)? {
-        let found = get(address, &format!("/traces/{id}")).await;
-        spans.extend(found.and_then(|found| serde_json::from_value(found).ok()).unwrap_or_else(
+    for address in box_addresses(args)? {
+        let answer = fetch_json(address, &format!("/traces/{id}")).await;
+        spans.extend(answer.and_then(|answer| serde_json::from_value(answer).ok()).unwrap_or_else(
             || {
                 eprintln!("{address}: no answer");
                 Vec::new()
--- a/src/bin/coursestiled/main.rs
+++ b/src/bin/coursestiled/main.rs
@@ -1,4 +1,4 @@
-//! The daemon of an entry box.
+//! Daemon of an entry box.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -31,7 +31,7 @@
     name: "coursestiled",
     help: HELP,
     settings_variable: None,
-    // Entry boxes are small.
+    // Entry boxes run on small machines.
     threads: Some(2),
 };
 
@@ -48,8 +48,8 @@
 
 async fn serve(settings: Settings) -> Result<()> {
     let kernel = Kernel::new(settings);
-    let stopper = kernel.clone();
-    tokio::spawn(async move { stop_on_signal(stopper).await });
+    let signal_kernel = kernel.clone();
+    tokio::spawn(async move { stop_on_signal(signal_kernel).await });
     kernel.run().await
 }
 
@@ -57,7 +57,7 @@
     let terminate = signal(SignalKind::terminate());
     let interrupt = signal(SignalKind::interrupt());
     let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
-        return warn!(target: "kernel", "No signal can be handled: this box cannot stop as planned.");
+        return warn!(target: "kernel", "Cannot install signal handlers: this box cannot stop as planned.");
     };
     tokio::select! {
         _ = terminate.recv() => {}
