--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use coursestile::configlog::Head;
+use coursestile::configlog::ConfigHead;
 use coursestile::configuration::{BASE_KEY_PREFIX, HEAD_KEY};
 use coursestile::consul::Consul;
 use coursestile::external::KeyValueStore;
@@ -58,7 +58,7 @@
     let base = serde_json::to_vec(&state).expect("a state can be written");
     let key = format!("{BASE_KEY_PREFIX}{}", state.revision);
     platform.compare_and_swap(&key, 0, &base).await.expect("the platform answers");
-    let head = Head { base_revision: state.revision, entries: Vec::new() };
+    let head = ConfigHead { base_revision: state.revision, entries: Vec::new() };
     let head = serde_json::to_vec(&head).expect("a head can be written");
     platform.compare_and_swap(HEAD_KEY, 0, &head).await.expect("the platform answers");
     fleet.must_operate(&["model", "set", "summary", "v1"]);
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -6,7 +6,7 @@
 
 use coursestile::account::{Account, Terms, Weights, key_hash};
 use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
-use coursestile::configlog::{Change, Config, Entry, Proposal, State};
+use coursestile::configlog::{Change, ChangeProposal, Config, ConfigEntry, ConfigState};
 use coursestile::context::{PrefixChain, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::fleet::Engine;
@@ -156,15 +156,15 @@
     Change::SetAccount { name: format!("account-{number}"), account }
 }
 
-fn entry(revision: u64, change: Change) -> Entry {
+fn entry(revision: u64, change: Change) -> ConfigEntry {
     let (id, operator) = (format!("{revision:032x}"), "operator".to_owned());
-    let proposal = Proposal { id, operator, at_ms: 1, expects_revision: 0, change };
-    Entry { revision, proposal }
+    let proposal = ChangeProposal { id, operator, at_ms: 1, expects_revision: 0, change };
+    ConfigEntry { revision, proposal }
 }
 
 /// A state with all accounts.
-pub fn full_state() -> State {
-    let mut state = State::default();
+pub fn full_state() -> ConfigState {
+    let mut state = ConfigState::default();
     let terms =
         Terms { models: BTreeMap::from([("summary".to_owned(), vec![])]), ..Terms::default() };
     state.apply(&entry(1, Change::SetTemplate { name: "group".to_owned(), terms }));
--- a/src/account.rs
+++ b/src/account.rs
@@ -58,7 +58,7 @@
 
     /// Faults of these terms, one line each.
     #[must_use]
-    pub fn faults(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let weights = [self.weights.first_token, self.weights.recompute, self.weights.link];
         let mut faults = Vec::new();
         if !self.share.is_finite() || self.share < 0.0 {
--- a/src/bin/coursestile/change.rs
+++ b/src/bin/coursestile/change.rs
@@ -4,7 +4,7 @@
 
 use coursestile::account::{Account, Overrides, Terms, Weights, key_hash};
 use coursestile::clock::now_ms;
-use coursestile::configlog::{Change, Proposal, State};
+use coursestile::configlog::{Change, ChangeProposal, ConfigState};
 use coursestile::consul::Consul;
 use coursestile::error::{Error, Result};
 use coursestile::operator::{read_config, submit_proposal};
@@ -17,7 +17,7 @@
     let (_, state) = read_config(&platform).await?;
     let change = parse_change(args, &state, words)?;
     let object = change.object();
-    let proposal = Proposal {
+    let proposal = ChangeProposal {
         id: args.id.clone().unwrap_or_else(|| format!("{:032x}", fastrand::u128(..))),
         operator: args.operator.clone(),
         at_ms: now_ms(),
@@ -33,7 +33,7 @@
     Ok(())
 }
 
-fn parse_change(args: &Args, state: &State, words: &[&str]) -> Result<Change> {
+fn parse_change(args: &Args, state: &ConfigState, words: &[&str]) -> Result<Change> {
     let owned = |name: &str| name.to_owned();
     match words {
         ["template", "set", name] => {
--- a/src/bin/coursestile/show.rs
+++ b/src/bin/coursestile/show.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use coursestile::configlog::{Entry, State};
+use coursestile::configlog::{ConfigEntry, ConfigState};
 use coursestile::consul::Consul;
 use coursestile::error::{Error, Result};
 use coursestile::operator::read_config;
@@ -16,7 +16,7 @@
 /// Time within which a box has to answer.
 const BOX_TIMEOUT: Duration = Duration::from_secs(2);
 
-async fn read_state(args: &Args) -> Result<State> {
+async fn read_state(args: &Args) -> Result<ConfigState> {
     let platform = Consul::new(args.require_platform_url()?);
     Ok(read_config(&platform).await?.1)
 }
@@ -77,7 +77,7 @@
     let platform = Consul::new(args.require_platform_url()?);
     let (head, _) = read_config(&platform).await?;
     let entries = head.entries.iter().filter(|entry| entry.revision > after_revision);
-    let entries: Vec<&Entry> = entries.collect();
+    let entries: Vec<&ConfigEntry> = entries.collect();
     if args.json {
         print_json(&entries);
         return Ok(());
--- a/src/config_in_force.rs
+++ b/src/config_in_force.rs
@@ -8,7 +8,7 @@
 use tokio::sync::watch;
 
 use crate::clock::now_ms;
-use crate::configlog::{Adopted, Config, ConfigLog, Entry, State};
+use crate::configlog::{AdoptOutcome, Config, ConfigEntry, ConfigLog, ConfigState};
 use crate::invariant::{Invariant, check};
 use crate::sync::locked;
 
@@ -58,13 +58,13 @@
     }
 
     /// Updates the log with `apply`, and puts the result in force if it is newer.
-    pub(crate) fn adopt(&self, apply: impl FnOnce(&mut ConfigLog) -> Adopted) -> Adopted {
+    pub(crate) fn adopt(&self, apply: impl FnOnce(&mut ConfigLog) -> AdoptOutcome) -> AdoptOutcome {
         let mut log = locked(&self.log);
         let before = log.revision();
         let adopted = apply(&mut log);
         let after = log.revision();
         check(Invariant::ConfigNeverReverts, after >= before, || format!("{before} to {after}"));
-        if adopted == Adopted::Newer {
+        if adopted == AdoptOutcome::Applied {
             self.revision.store(after, Ordering::Release);
             self.current.send_replace(log.config());
             metrics::gauge!("coursestile_config_revision").set(u32::try_from(after).unwrap_or(0));
@@ -74,12 +74,12 @@
     }
 
     /// The changes after `revision`, if the log still has all of them.
-    pub(crate) fn entries_after(&self, revision: u64) -> Option<Vec<Entry>> {
+    pub(crate) fn entries_after(&self, revision: u64) -> Option<Vec<ConfigEntry>> {
         locked(&self.log).entries_after(revision)
     }
 
     /// The state of the configuration in force.
-    pub(crate) fn state(&self) -> State {
+    pub(crate) fn state(&self) -> ConfigState {
         locked(&self.log).state().clone()
     }
 }
--- a/src/configlog.rs
+++ b/src/configlog.rs
@@ -59,7 +59,7 @@
 
 /// A change that an operator wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Proposal {
+pub struct ChangeProposal {
     /// Names the change, also when it is sent again.
     pub id: String,
     /// Who wants it.
@@ -74,23 +74,23 @@
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ConfigEntry {
     /// Place in the log, from 1 on.
     pub revision: u64,
     /// The change.
-    pub proposal: Proposal,
+    pub proposal: ChangeProposal,
 }
 
 /// The head key's value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Head {
+pub struct ConfigHead {
     /// Revision of the base that the entries follow; 0 means none.
     pub base_revision: u64,
     /// Accepted changes after the base.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ConfigEntry>,
 }
 
-impl Head {
+impl ConfigHead {
     /// Revision of the newest change.
     #[must_use]
     pub fn revision(&self) -> u64 {
@@ -100,7 +100,7 @@
 
 /// The configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct State {
+pub struct ConfigState {
     /// Revision of the newest change applied.
     pub revision: u64,
     /// Templates by name.
@@ -117,7 +117,7 @@
     pub applied: VecDeque<(String, u64)>,
 }
 
-impl State {
+impl ConfigState {
     /// Revision at which `object` was last changed; 0 means never.
     #[must_use]
     pub fn object_revision(&self, object: &Object) -> u64 {
@@ -135,41 +135,41 @@
     /// # Errors
     /// Fails when the object was changed since the operator read it, or with
     /// every fault of the change.
-    pub fn accept(&self, proposal: &Proposal) -> Result<Entry, Error> {
+    pub fn accept(&self, proposal: &ChangeProposal) -> Result<ConfigEntry, Error> {
         let object = proposal.change.object();
         let found_revision = self.object_revision(&object);
         if found_revision != proposal.expects_revision {
             let expected_revision = proposal.expects_revision;
             return Err(Error::Conflict { object, expected_revision, found_revision });
         }
-        let faults = self.faults(&proposal.change);
+        let faults = self.validation_errors(&proposal.change);
         if !faults.is_empty() {
             return Err(Error::BadChange(faults));
         }
-        Ok(Entry { revision: self.revision + 1, proposal: proposal.clone() })
+        Ok(ConfigEntry { revision: self.revision + 1, proposal: proposal.clone() })
     }
 
-    fn faults(&self, change: &Change) -> Vec<String> {
+    fn validation_errors(&self, change: &Change) -> Vec<String> {
         match change {
             Change::SetTemplate { name, terms } => {
-                let mut faults = name_faults(name);
-                faults.extend(terms.faults());
+                let mut faults = name_errors(name);
+                faults.extend(terms.validation_errors());
                 faults
             }
-            Change::RemoveTemplate { name } => self.removal_faults(name),
-            Change::SetAccount { name, account } => self.account_faults(name, account),
+            Change::RemoveTemplate { name } => self.removal_errors(name),
+            Change::SetAccount { name, account } => self.account_errors(name, account),
             Change::RemoveAccount { name } if !self.accounts.contains_key(name) => {
                 vec![format!("no account '{name}'")]
             }
             Change::SetModel { model, version } => {
-                [name_faults(model), name_faults(version)].concat()
+                [name_errors(model), name_errors(version)].concat()
             }
-            Change::SetLeaving { upstream, .. } => name_faults(upstream),
+            Change::SetLeaving { upstream, .. } => name_errors(upstream),
             Change::RemoveAccount { .. } => Vec::new(),
         }
     }
 
-    fn removal_faults(&self, name: &str) -> Vec<String> {
+    fn removal_errors(&self, name: &str) -> Vec<String> {
         if !self.templates.contains_key(name) {
             return vec![format!("no template '{name}'")];
         }
@@ -177,11 +177,11 @@
         users.map(|(user, _)| format!("account '{user}' uses template '{name}'")).collect()
     }
 
-    fn account_faults(&self, name: &str, account: &Account) -> Vec<String> {
-        let mut faults = name_faults(name);
+    fn account_errors(&self, name: &str, account: &Account) -> Vec<String> {
+        let mut faults = name_errors(name);
         match self.templates.get(&account.template) {
             None => faults.push(format!("no template '{}'", account.template)),
-            Some(template) => faults.extend(account.terms(template).faults()),
+            Some(template) => faults.extend(account.terms(template).validation_errors()),
         }
         for (other, held) in self.accounts.iter().filter(|(other, _)| *other != name) {
             if held.key_hashes.iter().any(|hash| account.key_hashes.contains(hash)) {
@@ -195,7 +195,7 @@
     ///
     /// # Panics
     /// Panics when the entry is not the next one: a change would be lost.
-    pub fn apply(&mut self, entry: &Entry) {
+    pub fn apply(&mut self, entry: &ConfigEntry) {
         assert_eq!(entry.revision, self.revision + 1, "changes apply in order");
         self.revision = entry.revision;
         self.changed_at.insert(entry.proposal.change.object().to_string(), entry.revision);
@@ -229,7 +229,7 @@
     }
 }
 
-fn name_faults(name: &str) -> Vec<String> {
+fn name_errors(name: &str) -> Vec<String> {
     let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
     if !name.is_empty() && name.len() <= 64 && name.chars().all(plain) {
         return Vec::new();
@@ -241,19 +241,19 @@
 #[derive(Debug, Default)]
 pub struct Config {
     /// The state.
-    pub state: State,
-    by_key: HashMap<String, String>,
+    pub state: ConfigState,
+    account_by_key_hash: HashMap<String, String>,
 }
 
 impl Config {
     /// Prepares a state for serving.
     #[must_use]
-    pub fn new(state: State) -> Self {
+    pub fn new(state: ConfigState) -> Self {
         let mut by_key = HashMap::new();
         for (name, account) in &state.accounts {
             by_key.extend(account.key_hashes.iter().map(|hash| (hash.clone(), name.clone())));
         }
-        Self { state, by_key }
+        Self { state, account_by_key_hash: by_key }
     }
 
     /// The account that an API key belongs to.
@@ -262,7 +262,7 @@
     /// about a key.
     #[must_use]
     pub fn account_of(&self, api_key: &str) -> Option<&str> {
-        self.by_key.get(&key_hash(api_key)).map(String::as_str)
+        self.account_by_key_hash.get(&key_hash(api_key)).map(String::as_str)
     }
 
     /// The terms of an account.
@@ -276,11 +276,11 @@
 
 /// What came of news about the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adopted {
+pub enum AdoptOutcome {
     /// It was newer and is in force.
-    Newer,
+    Applied,
     /// It was known.
-    Known,
+    AlreadyKnown,
     /// Changes before it are missing.
     Gap,
 }
@@ -288,8 +288,8 @@
 /// A box's copy of the log. Its revision only rises.
 #[derive(Debug, Default)]
 pub struct ConfigLog {
-    state: State,
-    recent: VecDeque<Entry>,
+    state: ConfigState,
+    recent: VecDeque<ConfigEntry>,
 }
 
 impl ConfigLog {
@@ -301,7 +301,7 @@
 
     /// State in force.
     #[must_use]
-    pub fn state(&self) -> &State {
+    pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
@@ -312,18 +312,18 @@
     }
 
     /// Takes changes, oldest first.
-    pub fn adopt_entries(&mut self, entries: &[Entry]) -> Adopted {
-        let mut adopted = Adopted::Known;
+    pub fn adopt_entries(&mut self, entries: &[ConfigEntry]) -> AdoptOutcome {
+        let mut adopted = AdoptOutcome::AlreadyKnown;
         for entry in entries {
             if entry.revision <= self.state.revision {
                 continue;
             }
             if entry.revision > self.state.revision + 1 {
-                return Adopted::Gap;
+                return AdoptOutcome::Gap;
             }
             self.state.apply(entry);
             self.recent.push_back(entry.clone());
-            adopted = Adopted::Newer;
+            adopted = AdoptOutcome::Applied;
         }
         while self.recent.len() > MAX_RECENT_ENTRIES {
             self.recent.pop_front();
@@ -332,18 +332,18 @@
     }
 
     /// Takes a whole state, if it is newer.
-    pub fn adopt_state(&mut self, state: State) -> Adopted {
+    pub fn adopt_state(&mut self, state: ConfigState) -> AdoptOutcome {
         if state.revision <= self.state.revision {
-            return Adopted::Known;
+            return AdoptOutcome::AlreadyKnown;
         }
         self.state = state;
         self.recent.clear();
-        Adopted::Newer
+        AdoptOutcome::Applied
     }
 
     /// The changes after `revision`, when all of them are still here.
     #[must_use]
-    pub fn entries_after(&self, revision: u64) -> Option<Vec<Entry>> {
+    pub fn entries_after(&self, revision: u64) -> Option<Vec<ConfigEntry>> {
         if revision >= self.state.revision {
             return Some(Vec::new());
         }
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -12,7 +12,7 @@
 use log::warn;
 
 use crate::clock::now_ms;
-use crate::configlog::{Adopted, Head, State};
+use crate::configlog::{AdoptOutcome, ConfigHead, ConfigState};
 use crate::error::{Error, Result};
 use crate::external::KeyValueStore;
 use crate::kernel::{Kernel, Plugin, Topic};
@@ -43,9 +43,9 @@
 ///
 /// # Errors
 /// Fails if the value is not a valid head.
-pub fn parse_head(bytes: &[u8]) -> Result<Head> {
+pub fn parse_head(bytes: &[u8]) -> Result<ConfigHead> {
     if bytes.is_empty() {
-        return Ok(Head::default());
+        return Ok(ConfigHead::default());
     }
     parse_json(HEAD_KEY, bytes)
 }
@@ -54,8 +54,8 @@
 ///
 /// # Errors
 /// Fails if the platform does not answer or the base state cannot be parsed.
-pub async fn read_state(platform: &impl KeyValueStore, head: &Head) -> Result<State> {
-    let mut state = State::default();
+pub async fn read_state(platform: &impl KeyValueStore, head: &ConfigHead) -> Result<ConfigState> {
+    let mut state = ConfigState::default();
     if head.base_revision > 0 {
         let key = format!("{BASE_KEY_PREFIX}{}", head.base_revision);
         state = parse_json(&key, &platform.read(&key).await?.bytes)?;
@@ -133,7 +133,7 @@
         let state = read_state(&kernel.platform, &head).await?;
         kernel.configuration.adopt(|log| log.adopt_state(state))
     };
-    if adopted == Adopted::Newer {
+    if adopted == AdoptOutcome::Applied {
         notify_peers(kernel, old_revision);
     }
     Ok(())
@@ -175,11 +175,11 @@
         _ => return,
     };
     match adopted {
-        Adopted::Newer => notify_peers(kernel, old_revision),
-        Adopted::Gap => {
+        AdoptOutcome::Applied => notify_peers(kernel, old_revision),
+        AdoptOutcome::Gap => {
             kernel.send(&envelope.reply_to, Message::PullConfig { after_revision: old_revision });
         }
-        Adopted::Known => {}
+        AdoptOutcome::AlreadyKnown => {}
     }
 }
 
--- a/src/crashes.rs
+++ b/src/crashes.rs
@@ -8,7 +8,7 @@
 use crate::clock::now_ms;
 use crate::fingerprint::Fingerprint;
 use crate::kernel::{Kernel, Plugin, Topic};
-use crate::names::number;
+use crate::names::short_id;
 use crate::quarantine::UpdateUrgency;
 use crate::sync::locked;
 use crate::upstream::refuses_connections;
@@ -38,7 +38,7 @@
     }
     info!(target: "crashes", "Upstream {upstream} crashed while running request {request}.");
     let now_ms = now_ms();
-    let crash_id = number(&format!("{upstream}/{}", now_ms / MIN_RESTART_MS));
+    let crash_id = short_id(&format!("{upstream}/{}", now_ms / MIN_RESTART_MS));
     locked(&kernel.quarantine).record_crash(now_ms, request, crash_id, now_ms);
     notify_peers(kernel);
 }
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -19,7 +19,7 @@
 use crate::gateway::leader_calls::{self, CallOutcome, LeaderCall};
 use crate::gateway::leadership::{LEASE_NAME, Leadership};
 use crate::gateway::settings::Bounds;
-use crate::names::number;
+use crate::names::short_id;
 use crate::platform::keys;
 
 /// Maximum time that an order takes to arrive; the pause between the orders of two leaders
@@ -112,8 +112,8 @@
 
 /// Claims of the leader before the one with `fence` on every engine and context store.
 fn claims_on_all_targets(state: &State, fence: u64) -> Claims {
-    let engines = state.upstreams.iter().map(|engine| number(&engine.id));
-    let stores = state.stores.iter().map(|(store, _)| number(&store.name));
+    let engines = state.upstreams.iter().map(|engine| short_id(&engine.id));
+    let stores = state.stores.iter().map(|(store, _)| short_id(&store.name));
     let all = engines.chain(stores).collect();
     Claims::default().updated(0, (fence.saturating_sub(1), &all), &state.terms, 0)
 }
--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -11,7 +11,7 @@
 
 use crate::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, as_f64};
 use crate::gateway::decisions::upstream::Load;
-use crate::names::number;
+use crate::names::short_id;
 
 /// Part of an engine's memory that requests of the highest rank may reserve. It exceeds 1 since
 /// requests reserve memory for their maximum output and most end before.
@@ -61,12 +61,12 @@
     /// The limit of a service.
     #[must_use]
     pub fn limit_of(&self, service: &str) -> f64 {
-        self.mean_limit(number(service))
+        self.mean_limit(short_id(service))
     }
 
     /// Adjusts the limit of a service by the outcome of a wait for a first token.
     pub fn record_first_token(&mut self, service: &str, outcome: FirstTokenOutcome) {
-        let service = number(service);
+        let service = short_id(service);
         let mean_limit = self.mean_limit(service);
         let own_limit = self.own_limit(service);
         let (min, max) = LIMIT_RANGE;
--- a/src/gateway/decisions/incarnation.rs
+++ b/src/gateway/decisions/incarnation.rs
@@ -2,7 +2,7 @@
 //! under the same id and then has lost all its state. Only the start time tells the two
 //! incarnations apart.
 
-use crate::names::number;
+use crate::names::short_id;
 
 /// One run of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,8 +17,8 @@
     #[must_use]
     pub fn number(&self) -> u32 {
         match self.started_at_ms {
-            Some(started_at_ms) => number(&format!("{}/{started_at_ms}", self.id)),
-            None => number(&self.id),
+            Some(started_at_ms) => short_id(&format!("{}/{started_at_ms}", self.id)),
+            None => short_id(&self.id),
         }
     }
 }
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -18,7 +18,7 @@
 use crate::gateway::decisions::peers::sums::Sums;
 pub use crate::gateway::decisions::peers::targets::{Audience, GossipScope, Targets};
 use crate::gateway::decisions::view::ViewDigest;
-use crate::names::number;
+use crate::names::short_id;
 
 /// Time between two messages to the same peers.
 pub const GOSSIP_PERIOD_MS: u64 = 250;
@@ -80,7 +80,7 @@
 impl Peer {
     /// A peer from which nothing has been received yet.
     fn new(own_address: IpAddr, address: IpAddr) -> Self {
-        Self { preference: number(&format!("{address} {own_address}")), ..Self::default() }
+        Self { preference: short_id(&format!("{address} {own_address}")), ..Self::default() }
     }
 
     /// Whether the peer may be asked, because it has not recently failed to answer.
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -6,7 +6,7 @@
 use crate::gateway::decisions::cache_contents::{CacheContents, PartKey};
 use crate::gateway::decisions::configuration::Store;
 use crate::gateway::decisions::units::as_f64;
-use crate::names::number;
+use crate::names::short_id;
 
 /// Part of a store's capacity that is used; the rest allows for errors in the estimate of its
 /// content.
@@ -201,7 +201,7 @@
             let previous_state =
                 previous.remove(&store.name).filter(|(old, _)| old.address == store.address);
             let mut state = previous_state.map_or_else(StoreState::with_log, |(_, state)| state);
-            state.number = number(&store.name);
+            state.number = short_id(&store.name);
             self.by_name.insert(store.name.clone(), (store.clone(), state));
         }
     }
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -14,7 +14,7 @@
 use crate::gateway::decisions::cache_contents::CacheContents;
 use crate::gateway::decisions::incarnation::{Incarnation, is_other_incarnation};
 use crate::gateway::decisions::notice::NoticeState;
-use crate::names::number;
+use crate::names::short_id;
 
 /// Time for which an upstream is avoided after its first failure.
 const FIRST_AVOID_MS: u64 = 500;
@@ -252,7 +252,7 @@
     /// The name of the model with the given number, if the upstream has it.
     #[must_use]
     pub fn model_by_number(&self, model: u32) -> Option<String> {
-        self.entry.models.iter().map(|(name, _)| name).find(|name| number(name) == model).cloned()
+        self.entry.models.iter().map(|(name, _)| name).find(|name| short_id(name) == model).cloned()
     }
 
     /// Load from all boxes.
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -24,7 +24,7 @@
 use crate::gateway::leader_calls::{DelegatedCall, DelegatedReply, execute_for_peer};
 use crate::gateway::quarantine;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, VERSION_GOSSIP_MS};
-use crate::names::number;
+use crate::names::short_id;
 
 /// Maximum length of a datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 8192;
@@ -249,7 +249,7 @@
 fn named(state: &State, now_ms: u64, apply_ms: u64) -> Vec<NamedVersionReport> {
     let since_ms = now_ms.saturating_sub(2 * apply_ms);
     let models = state.weights.iter().flat_map(|(model, named)| {
-        let model = number(model);
+        let model = short_id(model);
         named.named_after(since_ms).map(move |naming| NamedVersionReport {
             model,
             version: naming.version,
@@ -421,7 +421,7 @@
 fn apply_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
     for reported in &gossip.named_versions {
         let mut known = state.weights.iter_mut();
-        if let Some((_, named)) = known.find(|(model, _)| number(model) == reported.model) {
+        if let Some((_, named)) = known.find(|(model, _)| short_id(model) == reported.model) {
             let at_ms = now_ms.saturating_sub(u64::from(reported.age_ms));
             let naming = NamedVersion {
                 version: reported.version,
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -26,7 +26,7 @@
 use crate::gateway::leader_calls::DelegatedReply;
 use crate::gateway::leadership::Leadership;
 use crate::gateway::settings::{Bounds, Settings};
-use crate::names::number;
+use crate::names::short_id;
 use crate::platform::caches::CacheClient;
 use crate::platform::engine::EngineClient;
 use crate::platform::http::HttpClient;
@@ -327,6 +327,6 @@
     )]
     let millicores = (settings.cores * 1000.0) as u32;
     let address = settings.peers;
-    let own_number = number(&address.ip().to_string());
-    LocalBox { number: own_number, address, hall: number(&settings.hall), millicores }
+    let own_number = short_id(&address.ip().to_string());
+    LocalBox { number: own_number, address, hall: short_id(&settings.hall), millicores }
 }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -16,7 +16,7 @@
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::store_cleanup::StoreCleanup;
 use crate::gateway::weight_loads::{LOADING_GOSSIP_MS, WeightLoad, mark_loading, replace_weights};
-use crate::names::number;
+use crate::names::short_id;
 
 /// Interval at which the leader checks whether there is anything to do.
 const POLL_PERIOD: Duration = Duration::from_millis(100);
@@ -127,7 +127,7 @@
                 time_left_ms: left_ms(gateway, named, now_ms, engine.weight_version(model)),
                 is_loading: state.loading_engines.contains(&engine.id),
                 may_be_ordered: now_ms >= failed.retry_at_ms
-                    && claims::may_order(state, bounds, now_ms, number(&engine.id)),
+                    && claims::may_order(state, bounds, now_ms, short_id(&engine.id)),
                 failed_orders: failed.count,
                 requests: engine.total_load().requests,
                 unhealthy: engine.is_unhealthy(now_ms),
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -9,7 +9,7 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::request_log::log_refusal;
 use crate::gateway::response::{self, ClientResponse, Reason};
-use crate::names::number;
+use crate::names::short_id;
 
 /// Default retry delay for refused clients.
 pub const RETRY_AFTER_MS: u64 = 400;
@@ -23,7 +23,7 @@
     drop(state);
     match backoff_until_ms {
         Some(until_ms) => {
-            let spread_ms = u64::from(number(&request.outgoing.request_id)) % RETRY_AFTER_MS;
+            let spread_ms = u64::from(short_id(&request.outgoing.request_id)) % RETRY_AFTER_MS;
             refuse_until(request, Reason::UpstreamsFull, until_ms + spread_ms)
         }
         None if has_upstreams => give_up(request, Reason::UpstreamsFull),
@@ -46,7 +46,7 @@
     let reason = Reason::UpstreamsFull;
     let request_id = &request.outgoing.request_id;
     let remaining_ms = request.outgoing.deadline_ms.saturating_sub(now_ms());
-    let after_ms = admission::retry_after_ms(number(request_id).into(), remaining_ms);
+    let after_ms = admission::retry_after_ms(short_id(request_id).into(), remaining_ms);
     log_refusal(request, reason);
     response::refusal(reason, Some(request_id), Some(after_ms))
 }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -29,7 +29,7 @@
 };
 use crate::gateway::response::{self, ClientResponse, Reason};
 use crate::gateway::{crashes, outdated_weights, quarantine, relay, silence};
-use crate::names::number;
+use crate::names::short_id;
 use crate::platform::exchange;
 
 /// A request for which no upstream was found is refused after the route's latency objective
@@ -412,7 +412,7 @@
             Candidates::All
         } else {
             Candidates::Sampled {
-                seed: now_ms ^ u64::from(number(&request.outgoing.request_id)) << 32,
+                seed: now_ms ^ u64::from(short_id(&request.outgoing.request_id)) << 32,
             }
         },
         tried: &request.tried,
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -20,7 +20,7 @@
 use crate::gateway::decisions::context::{scope_model, scope_version};
 use crate::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use crate::gateway::kernel::{Gateway, State};
-use crate::names::number;
+use crate::names::short_id;
 use crate::platform::keys;
 
 /// Interval at which stores are checked for parts whose writing was aborted.
@@ -195,7 +195,7 @@
     let state = gateway.state();
     let bounds = &gateway.settings.bounds;
     let mut managed = state.stores.iter().filter(|(store, _)| store.managed);
-    managed.all(|(store, _)| claims::may_order(&state, bounds, now_ms, number(&store.name)))
+    managed.all(|(store, _)| claims::may_order(&state, bounds, now_ms, short_id(&store.name)))
 }
 
 /// A store in which parts are to be freed.
@@ -248,7 +248,7 @@
 
 /// Claims a store; returns whether this box may send it orders.
 async fn claim_store(gateway: &Gateway, socket: &UdpSocket, store: ManagedStore<'_>) -> bool {
-    let target = number(store.name);
+    let target = short_id(store.name);
     match claims::claim(gateway, socket, store.fence, target).await {
         Ok(claimed) => claimed,
         Err(error) => {
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -24,7 +24,7 @@
 use crate::gateway::catch_up::PeerQuery;
 use crate::gateway::decisions::cache_contents::CacheUpdate;
 use crate::gateway::kernel::{Gateway, State};
-use crate::names::number;
+use crate::names::short_id;
 
 /// Interval between two messages while there are changes: short compared with the seconds
 /// after which a part is requested again.
@@ -103,7 +103,8 @@
 
 fn apply_updates(state: &mut State, updates: Vec<StoreUpdate>) {
     for StoreUpdate { store: store_number, update } in updates {
-        let found = state.stores.iter_mut().find(|(store, _)| number(&store.name) == store_number);
+        let found =
+            state.stores.iter_mut().find(|(store, _)| short_id(&store.name) == store_number);
         if let Some((_, store_state)) = found {
             store_state.contents.apply_update(update);
         }
@@ -136,7 +137,7 @@
 fn compose(state: &State, sent_up_to: &mut HashMap<u32, u64>) -> Vec<StoreUpdate> {
     let mut updates = Vec::new();
     for (store, store_state) in state.stores.iter() {
-        let store = number(&store.name);
+        let store = short_id(&store.name);
         let (update, next) = store_state.contents.update_since(sent_up_to.get(&store).copied());
         sent_up_to.insert(store, next);
         updates.extend(update.map(|update| StoreUpdate { store, update }));
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -18,7 +18,7 @@
 use crate::gateway::kernel::{Gateway, ObservedVersion, State};
 use crate::gateway::leader::max_concurrent_loads;
 use crate::gateway::{claims, entries, invariants};
-use crate::names::number;
+use crate::names::short_id;
 
 /// Time that gossip takes to reach the other boxes.
 const GOSSIP_DELAY: Duration = Duration::from_millis(15);
@@ -113,7 +113,7 @@
     if end == LoadEnd::Done {
         state.observed_versions.push(ObservedVersion {
             engine: load.engine.number(),
-            model: number(&load.model),
+            model: short_id(&load.model),
             version: load.version,
             until_ms: now_ms() + VERSION_GOSSIP_MS,
         });
@@ -249,7 +249,7 @@
     load: &WeightLoad,
     orders_taken: u64,
 ) -> Result<Option<LoadEnd>> {
-    let target = number(&load.engine.id);
+    let target = short_id(&load.engine.id);
     match claims::claim(gateway, socket, load.fence, target).await {
         Ok(true) => {}
         Ok(false) => return Ok(Some(LoadEnd::LeadershipLost)),
--- a/src/operator.rs
+++ b/src/operator.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::configlog::{Head, MAX_HEAD_ENTRIES, Proposal, State};
+use crate::configlog::{ChangeProposal, ConfigHead, ConfigState, MAX_HEAD_ENTRIES};
 use crate::configuration::{BASE_KEY_PREFIX, HEAD_KEY, parse_head, read_state};
 use crate::error::{Error, Result};
 use crate::external::KeyValueStore;
@@ -21,7 +21,7 @@
 ///
 /// # Errors
 /// Fails if the platform does not answer or its value cannot be parsed.
-pub async fn read_config(platform: &impl KeyValueStore) -> Result<(Head, State)> {
+pub async fn read_config(platform: &impl KeyValueStore) -> Result<(ConfigHead, ConfigState)> {
     retry_until_timeout(async || {
         let head = parse_head(&platform.read(HEAD_KEY).await?.bytes)?;
         let state = read_state(platform, &head).await?;
@@ -54,11 +54,17 @@
 /// # Errors
 /// Fails if the object was changed meanwhile, if the change is invalid, or if the platform
 /// does not answer within [`RETRY_TIMEOUT`].
-pub async fn submit_proposal(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<u64> {
+pub async fn submit_proposal(
+    platform: &impl KeyValueStore,
+    proposal: &ChangeProposal,
+) -> Result<u64> {
     retry_until_timeout(async || try_submit(platform, proposal).await).await
 }
 
-async fn try_submit(platform: &impl KeyValueStore, proposal: &Proposal) -> Result<Option<u64>> {
+async fn try_submit(
+    platform: &impl KeyValueStore,
+    proposal: &ChangeProposal,
+) -> Result<Option<u64>> {
     let value = platform.read(HEAD_KEY).await?;
     let mut head = parse_head(&value.bytes)?;
     let state = read_state(platform, &head).await?;
@@ -84,7 +90,7 @@
 }
 
 /// Moves the older entries of a head into a new base state.
-async fn compact_head(platform: &impl KeyValueStore, head: Head) -> Result<Head> {
+async fn compact_head(platform: &impl KeyValueStore, head: ConfigHead) -> Result<ConfigHead> {
     let old_entry_count = head.entries.len() - KEPT_HEAD_ENTRIES;
     let mut old_head = head;
     let entries = old_head.entries.split_off(old_entry_count);
@@ -92,7 +98,7 @@
     let key = format!("{BASE_KEY_PREFIX}{}", base.revision);
     // The result is false if the same base state was written before.
     platform.compare_and_swap(&key, 0, &to_json(&base)?).await?;
-    Ok(Head { base_revision: base.revision, entries })
+    Ok(ConfigHead { base_revision: base.revision, entries })
 }
 
 fn to_json(value: &impl serde::Serialize) -> Result<Vec<u8>> {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ask::{SlotReport, SlotRequest, SlotRequestId, SlotResponse};
-use crate::configlog::{Entry, State};
+use crate::configlog::{ConfigEntry, ConfigState};
 use crate::error::{Error, Result};
 use crate::ledger::{Answer, CallKey, Ledger, Outcome};
 use crate::member::Gossip;
@@ -94,9 +94,9 @@
     /// Requests the configuration changes after a revision.
     PullConfig { after_revision: u64 },
     /// Configuration changes, oldest first.
-    ConfigEntries(Vec<Entry>),
+    ConfigEntries(Vec<ConfigEntry>),
     /// A whole configuration, for a box whose missing changes are no longer all kept.
-    ConfigState(Box<State>),
+    ConfigState(Box<ConfigState>),
     /// Requests a slot for a request.
     SlotRequest(Box<SlotRequest>),
     /// Answers a slot request.
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -4,7 +4,7 @@
 #[path = "common/model.rs"]
 mod model;
 
-use coursestile::configlog::{Change, ConfigLog, Entry, Proposal, State};
+use coursestile::configlog::{Change, ChangeProposal, ConfigEntry, ConfigLog, ConfigState};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
@@ -59,15 +59,15 @@
 
 struct World {
     /// Each state that ever was, by revision.
-    states: Vec<State>,
-    log: Vec<Entry>,
-    prepared: Vec<Option<Proposal>>,
+    states: Vec<ConfigState>,
+    log: Vec<ConfigEntry>,
+    prepared: Vec<Option<ChangeProposal>>,
     boxes: Vec<ConfigLog>,
     next_id: u64,
 }
 
 impl World {
-    fn newest(&self) -> &State {
+    fn newest(&self) -> &ConfigState {
         self.states.last().unwrap()
     }
 
@@ -77,7 +77,7 @@
         let change = Change::SetModel { model: format!("m{model}"), version };
         let expects_revision = self.newest().object_revision(&change.object());
         let (id, name) = (self.next_id.to_string(), operator.to_string());
-        let proposal = Proposal { id, operator: name, at_ms: 0, expects_revision, change };
+        let proposal = ChangeProposal { id, operator: name, at_ms: 0, expects_revision, change };
         self.prepared[operator] = Some(proposal);
     }
 
@@ -122,7 +122,7 @@
 
     fn init_test((): &()) -> Self {
         Self {
-            states: vec![State::default()],
+            states: vec![ConfigState::default()],
             log: Vec::new(),
             prepared: vec![None; OPERATORS],
             boxes: (0..BOXES).map(|_| ConfigLog::default()).collect(),
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -7,7 +7,7 @@
 
 use common::{completion, fleet};
 use coursestile::clock::now_ms;
-use coursestile::configlog::{Change, Proposal};
+use coursestile::configlog::{Change, ChangeProposal};
 use coursestile::consul::Consul;
 use coursestile::error::Error;
 use coursestile::object::Object;
@@ -19,10 +19,10 @@
     completion(fleet, at, key, "Who scored?", 2).send().await.unwrap().status().as_u16()
 }
 
-fn set_version(id: &str, expects_revision: u64, version: &str) -> Proposal {
+fn set_version(id: &str, expects_revision: u64, version: &str) -> ChangeProposal {
     let change = Change::SetModel { model: "summary".to_owned(), version: version.to_owned() };
     let (id, operator) = (id.to_owned(), "tester".to_owned());
-    Proposal { id, operator, at_ms: now_ms(), expects_revision, change }
+    ChangeProposal { id, operator, at_ms: now_ms(), expects_revision, change }
 }
 
 #[tokio::test]
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -13,7 +13,7 @@
 use coursestile::gateway::decisions::gossip_message::Gossip;
 use coursestile::gateway::decisions::view::ViewDigest;
 use coursestile::gateway::gossip::Datagram;
-use coursestile::names::number;
+use coursestile::names::short_id;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::server::{Server, WORK_HEADER};
 use coursestile_standins::site::silencer::Silencer;
@@ -221,7 +221,8 @@
     let cut = scene.site.gateway_at("north", &[&scene.gateway], &store.address);
     wait_ready(&cut).await;
     let view_digest = ViewDigest { last_change_revision: 1_000_000, checksum: 1 };
-    let gossip = Gossip { incarnation: 1, hall: number("north"), view_digest, ..Gossip::default() };
+    let gossip =
+        Gossip { incarnation: 1, hall: short_id("north"), view_digest, ..Gossip::default() };
     let deaf = DeafPeer::start(&cut.peers, DEAF_HOST, gossip).await;
     eventually("it is asked", async || deaf.asked() > 0).await;
     store.lead_to("127.0.0.1:1");
@@ -240,7 +241,7 @@
 #[tokio::test]
 async fn other_teller_asked() {
     let scene = scene(1).await;
-    let hall = number("north");
+    let hall = short_id("north");
     let gossip = Gossip { incarnation: 1, hall, millicores: 10_000, ..Gossip::default() };
     let mut fleet = Vec::new();
     for host in 0..LARGE_FLEET {
