--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -10,7 +10,7 @@
 use coursestile::context::{PrefixChain, Scope};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::fleet::Engine;
-use coursestile::keep::KeepPolicy;
+use coursestile::keep::RetentionPolicy;
 use coursestile::keeper::ContextManager;
 use coursestile::ledger::{Answer, CallKey, Ledger, Outcome};
 use coursestile::member::{Health, Member};
@@ -97,7 +97,7 @@
         .collect();
     let store = Store::new("http://s", u64::MAX / 2, 2e6);
     let stores = BTreeMap::from([("s".to_owned(), store)]);
-    let keeper = ContextManager::new(KeepPolicy::Worth, stores, prompts * 2, 20_000, "box");
+    let keeper = ContextManager::new(RetentionPolicy::Worth, stores, prompts * 2, 20_000, "box");
     Dispatcher::new(Policies::default(), engines, keeper)
 }
 
@@ -125,8 +125,12 @@
         if open.len() > HALL_ENGINES * 8 * 7 / 10 {
             let id = open.pop_front().expect("it is not empty");
             let request = "request".to_owned();
-            let done =
-                SlotReport::Done { id, request, generated_tokens: 200, end: SlotEnd::Finished };
+            let done = SlotReport::Done {
+                id,
+                request_id: request,
+                generated_tokens: 200,
+                end: SlotEnd::Finished,
+            };
             dispatcher.report(now_ms, &done);
         }
     };
--- a/src/ask.rs
+++ b/src/ask.rs
@@ -137,7 +137,7 @@
     /// The prefill ended.
     FirstToken { id: SlotRequestId, cached_tokens: u32, took_ms: u32 },
     /// The place is free again.
-    Done { id: SlotRequestId, request: String, generated_tokens: u32, end: SlotEnd },
+    Done { id: SlotRequestId, request_id: String, generated_tokens: u32, end: SlotEnd },
     /// These places are still in use.
     Renew { ids: Vec<SlotRequestId> },
 }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -141,7 +141,7 @@
             SlotReport::FirstToken { id, cached_tokens, took_ms } => {
                 self.first_token(now_ms, id, *cached_tokens, *took_ms);
             }
-            SlotReport::Done { id, request, generated_tokens, end } => {
+            SlotReport::Done { id, request_id: request, generated_tokens, end } => {
                 return self.done(now_ms, id, request, *generated_tokens, *end);
             }
             SlotReport::Renew { ids } => self.renew(now_ms, ids),
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/places.rs
@@ -166,7 +166,12 @@
         if end == SlotEnd::Finished {
             let Engine { url, prefill_ms_per_token: token_ms, .. } = &self.fleet.engines[engine];
             let (engine_url, request, token_ms) = (url.clone(), request.to_owned(), *token_ms);
-            let source = ExportSource { ask, engine_url, request, prefill_ms_per_token: token_ms };
+            let source = ExportSource {
+                slot_request: ask,
+                engine_url,
+                request_id: request,
+                prefill_ms_per_token: token_ms,
+            };
             actions.extend(self.context.plan_export(now_ms, source).map(Action::Export));
         }
         actions.extend(self.place_waiting(now_ms));
--- a/src/keep.rs
+++ b/src/keep.rs
@@ -7,7 +7,7 @@
 
 /// Which block goes first when room is needed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum KeepPolicy {
+pub enum RetentionPolicy {
     /// The least recently used.
     Lru,
     /// The least recently used, and each after a fixed time.
@@ -17,7 +17,7 @@
     Worth,
 }
 
-impl KeepPolicy {
+impl RetentionPolicy {
     /// The policy called `name` in the settings.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
@@ -123,12 +123,12 @@
 
 /// Order in which blocks give way: the least goes first.
 #[must_use]
-pub fn rank(policy: KeepPolicy, now_ms: u64, kept: &BlockStats, prior: &ReusePrior) -> f64 {
+pub fn rank(policy: RetentionPolicy, now_ms: u64, kept: &BlockStats, prior: &ReusePrior) -> f64 {
     let last_used = millis(kept.reuse.last_used_at_ms);
     match policy {
-        KeepPolicy::Lru | KeepPolicy::Ttl => last_used,
-        KeepPolicy::Worth if now_ms >= kept.worthless_at_ms => -1.0,
-        KeepPolicy::Worth => {
+        RetentionPolicy::Lru | RetentionPolicy::Ttl => last_used,
+        RetentionPolicy::Worth if now_ms >= kept.worthless_at_ms => -1.0,
+        RetentionPolicy::Worth => {
             let rate = reuse_rate(now_ms, &kept.reuse, prior);
             let worth = rate * kept.saved_ms / millis(kept.size_bytes.max(1));
             // An account over its share gives way to all that are within.
@@ -139,26 +139,26 @@
 
 /// Whether a block has outlived its use.
 #[must_use]
-pub fn expired(policy: KeepPolicy, now_ms: u64, kept: &BlockStats) -> bool {
+pub fn expired(policy: RetentionPolicy, now_ms: u64, kept: &BlockStats) -> bool {
     match policy {
-        KeepPolicy::Lru => false,
-        KeepPolicy::Ttl => now_ms >= kept.reuse.last_used_at_ms + FIXED_TTL_MS,
-        KeepPolicy::Worth => now_ms >= kept.worthless_at_ms,
+        RetentionPolicy::Lru => false,
+        RetentionPolicy::Ttl => now_ms >= kept.reuse.last_used_at_ms + FIXED_TTL_MS,
+        RetentionPolicy::Worth => now_ms >= kept.worthless_at_ms,
     }
 }
 
 /// Whether context is worth writing to a store.
 #[must_use]
 pub fn worth_exporting(
-    policy: KeepPolicy,
+    policy: RetentionPolicy,
     now_ms: u64,
     kept: &BlockStats,
     prior: &ReusePrior,
     transfer_ms: f64,
 ) -> bool {
     match policy {
-        KeepPolicy::Lru | KeepPolicy::Ttl => true,
-        KeepPolicy::Worth => {
+        RetentionPolicy::Lru | RetentionPolicy::Ttl => true,
+        RetentionPolicy::Worth => {
             let left_ms = millis(kept.worthless_at_ms.saturating_sub(now_ms));
             let expected = reuse_rate(now_ms, &kept.reuse, prior) * left_ms;
             let chance = 1.0 - (-expected).exp();
--- a/src/keeper/mod.rs
+++ b/src/keeper/mod.rs
@@ -14,7 +14,7 @@
 use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
 use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
-use crate::keep::{self, BlockStats, KeepPolicy};
+use crate::keep::{self, BlockStats, RetentionPolicy};
 use crate::route::ImportEstimate;
 use crate::store::{Store, ceil_ms, to_f64};
 
@@ -66,7 +66,7 @@
     /// Where the engine listens that holds the context.
     pub engine_url: String,
     /// Request whose context it is.
-    pub request: String,
+    pub request_id: String,
     /// Where the store listens.
     pub store_url: String,
     /// What the block says of itself.
@@ -77,11 +77,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportSource {
     /// The request.
-    pub ask: SlotRequest,
+    pub slot_request: SlotRequest,
     /// Where the engine listens.
     pub engine_url: String,
     /// The request's name at the engine.
-    pub request: String,
+    pub request_id: String,
     /// Time to prefill a token there.
     pub prefill_ms_per_token: f64,
 }
@@ -109,7 +109,7 @@
 /// Kept context of one dispatcher.
 #[derive(Debug)]
 pub struct ContextManager {
-    policy: KeepPolicy,
+    policy: RetentionPolicy,
     /// Known prompts.
     pub directory: Directory,
     blocks: Blocks,
@@ -125,7 +125,7 @@
     /// Starts without knowledge of prompts or blocks.
     #[must_use]
     pub fn new(
-        policy: KeepPolicy,
+        policy: RetentionPolicy,
         stores: BTreeMap<String, Store>,
         capacity: usize,
         token_bytes: u64,
@@ -208,7 +208,7 @@
     /// While the links are busy it is put off for a little.
     pub fn plan_export(&mut self, now_ms: u64, source: ExportSource) -> Option<Export> {
         let size_bytes = self.worth_writing(now_ms, &source)?;
-        let root = source.ask.prefix.root;
+        let root = source.slot_request.prefix.root;
         if let Some(store) = self.store_for(now_ms, root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
@@ -225,7 +225,7 @@
             return None;
         }
         let size_bytes = self.worth_writing(now_ms, &source)?;
-        if let Some(store) = self.store_for(now_ms, source.ask.prefix.root, size_bytes) {
+        if let Some(store) = self.store_for(now_ms, source.slot_request.prefix.root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
         self.deferred_exports.push_front((until_ms, source));
@@ -234,7 +234,7 @@
 
     /// Size of the block that would be written; none when it is not worth it.
     fn worth_writing(&mut self, now_ms: u64, source: &ExportSource) -> Option<u64> {
-        let ExportSource { ask, prefill_ms_per_token: token_ms, .. } = source;
+        let ExportSource { slot_request: ask, prefill_ms_per_token: token_ms, .. } = source;
         let mark = ask.prefix.last().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
         self.shares.insert(ask.scope.account.clone(), ask.share);
         let record = self.directory.record_mut(&ask.prefix)?;
@@ -262,7 +262,7 @@
         store_name: &str,
         size_bytes: u64,
     ) -> Option<Export> {
-        let ExportSource { ask, engine_url, request, .. } = source;
+        let ExportSource { slot_request: ask, engine_url, request_id: request, .. } = source;
         let store = self.stores.get_mut(store_name)?;
         store.plan_transfer(now_ms, to_f64(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
@@ -281,7 +281,7 @@
         self.directory.record_mut(&ask.prefix)?.block = Some(id.clone());
         let SlotRequest { scope, prefix: course, worthless_at_ms, .. } = ask;
         let meta = BlockMeta { scope, prefix: course, worthless_at_ms };
-        Some(Export { block: id, engine_url, request, store_url, meta })
+        Some(Export { block: id, engine_url, request_id: request, store_url, meta })
     }
 
     /// Takes in how a write ended.
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -38,7 +38,7 @@
 /// Peers asked at once who keeps a ledger.
 const HEIRS_ASKED: usize = 3;
 /// Members in one message of a table transfer.
-pub const TABLE_CHUNK: usize = 64;
+pub const MAX_TABLE_MEMBERS: usize = 64;
 
 struct Probe {
     name: String,
@@ -363,7 +363,7 @@
         let message = |members: Vec<Member>| {
             if self.joined { Gossip::Joined { members } } else { Gossip::Table { members } }
         };
-        let chunks = all.chunks(TABLE_CHUNK);
+        let chunks = all.chunks(MAX_TABLE_MEMBERS);
         chunks
             .map(|chunk| Outgoing { to: to.to_owned(), gossip: message(chunk.to_vec()) })
             .collect()
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -66,7 +66,7 @@
     /// Releases the slot.
     pub fn release(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
         let (id, request) = (self.id.clone(), request.to_owned());
-        self.report(kernel, SlotReport::Done { id, request, generated_tokens, end });
+        self.report(kernel, SlotReport::Done { id, request_id: request, generated_tokens, end });
         let held = (self.dispatcher, self.model, self.id);
         locked(&kernel.placements.held_slots).remove(&held);
     }
@@ -328,7 +328,8 @@
     let in_use = locked(&kernel.placements.held_slots).contains(&held);
     if granted && !delivered && !in_use {
         let request = String::new();
-        let done = SlotReport::Done { id, request, generated_tokens: 0, end: SlotEnd::Unused };
+        let done =
+            SlotReport::Done { id, request_id: request, generated_tokens: 0, end: SlotEnd::Unused };
         send_report(kernel, from, model, done);
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 use crate::dispatcher::Policies;
 use crate::error::Result;
 use crate::ini_file::IniFile;
-use crate::keep::KeepPolicy;
+use crate::keep::RetentionPolicy;
 use crate::route::RoutePolicy;
 use crate::share::SharePolicy;
 use crate::ticket::ClusterKey;
@@ -102,7 +102,7 @@
     /// Policies for choosing an engine and for sharing the fleet between accounts.
     pub policies: Policies,
     /// Policy for keeping context in stores.
-    pub keep: KeepPolicy,
+    pub keep: RetentionPolicy,
     /// Upstreams of the hall.
     pub upstreams: Vec<Upstream>,
 }
@@ -148,7 +148,7 @@
                 route: self.policy("route", RoutePolicy::from_name),
                 share: self.policy("share", SharePolicy::from_name),
             },
-            keep: self.policy("keep", KeepPolicy::from_name),
+            keep: self.policy("keep", RetentionPolicy::from_name),
             upstreams: self.upstreams(),
             name,
         }
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -9,7 +9,7 @@
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::external::EngineReport;
 use coursestile::fleet::Engine;
-use coursestile::keep::KeepPolicy;
+use coursestile::keep::RetentionPolicy;
 use coursestile::keeper::{BlockMeta, ContextManager, StoredBlock};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
@@ -22,7 +22,7 @@
     let engine = |name: &str| Engine::new(name, "http://127.0.0.1:1", 8, 65_536, 0.05);
     let store = Store::new("http://127.0.0.1:2", 4_000_000_000, 2e6);
     let stores = BTreeMap::from([("store1".to_owned(), store)]);
-    let keeper = ContextManager::new(KeepPolicy::default(), stores, 100, 20_000, "b1");
+    let keeper = ContextManager::new(RetentionPolicy::default(), stores, 100, 20_000, "b1");
     Dispatcher::new(Policies::default(), vec![engine("e1"), engine("e2")], keeper)
 }
 
@@ -70,7 +70,8 @@
         panic!("not placed: {actions:?}");
     };
     let request = "r".to_owned();
-    let done = SlotReport::Done { id, request, generated_tokens: 5, end: SlotEnd::Finished };
+    let done =
+        SlotReport::Done { id, request_id: request, generated_tokens: 5, end: SlotEnd::Finished };
     dispatcher.report(NOW_MS, &done);
     grant.engine.clone()
 }
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -6,7 +6,7 @@
 use coursestile::ask::{ImportReport, ImportResult, SlotRequest, SlotRequestId};
 use coursestile::blocks::Seal;
 use coursestile::context::{PrefixChain, Scope};
-use coursestile::keep::KeepPolicy;
+use coursestile::keep::RetentionPolicy;
 use coursestile::keeper::{ContextManager, ExportResult, ExportSource};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
@@ -16,7 +16,7 @@
 const TOKEN_BYTES: u64 = 20_000;
 const RATE: f64 = 2e6;
 
-fn keeper(policy: KeepPolicy, capacity_bytes: u64) -> ContextManager {
+fn keeper(policy: RetentionPolicy, capacity_bytes: u64) -> ContextManager {
     let store = Store::new("http://s", capacity_bytes, RATE);
     let stores = BTreeMap::from([("s".to_owned(), store)]);
     ContextManager::new(policy, stores, 1000, TOKEN_BYTES, "box")
@@ -49,7 +49,12 @@
     let account = &ask.scope.account;
     keeper.directory.record_use(now_ms, account, &ask.prefix, ask.worthless_at_ms);
     let (engine_url, request) = ("http://e".to_owned(), "r".to_owned());
-    let source = ExportSource { ask: ask.clone(), engine_url, request, prefill_ms_per_token: 0.03 };
+    let source = ExportSource {
+        slot_request: ask.clone(),
+        engine_url,
+        request_id: request,
+        prefill_ms_per_token: 0.03,
+    };
     let Some(export) = keeper.plan_export(now_ms, source) else {
         return false;
     };
@@ -61,7 +66,7 @@
 
 #[test]
 fn rate_recovers() {
-    let mut keeper = keeper(KeepPolicy::Worth, 1 << 40);
+    let mut keeper = keeper(RetentionPolicy::Worth, 1 << 40);
     let ask = ask("a", 1);
     assert!(write(&mut keeper, 1000, &ask));
     let (block, first) = keeper.best_import(10_000, &ask).unwrap();
@@ -81,9 +86,9 @@
 }
 
 #[rstest]
-#[case(KeepPolicy::Lru, 0)]
-#[case(KeepPolicy::Worth, 1)]
-fn returning_stays(#[case] policy: KeepPolicy, #[case] kept: usize) {
+#[case(RetentionPolicy::Lru, 0)]
+#[case(RetentionPolicy::Worth, 1)]
+fn returning_stays(#[case] policy: RetentionPolicy, #[case] kept: usize) {
     let size_bytes = u64::from(ask("a", 0).prefix.tokens()) * TOKEN_BYTES;
     let mut keeper = keeper(policy, size_bytes * 10);
     let returning = ask("a", 1);
@@ -103,7 +108,7 @@
 #[test]
 fn share_caps() {
     let size_bytes = u64::from(ask("a", 0).prefix.tokens()) * TOKEN_BYTES;
-    let mut keeper = keeper(KeepPolicy::Worth, size_bytes * 10);
+    let mut keeper = keeper(RetentionPolicy::Worth, size_bytes * 10);
     let small = ask("small", 1);
     assert!(write(&mut keeper, 1000, &small));
     for book in 2..30 {
@@ -119,7 +124,7 @@
 
 #[test]
 fn deadline_ends() {
-    let mut keeper = keeper(KeepPolicy::Worth, 1 << 40);
+    let mut keeper = keeper(RetentionPolicy::Worth, 1 << 40);
     let ask = ask("a", 1);
     assert!(write(&mut keeper, 1000, &ask));
     keeper.tick(999_999);
