--- a/src/completion.rs
+++ b/src/completion.rs
@@ -12,7 +12,6 @@
 use log::info;
 
 use crate::account::Terms;
-use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId};
 use crate::assembler::Assembler;
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::context::{PrefixChain, Scope, cache_salt, token_count};
@@ -26,6 +25,7 @@
 use crate::refusal::{Ran, Reason, Refusal};
 use crate::retry::RetryBudget;
 use crate::slot_guard::SlotGuard;
+use crate::slot_request::{SlotEnd, SlotReport, SlotRequest, SlotRequestId};
 use crate::streams::{AnswerStream, StreamEnd};
 use crate::sync::locked;
 use crate::trace::{Hop, TraceId};
--- a/src/keeper/room.rs
+++ b/src/context_manager/eviction.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 
 use crate::blocks::{Block, BlockId, Phase};
+use crate::context_manager::ContextManager;
 use crate::directory::PromptRecord;
-use crate::keep::{self, BlockStats};
-use crate::keeper::ContextManager;
 use crate::owner::owner;
+use crate::retention::{self, BlockStats};
 use crate::store::to_f64;
 
 /// Fill of a store above which blocks are freed, in percent.
@@ -29,12 +29,12 @@
         let mut kept = self.kept_in(name, capacity_bytes);
         kept.sort_by(|left, right| {
             let rank = |one: &KeptBlock| {
-                keep::rank(self.policy, now_ms, &one.kept, &self.directory.prior(&one.account))
+                retention::rank(self.policy, now_ms, &one.kept, &self.directory.prior(&one.account))
             };
             rank(left).total_cmp(&rank(right))
         });
         for one in kept {
-            let expired = keep::expired(self.policy, now_ms, &one.kept);
+            let expired = retention::expired(self.policy, now_ms, &one.kept);
             if expired || used_bytes > target_bytes {
                 used_bytes -= one.kept.size_bytes;
                 self.drop_block(&one.id, one.root);
--- a/src/keeper/mod.rs
+++ b/src/context_manager/mod.rs
@@ -4,18 +4,18 @@
 //! policy of their worth. Transfers are planned against each store's link, so
 //! that an offer includes what the link has to do before.
 
-mod room;
+mod eviction;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{Import, ImportReport, ImportResult, SlotRequest};
 use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
 use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
-use crate::keep::{self, BlockStats, RetentionPolicy};
+use crate::retention::{self, BlockStats, RetentionPolicy};
 use crate::route::ImportEstimate;
+use crate::slot_request::{Import, ImportReport, ImportResult, SlotRequest};
 use crate::store::{Store, ceil_ms, to_f64};
 
 /// Least context worth a block, in tokens.
@@ -252,7 +252,8 @@
         let rates = self.stores.values().map(|store| store.bytes_per_ms);
         let transfer_ms = to_f64(size_bytes) / rates.fold(1.0, f64::max);
         let prior = self.directory.prior(&ask.scope.account);
-        keep::worth_exporting(self.policy, now_ms, &kept, &prior, transfer_ms).then_some(size_bytes)
+        retention::worth_exporting(self.policy, now_ms, &kept, &prior, transfer_ms)
+            .then_some(size_bytes)
     }
 
     fn begin_export(
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -9,7 +9,7 @@
 use crate::blocks::BlockId;
 use crate::cache::CacheUse;
 use crate::context::PrefixChain;
-use crate::keep::{ReusePrior, ReuseStats};
+use crate::retention::{ReusePrior, ReuseStats};
 
 /// Most records that start with the same block.
 const MAX_RECORDS_PER_ROOT: usize = 8;
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -9,16 +9,16 @@
 
 use log::{info, warn};
 
-use crate::ask::{Grant, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::clock::{now_ms, now_us};
+use crate::context_manager::{BlockDeletion, ContextManager, Export, ExportResult};
 use crate::dispatch_state::{ActiveDispatcher, Requester};
 use crate::dispatcher::{Action, Dispatcher};
 use crate::external::{ContextStores, ModelEngines};
 use crate::fleet::Engine;
-use crate::keeper::{BlockDeletion, ContextManager, Export, ExportResult};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::owner;
 use crate::settings::{Settings, UpstreamKind};
+use crate::slot_request::{Grant, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::store::Store;
 use crate::trace::Hop;
 use crate::wire::{Envelope, Message};
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -5,10 +5,10 @@
 
 use serde::Serialize;
 
-use crate::ask::SlotRequestId;
 use crate::clock::now_ms;
 use crate::configlog::Config;
 use crate::dispatcher::Dispatcher;
+use crate::slot_request::SlotRequestId;
 use crate::sync::locked;
 use crate::trace::TraceId;
 
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -6,19 +6,19 @@
 //! for itself when the owner does not answer. A place whose holder does not
 //! renew it falls free.
 
-mod places;
+mod slots;
 
 use std::collections::HashMap;
 
-use crate::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
-pub use crate::dispatcher::places::GRANT_TTL_MS;
-use crate::dispatcher::places::{Running, work_tokens};
+use crate::context_manager::{ContextManager, Export};
+pub use crate::dispatcher::slots::GRANT_TTL_MS;
+use crate::dispatcher::slots::{Running, work_tokens};
 use crate::external::EngineReport;
 use crate::fleet::{Engine, Fleet};
-use crate::keeper::{ContextManager, Export};
 use crate::refusal::{Reason, Refusal};
 use crate::route::RoutePolicy;
 use crate::share::{SharePolicy, ShareQueue};
+use crate::slot_request::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::throughput::Throughput;
 
 /// Shortest time to come back after an overload.
--- a/src/dispatcher/places.rs
+++ b/src/dispatcher/slots.rs
@@ -1,11 +1,11 @@
 //! Places at engines: given to those who wait, followed, and freed.
 
-use crate::ask::{Grant, ImportReport, SlotEnd, SlotRequest, SlotRequestId, SlotResponse};
+use crate::context_manager::ExportSource;
 use crate::dispatcher::{Action, Dispatcher, narrow};
 use crate::fleet::Engine;
-use crate::keeper::ExportSource;
 use crate::route::{RoutingRequest, choose_engine};
 use crate::share::GENERATED_TOKEN_WEIGHT;
+use crate::slot_request::{Grant, ImportReport, SlotEnd, SlotRequest, SlotRequestId, SlotResponse};
 
 /// Time for which a place is held without a renewal.
 pub const GRANT_TTL_MS: u64 = 4000;
--- a/src/external.rs
+++ b/src/external.rs
@@ -11,8 +11,8 @@
 
 use crate::assembler::Piece;
 use crate::blocks::{BlockId, Seal};
+use crate::context_manager::{Export, ExportResult, StoredBlock};
 use crate::error::Result;
-use crate::keeper::{Export, ExportResult, StoredBlock};
 use crate::ledger::Outcome;
 use crate::wire::Call;
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The engines of one model in one data hall, as their dispatcher sees them.
 
-use crate::ask::SlotRequest;
 use crate::cache::CacheModel;
 use crate::external::EngineReport;
 use crate::route::EngineCandidate;
+use crate::slot_request::SlotRequest;
 
 /// First wait after a failure.
 const FIRST_COOLDOWN_MS: u64 = 500;
--- a/src/import.rs
+++ b/src/import.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use crate::ask::{Import, ImportReport, ImportResult, SlotReport};
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::external::{ContextStores, ModelEngines, StageResult};
 use crate::invariant::{Invariant, check};
 use crate::kernel::Kernel;
 use crate::placing::HeldSlot;
+use crate::slot_request::{Import, ImportReport, ImportResult, SlotReport};
 use crate::trace::{Hop, TraceId};
 
 /// An import of kept context for one run.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,6 @@
 //! send follow-up prompts after long pauses.
 
 pub mod account;
-pub mod ask;
 pub mod assembler;
 pub mod blocks;
 pub mod box_phase;
@@ -19,6 +18,7 @@
 pub mod configuration;
 pub mod consul;
 pub mod context;
+pub mod context_manager;
 pub mod crashes;
 pub mod directory;
 pub mod dispatch;
@@ -37,8 +37,6 @@
 pub mod import;
 pub mod ini_file;
 pub mod invariant;
-pub mod keep;
-pub mod keeper;
 pub mod kernel;
 pub mod lease;
 pub mod ledger;
@@ -62,11 +60,13 @@
 pub mod quarantine;
 pub mod refusal;
 pub mod rejection;
+pub mod retention;
 pub mod retry;
 pub mod route;
 pub mod settings;
 pub mod share;
 pub mod slot_guard;
+pub mod slot_request;
 pub mod spending;
 pub mod stopping;
 pub mod store;
--- a/src/placement_state.rs
+++ b/src/placement_state.rs
@@ -5,8 +5,8 @@
 
 use tokio::sync::mpsc;
 
-use crate::ask::{SlotRequestId, SlotResponse};
 use crate::retry::RetryBudget;
+use crate::slot_request::{SlotRequestId, SlotResponse};
 
 /// A response to a slot request.
 pub(crate) struct ReceivedResponse {
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -15,12 +15,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::ask::{Grant, SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::clock::{instant_at, now_ms, now_us};
 use crate::kernel::{Kernel, Plugin, Topic};
 use crate::owner::{owner, ranked};
 use crate::placement_state::ReceivedResponse;
 use crate::refusal::{Reason, Refusal};
+use crate::slot_request::{Grant, SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::sync::locked;
 use crate::trace::Hop;
 use crate::wire::{Envelope, Message};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 use crate::dispatcher::Policies;
 use crate::error::Result;
 use crate::ini_file::IniFile;
-use crate::keep::RetentionPolicy;
+use crate::retention::RetentionPolicy;
 use crate::route::RoutePolicy;
 use crate::share::SharePolicy;
 use crate::ticket::ClusterKey;
--- a/src/slot_guard.rs
+++ b/src/slot_guard.rs
@@ -2,10 +2,10 @@
 
 use std::sync::Arc;
 
-use crate::ask::SlotEnd;
 use crate::external::ModelEngines;
 use crate::kernel::Kernel;
 use crate::placing::HeldSlot;
+use crate::slot_request::SlotEnd;
 
 /// Releases a slot when dropped, also when the attempt is dropped at its deadline.
 pub struct SlotGuard<'a> {
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -16,11 +16,11 @@
 use crate::assembler::Piece;
 use crate::blocks::{BlockId, Seal};
 use crate::clock::{instant_at, now_ms};
+use crate::context_manager::{BlockMeta, Export, ExportResult, StoredBlock};
 use crate::external::{
     ContextStores, EngineError, EnginePiece, EngineReport, GenerateRequest, LoadOrder,
     ModelEngines, PieceStream, PlainServices, StageResult, WorkerReply,
 };
-use crate::keeper::{BlockMeta, Export, ExportResult, StoredBlock};
 use crate::ledger::{Answer, Outcome};
 use crate::pool::{ConnectionPool, ConnectionPools, PooledClient};
 use crate::port::is_closed;
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,13 +8,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::ask::{SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::configlog::{ConfigEntry, ConfigState};
 use crate::error::{Error, Result};
 use crate::ledger::{Answer, CallKey, Ledger, Outcome};
 use crate::member::Gossip;
 use crate::quarantine::{AnswerReport, CrashReport};
 use crate::refusal::Reason;
+use crate::slot_request::{SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::ticket::{BoxRef, ClusterKey};
 use crate::trace::TraceId;
 
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -3,14 +3,14 @@
 use std::collections::BTreeMap;
 
 use coursestile::account::Weights;
-use coursestile::ask::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::blocks::{BlockId, Seal};
 use coursestile::context::{PrefixChain, Scope};
+use coursestile::context_manager::{BlockMeta, ContextManager, StoredBlock};
 use coursestile::dispatcher::{Action, Dispatcher, Policies};
 use coursestile::external::EngineReport;
 use coursestile::fleet::Engine;
-use coursestile::keep::RetentionPolicy;
-use coursestile::keeper::{BlockMeta, ContextManager, StoredBlock};
+use coursestile::retention::RetentionPolicy;
+use coursestile::slot_request::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
 use coursestile::trace::TraceId;
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 use coursestile::account::Weights;
-use coursestile::ask::{ImportReport, ImportResult, SlotRequest, SlotRequestId};
 use coursestile::blocks::Seal;
 use coursestile::context::{PrefixChain, Scope};
-use coursestile::keep::RetentionPolicy;
-use coursestile::keeper::{ContextManager, ExportResult, ExportSource};
+use coursestile::context_manager::{ContextManager, ExportResult, ExportSource};
+use coursestile::retention::RetentionPolicy;
+use coursestile::slot_request::{ImportReport, ImportResult, SlotRequest, SlotRequestId};
 use coursestile::store::Store;
 use coursestile::ticket::BoxRef;
 use coursestile::trace::TraceId;
