--- a/tests/gateway_admission.rs
+++ b/tests/gateway_admission.rs
@@ -7,73 +7,77 @@
 use coursestile::gateway::decisions::upstream::Load;
 
 const CAPACITY: Capacity = Capacity { slots: 64, memory_tokens: 40_000 };
-const URGENT: AdmissionCriteria = AdmissionCriteria {
+const HIGHEST_PRIORITY: AdmissionCriteria = AdmissionCriteria {
     higher_priority_ranks: 0,
     objective_ms: 500,
     objective_missed: false,
     load_limit: 1.0,
 };
 
-fn has_room(load: Load, capacity: Capacity, asked: AdmissionCriteria) -> bool {
-    occupancy(load, capacity, asked) != Occupancy::Full
+fn has_room(load: Load, capacity: Capacity, criteria: AdmissionCriteria) -> bool {
+    occupancy(load, capacity, criteria) != Occupancy::Full
 }
 
-fn memory(memory_tokens: u32) -> Load {
+fn load_with_memory(memory_tokens: u32) -> Load {
     Load { requests: 4, pending_prefill_tokens: 0, memory_tokens }
 }
 
 #[test]
 fn memory_taken() {
-    assert!(has_room(memory(40_000), CAPACITY, URGENT));
-    assert!(!has_room(memory(48_000), CAPACITY, URGENT));
+    assert!(has_room(load_with_memory(40_000), CAPACITY, HIGHEST_PRIORITY));
+    assert!(!has_room(load_with_memory(48_000), CAPACITY, HIGHEST_PRIORITY));
 }
 
 #[test]
 fn reading_taken() {
     let load =
         |pending_prefill_tokens| Load { requests: 4, pending_prefill_tokens, memory_tokens: 9000 };
-    assert!(has_room(load(3000), CAPACITY, URGENT));
-    assert!(!has_room(load(30_000), CAPACITY, URGENT));
+    assert!(has_room(load(3000), CAPACITY, HIGHEST_PRIORITY));
+    assert!(!has_room(load(30_000), CAPACITY, HIGHEST_PRIORITY));
 }
 
 #[test]
 fn slots_taken() {
     let load = |requests| Load { requests, pending_prefill_tokens: 0, memory_tokens: 9000 };
-    assert!(has_room(load(30), CAPACITY, URGENT));
-    assert!(!has_room(load(64), CAPACITY, URGENT));
+    assert!(has_room(load(30), CAPACITY, HIGHEST_PRIORITY));
+    assert!(!has_room(load(64), CAPACITY, HIGHEST_PRIORITY));
 }
 
 /// Wherever a less urgent request has room, a more urgent one has.
 #[test]
 fn urgent_first() {
-    for taken in (0..60_000).step_by(500) {
-        let room = |higher_priority_ranks| {
-            has_room(memory(taken), CAPACITY, AdmissionCriteria { higher_priority_ranks, ..URGENT })
+    for used_tokens in (0..60_000).step_by(500) {
+        let has_room_at = |higher_priority_ranks| {
+            has_room(
+                load_with_memory(used_tokens),
+                CAPACITY,
+                AdmissionCriteria { higher_priority_ranks, ..HIGHEST_PRIORITY },
+            )
         };
-        assert!((0..9).all(|rank| room(rank) || !room(rank + 1)), "{taken}");
+        assert!((0..9).all(|rank| has_room_at(rank) || !has_room_at(rank + 1)), "{used_tokens}");
     }
     assert!(has_room(
-        memory(0),
+        load_with_memory(0),
         CAPACITY,
-        AdmissionCriteria { higher_priority_ranks: 9, objective_missed: true, ..URGENT }
+        AdmissionCriteria { higher_priority_ranks: 9, objective_missed: true, ..HIGHEST_PRIORITY }
     ));
 }
 
 /// Once the limit has fallen, a late request takes only what would stay empty.
 #[test]
 fn late_last() {
-    let in_time = AdmissionCriteria { load_limit: 0.6, ..URGENT };
+    let in_time = AdmissionCriteria { load_limit: 0.6, ..HIGHEST_PRIORITY };
     let late = AdmissionCriteria { objective_missed: true, ..in_time };
-    assert!(has_room(memory(9_000), CAPACITY, late));
-    assert!(!has_room(memory(12_000), CAPACITY, late));
-    assert!(has_room(memory(25_000), CAPACITY, in_time));
+    assert!(has_room(load_with_memory(9_000), CAPACITY, late));
+    assert!(!has_room(load_with_memory(12_000), CAPACITY, late));
+    assert!(has_room(load_with_memory(25_000), CAPACITY, in_time));
 }
 
 /// What is not known does not keep anybody away.
 #[test]
 fn capacity_unknown() {
     let unknown = Capacity { slots: 0, memory_tokens: 0 };
-    assert!(has_room(memory(1_000_000), unknown, URGENT));
+    assert!(has_room(load_with_memory(1_000_000), unknown, HIGHEST_PRIORITY));
 }
 
 /// Those refused together come back spread, and in the time that they have.
@@ -94,54 +98,66 @@
 #[test]
 fn limit_found() {
     let mut limits = AdmissionLimits::default();
-    let most = limits.limit_of("llm");
+    let initial_limit = limits.limit_of("llm");
     limits.record_first_token("llm", FirstTokenOutcome::Late);
-    let cut = limits.limit_of("llm");
-    assert!(cut < most && (limits.limit_of("other") - most).abs() < 1e-9);
+    let lowered_limit = limits.limit_of("llm");
+    assert!(
+        lowered_limit < initial_limit && (limits.limit_of("other") - initial_limit).abs() < 1e-9
+    );
     limits.record_first_token("llm", FirstTokenOutcome::InTime);
-    assert!(limits.limit_of("llm") > cut);
-    for end in [FirstTokenOutcome::Late, FirstTokenOutcome::InTime] {
-        (0..10_000).for_each(|_| limits.record_first_token("llm", end));
+    assert!(limits.limit_of("llm") > lowered_limit);
+    for outcome in [FirstTokenOutcome::Late, FirstTokenOutcome::InTime] {
+        (0..10_000).for_each(|_| limits.record_first_token("llm", outcome));
         let limit = limits.limit_of("llm");
         assert!((0.2..1.2).contains(&limit), "{limit}");
-        assert!(has_room(memory(0), CAPACITY, AdmissionCriteria { load_limit: limit, ..URGENT }));
+        assert!(has_room(
+            load_with_memory(0),
+            CAPACITY,
+            AdmissionCriteria { load_limit: limit, ..HIGHEST_PRIORITY }
+        ));
     }
 }
 
 /// Engines whose first tokens are late above a load of their own, whatever the limit was.
 #[test]
 fn limit_follows_engines() {
-    for good in [0.6, 1.0] {
+    for sustainable_limit in [0.6, 1.0] {
         let mut limits = AdmissionLimits::default();
-        let mut seen = Vec::new();
+        let mut settled_limits = Vec::new();
         for step in 0..4000 {
             let limit = limits.limit_of("llm");
-            let end =
-                if limit > good { FirstTokenOutcome::Late } else { FirstTokenOutcome::InTime };
-            limits.record_first_token("llm", end);
+            let outcome = if limit > sustainable_limit {
+                FirstTokenOutcome::Late
+            } else {
+                FirstTokenOutcome::InTime
+            };
+            limits.record_first_token("llm", outcome);
             if step > 2000 {
-                seen.push(limit);
+                settled_limits.push(limit);
             }
         }
-        assert!(seen.iter().all(|limit| (limit - good).abs() < 0.1), "{good}");
+        assert!(
+            settled_limits.iter().all(|limit| (limit - sustainable_limit).abs() < 0.1),
+            "{sustainable_limit}"
+        );
     }
 }
 
 /// Boxes go by the mean of what all have found, and come together.
 #[test]
 fn limits_shared() {
-    let (mut one, mut other) = (AdmissionLimits::default(), AdmissionLimits::default());
-    (0..20).for_each(|_| one.record_first_token("llm", FirstTokenOutcome::Late));
-    other.record_first_token("llm", FirstTokenOutcome::InTime);
-    assert!(other.limit_of("llm") - one.limit_of("llm") > 0.3);
+    let (mut first, mut second) = (AdmissionLimits::default(), AdmissionLimits::default());
+    (0..20).for_each(|_| first.record_first_token("llm", FirstTokenOutcome::Late));
+    second.record_first_token("llm", FirstTokenOutcome::InTime);
+    assert!(second.limit_of("llm") - first.limit_of("llm") > 0.3);
     for _ in 0..60 {
-        one.set_peer_limits(other.own_limits());
-        other.set_peer_limits(one.own_limits());
-        one.record_first_token("llm", FirstTokenOutcome::InTime);
-        other.record_first_token("llm", FirstTokenOutcome::InTime);
+        first.set_peer_limits(second.own_limits());
+        second.set_peer_limits(first.own_limits());
+        first.record_first_token("llm", FirstTokenOutcome::InTime);
+        second.record_first_token("llm", FirstTokenOutcome::InTime);
     }
-    assert!((one.limit_of("llm") - other.limit_of("llm")).abs() < 0.01);
-    assert!(one.own_limits()[0].1.abs_diff(other.own_limits()[0].1) < 50);
+    assert!((first.limit_of("llm") - second.limit_of("llm")).abs() < 0.01);
+    assert!(first.own_limits()[0].1.abs_diff(second.own_limits()[0].1) < 50);
 }
 
 /// A limit that fell rises again with time alone: what it turns away cannot show that it
@@ -149,13 +165,17 @@
 #[test]
 fn limit_recovers() {
     let mut limits = AdmissionLimits::default();
-    let most = limits.limit_of("a");
+    let initial_limit = limits.limit_of("a");
     for _ in 0..100 {
         limits.record_first_token("a", FirstTokenOutcome::Late);
     }
-    let fallen = limits.limit_of("a");
+    let lowered_limit = limits.limit_of("a");
     limits.recover(20.0);
-    assert!(limits.limit_of("a") > fallen + 0.1, "{fallen} to {}", limits.limit_of("a"));
+    assert!(
+        limits.limit_of("a") > lowered_limit + 0.1,
+        "{lowered_limit} to {}",
+        limits.limit_of("a")
+    );
     limits.recover(600.0);
-    assert!((limits.limit_of("a") - most).abs() < f64::EPSILON);
+    assert!((limits.limit_of("a") - initial_limit).abs() < f64::EPSILON);
 }
