--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -10,8 +10,8 @@
 
 const HALLS: u32 = 5;
 /// Boxes of a hall: three strong ones first, as on a fleet of 295.
-const BOXES: u8 = 59;
-const STRONG: u8 = 3;
+const BOXES_PER_HALL: u8 = 59;
+const STRONG_BOXES: u8 = 3;
 const UPSTREAM: u32 = 7;
 const STORE: u32 = 8;
 
@@ -19,19 +19,19 @@
     IpAddr::from([10, u8::try_from(hall).unwrap(), 0, host])
 }
 
-fn told(requests: u32) -> LoadReport {
+fn load_report(requests: u32) -> LoadReport {
     let load =
         Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
     LoadReport { upstream: UPSTREAM, load, receive_age_ms: 0 }
 }
 
 fn gossip(hall: u32, host: u8, requests: u32) -> Gossip {
-    let loads = if requests > 0 { vec![told(requests)] } else { Vec::new() };
+    let loads = if requests > 0 { vec![load_report(requests)] } else { Vec::new() };
     let view_digest = ViewDigest { last_change_revision: 5, checksum: 0 };
     Gossip {
         incarnation: 1,
         hall,
-        millicores: if host <= STRONG { 500 } else { 120 },
+        millicores: if host <= STRONG_BOXES { 500 } else { 120 },
         loads,
         view_digest,
         fetches: vec![(STORE, 10)],
@@ -41,15 +41,20 @@
 
 /// A box that has heard all others, each of which sends `requests` to one upstream.
 fn fleet_box(hall: u32, host: u8, requests: u32) -> Peers {
-    let address_of_box = SocketAddr::new(address(hall, host), 7000);
-    let own = LocalBox { number: 1, address: address_of_box, hall, millicores: 120 };
+    let own_address = SocketAddr::new(address(hall, host), 7000);
+    let own = LocalBox { number: 1, address: own_address, hall, millicores: 120 };
     let mut peers = Peers::new(own, &[]);
     for other_hall in 0..HALLS {
-        for other in 1..=BOXES {
-            let heard = gossip(other_hall, other, requests);
-            let heard = if other_hall == hall { heard } else { heard.abridged() };
-            if (other_hall, other) != (hall, host) {
-                peers.receive_gossip(0, address(other_hall, other), heard, ViewDigest::default());
+        for other_host in 1..=BOXES_PER_HALL {
+            let message = gossip(other_hall, other_host, requests);
+            let message = if other_hall == hall { message } else { message.abridged() };
+            if (other_hall, other_host) != (hall, host) {
+                peers.receive_gossip(
+                    0,
+                    address(other_hall, other_host),
+                    message,
+                    ViewDigest::default(),
+                );
             }
         }
     }
@@ -62,9 +67,9 @@
 }
 
 /// Two bridges of each of the four other halls.
-fn bridges_of_others(hall: u32) -> Vec<IpAddr> {
-    let others = (0..HALLS).filter(|other| *other != hall);
-    others.flat_map(|other| [address(other, 1), address(other, 2)]).collect()
+fn bridges_of_other_halls(hall: u32) -> Vec<IpAddr> {
+    let others = (0..HALLS).filter(|other_hall| *other_hall != hall);
+    others.flat_map(|other_hall| [address(other_hall, 1), address(other_hall, 2)]).collect()
 }
 
 #[test]
@@ -73,22 +78,30 @@
     let Targets { full, abridged, bridges, own_hall } =
         peers.next_targets(300, Audience::All, GossipScope::AllBridges);
     let full = ips(&full);
-    assert!(bridges_of_others(0).iter().all(|bridge| full.contains(bridge)));
+    assert!(bridges_of_other_halls(0).iter().all(|bridge| full.contains(bridge)));
     assert_eq!(full.len(), 58 + 8, "the own hall, and the bridges of all others");
     assert_eq!(abridged.len(), 4, "others in turn");
-    assert_eq!(ips(&bridges), bridges_of_others(0));
+    assert_eq!(ips(&bridges), bridges_of_other_halls(0));
     assert_eq!(own_hall.len(), 58);
-    let again = peers.next_targets(320, Audience::All, GossipScope::AllBridges);
-    assert_eq!((again.bridges.len(), again.own_hall.len()), (0, 0), "halls have their own period");
-    let usual = peers.next_targets(600, Audience::All, GossipScope::OwnHall);
-    assert_eq!((usual.full.len(), usual.abridged.len()), (58, 4), "any other box");
+    let next_targets = peers.next_targets(320, Audience::All, GossipScope::AllBridges);
+    assert_eq!(
+        (next_targets.bridges.len(), next_targets.own_hall.len()),
+        (0, 0),
+        "halls have their own period"
+    );
+    let non_bridge_targets = peers.next_targets(600, Audience::All, GossipScope::OwnHall);
+    assert_eq!(
+        (non_bridge_targets.full.len(), non_bridge_targets.abridged.len()),
+        (58, 4),
+        "any other box"
+    );
 }
 
 #[test]
 fn new_bridge_reached() {
     let mut peers = fleet_box(0, 1, 0);
-    let successor = Gossip { follows_caches: true, ..gossip(1, 3, 0) };
-    peers.receive_gossip(300, address(1, 3), successor, ViewDigest::default());
+    let new_bridge = Gossip { follows_caches: true, ..gossip(1, 3, 0) };
+    peers.receive_gossip(300, address(1, 3), new_bridge, ViewDigest::default());
     let targets = peers.next_targets(310, Audience::All, GossipScope::AllBridges);
     assert!(ips(&targets.bridges).contains(&address(1, 3)), "it says that it is one");
 }
@@ -96,27 +109,27 @@
 #[test]
 fn loads_cross_halls() {
     let north = fleet_box(0, 1, 2);
-    let news = north.hall_summary(100, [told(3)].into_iter(), &[(STORE, 5)]);
+    let summary = north.hall_summary(100, [load_report(3)].into_iter(), &[(STORE, 5)]);
     let mut south = fleet_box(1, 1, 1);
     assert_eq!(south.load(UPSTREAM).requests, 58, "its own hall alone");
-    south.receive_hall_summary(100, news.clone());
+    south.receive_hall_summary(100, summary.clone());
     assert_eq!(south.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
     assert_eq!(south.fetch_tokens(STORE), 580 + 580 + 5);
-    south.receive_hall_summary(110, news);
+    south.receive_hall_summary(110, summary);
     assert_eq!(
         south.load(UPSTREAM).requests,
         58 + 58 * 2 + 3,
         "told once more by the other bridge"
     );
     // A box of the south that is no bridge hears it from there.
-    let mut other = fleet_box(1, 40, 1);
-    other.receive_other_halls(200, &south.other_halls_summary(200));
-    assert_eq!(other.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
-    assert_eq!(other.fetch_tokens(STORE), 580 + 580 + 5);
-    other.expire(1200);
-    assert_eq!(other.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
-    other.expire(1700);
-    assert_eq!(other.load(UPSTREAM), Load::default(), "all are silent");
+    let mut non_bridge = fleet_box(1, 40, 1);
+    non_bridge.receive_other_halls(200, &south.other_halls_summary(200));
+    assert_eq!(non_bridge.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
+    assert_eq!(non_bridge.fetch_tokens(STORE), 580 + 580 + 5);
+    non_bridge.expire(1200);
+    assert_eq!(non_bridge.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
+    non_bridge.expire(1700);
+    assert_eq!(non_bridge.load(UPSTREAM), Load::default(), "all are silent");
 }
 
 #[test]
@@ -124,12 +137,12 @@
     let mut leader = fleet_box(0, 1, 0);
     let mut south = fleet_box(1, 1, 0);
     let view_digest = ViewDigest { last_change_revision: 9, checksum: 0 };
-    for host in 2..=BOXES {
-        let heard = Gossip { view_digest, ..gossip(1, host, 0) };
-        south.receive_gossip(1000, address(1, host), heard, ViewDigest::default());
+    for host in 2..=BOXES_PER_HALL {
+        let message = Gossip { view_digest, ..gossip(1, host, 0) };
+        south.receive_gossip(1000, address(1, host), message, ViewDigest::default());
     }
     assert!(!leader.has_reached_revision(address(1, 50), 9), "its turn has not come");
     leader.receive_hall_summary(1010, south.hall_summary(1000, std::iter::empty(), &[]));
-    assert!((2..=BOXES).all(|host| leader.has_reached_revision(address(1, host), 9)));
+    assert!((2..=BOXES_PER_HALL).all(|host| leader.has_reached_revision(address(1, host), 9)));
     assert!(!leader.has_reached_revision(address(2, 50), 9));
 }
