--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -16,8 +16,8 @@
 use coursestile::gateway::decisions::upstreams::Upstreams;
 
 const HALLS: [&str; 2] = ["north", "south"];
-const COMMON: &str = "aa";
-const COMMON_TOKENS: u32 = 2500;
+const SHARED_PART: &str = "aa";
+const SHARED_PART_TOKENS: u32 = 2500;
 
 fn store(name: &str, hall: &str, port: u16) -> Store {
     Store {
@@ -70,7 +70,7 @@
 }
 
 /// What a box of a hall chooses for a prompt with a common part.
-fn chosen(stores: &Stores, hall: &str) -> Choice {
+fn choice_in_hall(stores: &Stores, hall: &str) -> Choice {
     let prompt = Prompt::parse("m", "9000,10", "aa:2500,bb:5000,cc:1500").unwrap();
     let engine = EngineSpec {
         slots: 24,
@@ -104,8 +104,8 @@
 }
 
 /// The store that a choice has take the common part.
-fn saved_at(choice: &Choice) -> Option<String> {
-    choice.context.as_ref()?.saves[0].as_ref().map(|save| save.store.clone())
+fn save_store(choice: &Choice) -> Option<String> {
+    choice.context.as_ref()?.saves[0].as_ref().map(|target| target.store.clone())
 }
 
 /// Engines of all halls that had lost the common part fetched it from the one store that
@@ -113,18 +113,18 @@
 #[test]
 fn kept_in_each_hall() {
     let mut stores = stores();
-    let first = saved_at(&chosen(&stores, "north")).unwrap();
-    assert!(first.starts_with('n'), "{first} is in another hall");
-    let common = PartKey::new("1.m", COMMON);
-    stores.get_mut(&first).unwrap().1.contents.set_tokens(common, COMMON_TOKENS);
-    assert_eq!(saved_at(&chosen(&stores, "north")), None, "it is kept there");
-    let second = saved_at(&chosen(&stores, "south")).unwrap();
-    assert!(second.starts_with('s'), "{second} is in another hall");
-    stores.get_mut(&second).unwrap().1.contents.set_tokens(common, COMMON_TOKENS);
-    let choice = chosen(&stores, "south");
-    let near = stores.get(&second).unwrap().0.address.to_string();
+    let north_store = save_store(&choice_in_hall(&stores, "north")).unwrap();
+    assert!(north_store.starts_with('n'), "{north_store} is in another hall");
+    let shared_part = PartKey::new("1.m", SHARED_PART);
+    stores.get_mut(&north_store).unwrap().1.contents.set_tokens(shared_part, SHARED_PART_TOKENS);
+    assert_eq!(save_store(&choice_in_hall(&stores, "north")), None, "it is kept there");
+    let south_store = save_store(&choice_in_hall(&stores, "south")).unwrap();
+    assert!(south_store.starts_with('s'), "{south_store} is in another hall");
+    stores.get_mut(&south_store).unwrap().1.contents.set_tokens(shared_part, SHARED_PART_TOKENS);
+    let choice = choice_in_hall(&stores, "south");
+    let local_address = stores.get(&south_store).unwrap().0.address.to_string();
     assert_eq!(
         choice.context.unwrap().sources[0],
-        PartSource::Local { alternate_address: Some(near) }
+        PartSource::Local { alternate_address: Some(local_address) }
     );
 }
