--- a/tests/gateway_crashes.rs
+++ b/tests/gateway_crashes.rs
@@ -15,11 +15,11 @@
 use rstest::rstest;
 
 /// Time after the third crash in which boxes may still send the request.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 /// Crashes after which a request is held back.
-const CRASHES: usize = 3;
+const QUARANTINE_CRASHES: usize = 3;
 /// Body of the request that crashes what runs it.
-const DEADLY: &str = "deadly";
+const CRASHING_BODY: &str = "deadly";
 
 /// Two boxes before upstreams, all of which end under one request.
 struct Fleet {
@@ -36,7 +36,7 @@
         let mut started = Vec::new();
         for number in 0..servers {
             let server = Server::start(&format!("s-{number}")).await;
-            server.crash_on(DEADLY);
+            server.crash_on(CRASHING_BODY);
             site.enter(&server.id, &entry("plain", &server.address, "ready"));
             started.push(server);
         }
@@ -58,32 +58,32 @@
         Client::connect(&gateway.clients).await.send(&bytes).await
     }
 
-    fn crashed(&self) -> usize {
+    fn crash_count(&self) -> usize {
         self.servers.iter().filter(|server| server.has_crashed()).count()
     }
 
     /// How often a body has arrived at any upstream.
-    fn count(&self, body: &str) -> usize {
+    fn arrivals(&self, body: &str) -> usize {
         let arrived = self.servers.iter().flat_map(Server::arrived);
-        arrived.filter(|one| one.body == body.as_bytes()).count()
+        arrived.filter(|request| request.body == body.as_bytes()).count()
     }
 
     /// Sends the request until it has crashed three upstreams.
-    async fn crash_three(&mut self, path: &str) {
-        while self.crashed() < CRASHES {
-            self.send(path, DEADLY).await;
+    async fn crash_until_quarantined(&mut self, path: &str) {
+        while self.crash_count() < QUARANTINE_CRASHES {
+            self.send(path, CRASHING_BODY).await;
         }
-        tokio::time::sleep(CONTACT).await;
+        tokio::time::sleep(PROPAGATION_TIME).await;
     }
 
-    async fn assert_held_back(&mut self, path: &str) {
-        let before = self.count(DEADLY);
+    async fn assert_quarantined(&mut self, path: &str) {
+        let before = self.arrivals(CRASHING_BODY);
         for _ in 0..6 {
-            let answer = self.send(path, DEADLY).await.expect("an answer");
+            let answer = self.send(path, CRASHING_BODY).await.expect("an answer");
             assert_eq!(answer.status(), 503, "not run, and not in vain: {}", answer.text());
             assert!(answer.header("retry-after").is_some());
         }
-        assert_eq!(self.count(DEADLY), before, "it reached no upstream again");
+        assert_eq!(self.arrivals(CRASHING_BODY), before, "it reached no upstream again");
     }
 }
 
@@ -96,17 +96,17 @@
 #[tokio::test]
 async fn sent_again(#[case] path: &str) {
     let mut fleet = Fleet::start(12).await;
-    fleet.crash_three(path).await;
-    fleet.assert_held_back(path).await;
-    let other = fleet.send(path, "sound").await.expect("an answer");
-    assert_eq!(other.status(), 200, "other requests of the caller are served");
+    fleet.crash_until_quarantined(path).await;
+    fleet.assert_quarantined(path).await;
+    let answer = fleet.send(path, "sound").await.expect("an answer");
+    assert_eq!(answer.status(), 200, "other requests of the caller are served");
 }
 
 /// All boxes lose what they know, and the request comes again.
 #[tokio::test]
 async fn boxes_killed() {
     let mut fleet = Fleet::start(12).await;
-    fleet.crash_three("/stream/").await;
+    fleet.crash_until_quarantined("/stream/").await;
     for gateway in &fleet.gateways {
         gateway.signal("-9");
     }
@@ -117,7 +117,7 @@
     for gateway in &fleet.gateways {
         wait_ready(gateway).await;
     }
-    fleet.assert_held_back("/stream/").await;
+    fleet.assert_quarantined("/stream/").await;
 }
 
 /// What ran beside it is served, however often it was cut.
@@ -128,14 +128,14 @@
         for server in &fleet.servers {
             server.then(&[Act::Held]);
         }
-        let before = fleet.crashed();
+        let before = fleet.crash_count();
         let bytes = request("POST", "/once/", &format!("b-{before}"), "", "bystander");
         let clients = fleet.gateways[0].clients.clone();
         let bystander =
             tokio::spawn(async move { Client::connect(&clients).await.send(&bytes).await });
-        eventually("it runs", async || fleet.count("bystander") > before).await;
-        while fleet.crashed() <= before {
-            fleet.send("/once/", DEADLY).await;
+        eventually("it runs", async || fleet.arrivals("bystander") > before).await;
+        while fleet.crash_count() <= before {
+            fleet.send("/once/", CRASHING_BODY).await;
         }
         for server in &fleet.servers {
             server.then_nothing();
