--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -21,11 +21,11 @@
 const ENGINES: usize = 51;
 const MODEL: &str = "m";
 const OBJECTIVE_MS: u64 = 500;
-const LENGTH_MS: u64 = 4000;
+const DURATION_MS: u64 = 4000;
 /// Requests of the hall in a second, on an ordinary day.
-const USUAL_PER_S: f64 = 285.0;
+const REQUESTS_PER_S: f64 = 285.0;
 /// Tokens of a prompt that an engine reads itself: two thirds are long.
-const READ_TOKENS: [u32; 3] = [3600, 3600, 800];
+const PREFILL_TOKENS: [u32; 3] = [3600, 3600, 800];
 /// Time for which a request runs once its prompt is read.
 const RUN_MS: u64 = 400;
 
@@ -33,7 +33,7 @@
     format!("engine-{engine:02}")
 }
 
-fn view() -> Upstreams {
+fn initial_view() -> Upstreams {
     let mut upstreams = Upstreams::default();
     for (engine, port) in (0..ENGINES).zip(1..) {
         let entry = UpstreamEntry {
@@ -52,21 +52,21 @@
 
 /// A change of the load that one box puts on an engine.
 #[derive(Clone, Copy)]
-enum Change {
-    Sent(u32),
-    Read(u32),
+enum LoadChange {
+    Started(u32),
+    Prefilled(u32),
     Ended(u32),
 }
 
-fn apply(load: &mut Load, change: Change) {
+fn apply(load: &mut Load, change: LoadChange) {
     match change {
-        Change::Sent(tokens) => {
+        LoadChange::Started(tokens) => {
             load.requests += 1;
             load.pending_prefill_tokens += tokens;
             load.memory_tokens += tokens;
         }
-        Change::Read(tokens) => load.pending_prefill_tokens -= tokens,
-        Change::Ended(tokens) => {
+        LoadChange::Prefilled(tokens) => load.pending_prefill_tokens -= tokens,
+        LoadChange::Ended(tokens) => {
             load.requests -= 1;
             load.memory_tokens -= tokens;
         }
@@ -74,105 +74,125 @@
 }
 
 /// Something that becomes known to the other boxes of the hall.
-struct News {
+struct LoadUpdate {
     at_ms: u64,
-    from: usize,
+    box_index: usize,
     engine: usize,
-    change: Change,
+    change: LoadChange,
 }
 
 /// A hall: what each box believes, what the engines do, and what is on its way.
 struct Hall {
     views: Vec<Upstreams>,
-    free_at_ms: Vec<f64>,
-    news: VecDeque<News>,
+    idle_at_ms: Vec<f64>,
+    pending_updates: VecDeque<LoadUpdate>,
     /// Changes at engines that come, by their time.
-    coming: Vec<News>,
-    delay_ms: u64,
+    scheduled: Vec<LoadUpdate>,
+    report_delay_ms: u64,
 }
 
 impl Hall {
-    fn new(delay_ms: u64) -> Self {
+    fn new(report_delay_ms: u64) -> Self {
         Self {
-            views: (0..BOXES).map(|_| view()).collect(),
-            free_at_ms: vec![0.0; ENGINES],
-            news: VecDeque::new(),
-            coming: Vec::new(),
-            delay_ms,
+            views: (0..BOXES).map(|_| initial_view()).collect(),
+            idle_at_ms: vec![0.0; ENGINES],
+            pending_updates: VecDeque::new(),
+            scheduled: Vec::new(),
+            report_delay_ms,
         }
     }
 
-    fn change(&mut self, at_ms: u64, from: usize, engine: usize, change: Change) {
-        let own = self.views[from].get_mut(&engine_id(engine)).unwrap();
+    fn change(&mut self, at_ms: u64, box_index: usize, engine: usize, change: LoadChange) {
+        let own = self.views[box_index].get_mut(&engine_id(engine)).unwrap();
         apply(&mut own.own_load, change);
-        self.news.push_back(News { at_ms: at_ms + self.delay_ms, from, engine, change });
+        self.pending_updates.push_back(LoadUpdate {
+            at_ms: at_ms + self.report_delay_ms,
+            box_index,
+            engine,
+            change,
+        });
     }
 
     fn advance(&mut self, now_ms: u64) {
-        self.coming.sort_by_key(|coming| coming.at_ms);
-        let due = self.coming.iter().take_while(|coming| coming.at_ms <= now_ms).count();
-        for News { at_ms, from, engine, change } in self.coming.drain(..due).collect::<Vec<_>>() {
-            self.change(at_ms, from, engine, change);
+        self.scheduled.sort_by_key(|update| update.at_ms);
+        let due = self.scheduled.iter().take_while(|update| update.at_ms <= now_ms).count();
+        for LoadUpdate { at_ms, box_index, engine, change } in
+            self.scheduled.drain(..due).collect::<Vec<_>>()
+        {
+            self.change(at_ms, box_index, engine, change);
         }
-        while self.news.front().is_some_and(|news| news.at_ms <= now_ms) {
-            let Some(News { from, engine, change, .. }) = self.news.pop_front() else { break };
-            for other in (0..BOXES).filter(|other| *other != from) {
-                apply(
-                    &mut self.views[other].get_mut(&engine_id(engine)).unwrap().peer_load,
-                    change,
-                );
+        while self.pending_updates.front().is_some_and(|update| update.at_ms <= now_ms) {
+            let Some(LoadUpdate { box_index, engine, change, .. }) =
+                self.pending_updates.pop_front()
+            else {
+                break;
+            };
+            for peer in (0..BOXES).filter(|peer| *peer != box_index) {
+                apply(&mut self.views[peer].get_mut(&engine_id(engine)).unwrap().peer_load, change);
             }
         }
     }
 
     /// Sends a request; the time to its first token.
-    fn send(&mut self, now_ms: u64, from: usize, engine: usize, tokens: u32) -> f64 {
+    fn send(&mut self, now_ms: u64, box_index: usize, engine: usize, tokens: u32) -> f64 {
         #[expect(clippy::cast_precision_loss, reason = "some thousand milliseconds")]
         let now = now_ms as f64;
-        let begins_at_ms = self.free_at_ms[engine].max(now);
-        let read_at_ms = begins_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
-        self.free_at_ms[engine] = read_at_ms;
-        self.change(now_ms, from, engine, Change::Sent(tokens));
-        let read = whole_ms(read_at_ms);
-        self.coming.push(News { at_ms: read, from, engine, change: Change::Read(tokens) });
-        let ended = Change::Ended(tokens);
-        self.coming.push(News { at_ms: read + RUN_MS, from, engine, change: ended });
-        read_at_ms - now
+        let prefill_starts_at_ms = self.idle_at_ms[engine].max(now);
+        let prefilled_at_ms = prefill_starts_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
+        self.idle_at_ms[engine] = prefilled_at_ms;
+        self.change(now_ms, box_index, engine, LoadChange::Started(tokens));
+        let prefilled_at_whole_ms = whole_ms(prefilled_at_ms);
+        self.scheduled.push(LoadUpdate {
+            at_ms: prefilled_at_whole_ms,
+            box_index,
+            engine,
+            change: LoadChange::Prefilled(tokens),
+        });
+        let change = LoadChange::Ended(tokens);
+        self.scheduled.push(LoadUpdate {
+            at_ms: prefilled_at_whole_ms + RUN_MS,
+            box_index,
+            engine,
+            change,
+        });
+        prefilled_at_ms - now
     }
 }
 
 /// How a box finds an engine.
 #[derive(Clone, Copy)]
-enum Way {
-    Chosen,
+enum Selection {
+    Decision,
     Random,
 }
 
 /// Requests whose first token came late, of all.
-fn late(way: Way, delay_ms: u64, load: f64) -> (usize, usize) {
-    let mut random = fastrand::Rng::with_seed(11);
-    let mut hall = Hall::new(delay_ms);
-    let (mut late, mut all, mut now) = (0, 0, 0.0);
+fn late_requests(selection: Selection, report_delay_ms: u64, load: f64) -> (usize, usize) {
+    let mut rng = fastrand::Rng::with_seed(11);
+    let mut hall = Hall::new(report_delay_ms);
+    let (mut late_count, mut all, mut now) = (0, 0, 0.0);
     loop {
-        now += -(1.0 - random.f64()).ln() / (USUAL_PER_S * load) * 1000.0;
+        now += -(1.0 - rng.f64()).ln() / (REQUESTS_PER_S * load) * 1000.0;
         let now_ms = whole_ms(now);
-        if now_ms >= LENGTH_MS {
-            return (late, all);
+        if now_ms >= DURATION_MS {
+            return (late_count, all);
         }
         hall.advance(now_ms);
-        let (from, tokens) = (random.usize(..BOXES), *random.choice(READ_TOKENS.iter()).unwrap());
-        let engine = match way {
-            Way::Random => random.usize(..ENGINES),
-            Way::Chosen => chosen(&hall.views[from], now_ms, from, tokens, random.u64(..)),
+        let (box_index, tokens) = (rng.usize(..BOXES), *rng.choice(PREFILL_TOKENS.iter()).unwrap());
+        let engine = match selection {
+            Selection::Random => rng.usize(..ENGINES),
+            Selection::Decision => {
+                choose_engine(&hall.views[box_index], now_ms, box_index, tokens, rng.u64(..))
+            }
         };
         all += 1;
-        if hall.send(now_ms, from, engine, tokens) > 500.0 {
-            late += 1;
+        if hall.send(now_ms, box_index, engine, tokens) > 500.0 {
+            late_count += 1;
         }
     }
 }
 
-fn chosen(view: &Upstreams, now_ms: u64, from: usize, tokens: u32, seed: u64) -> usize {
+fn choose_engine(view: &Upstreams, now_ms: u64, box_index: usize, tokens: u32, seed: u64) -> usize {
     let prompt = Prompt::parse(MODEL, &format!("{tokens},60"), &format!("ff:{tokens}")).unwrap();
     let engine = EngineSpec {
         slots: 24,
@@ -183,7 +203,7 @@
     };
     let demand = Demand {
         service: "llm",
-        box_number: u32::try_from(from).unwrap(),
+        box_number: u32::try_from(box_index).unwrap(),
         hall: "north",
         prompt: Some(&prompt),
         isolated_account: None,
@@ -218,9 +238,9 @@
 #[case(100, 1.7)]
 #[case(250, 1.7)]
 #[case(500, 1.7)]
-fn old_news(#[case] delay_ms: u64, #[case] load: f64) {
-    let (chosen, all) = late(Way::Chosen, delay_ms, load);
-    let (random, _) = late(Way::Random, delay_ms, load);
-    println!("delay {delay_ms} load {load}: {chosen} late, {random} by chance, of {all}");
+fn old_news(#[case] report_delay_ms: u64, #[case] load: f64) {
+    let (chosen, all) = late_requests(Selection::Decision, report_delay_ms, load);
+    let (random, _) = late_requests(Selection::Random, report_delay_ms, load);
+    println!("delay {report_delay_ms} load {load}: {chosen} late, {random} by chance, of {all}");
     assert!(chosen <= random, "{chosen} late, {random} by chance, of {all}");
 }
