--- a/tests/gateway_admission.rs
+++ b/tests/gateway_admission.rs
@@ -1,4 +1,5 @@
-//! Which engines have room for another request, and when a refused one comes back.
+//! Admission: whether an engine has capacity for another request, and after how long a refused
+//! request is asked to come back.
 
 use coursestile::gateway::decisions::admission::{
     AdmissionCriteria, AdmissionLimits, Capacity, FirstTokenOutcome, Occupancy, occupancy,
@@ -43,7 +44,7 @@
     assert!(!has_room(load(64), CAPACITY, HIGHEST_PRIORITY));
 }
 
-/// Wherever a less urgent request has room, a more urgent one has.
+/// Where a request of lower priority is admitted, one of higher priority is too.
 #[test]
 fn urgent_first() {
     for used_tokens in (0..60_000).step_by(500) {
@@ -63,7 +64,8 @@
     ));
 }
 
-/// Once the limit has fallen, a late request takes only what would stay empty.
+/// With a lowered load limit, a request that has missed its objective uses only capacity that would
+/// otherwise stay free.
 #[test]
 fn late_last() {
     let in_time = AdmissionCriteria { load_limit: 0.6, ..HIGHEST_PRIORITY };
@@ -73,14 +75,15 @@
     assert!(has_room(load_with_memory(25_000), CAPACITY, in_time));
 }
 
-/// What is not known does not keep anybody away.
+/// An engine whose capacity is unknown refuses no request.
 #[test]
 fn capacity_unknown() {
     let unknown = Capacity { slots: 0, memory_tokens: 0 };
     assert!(has_room(load_with_memory(1_000_000), unknown, HIGHEST_PRIORITY));
 }
 
-/// Those refused together come back spread, and in the time that they have.
+/// Requests that are refused together are told to retry at spread-out times, within the time that
+/// they have left.
 #[test]
 fn returns_spread() {
     let mut buckets = [0; 9];
@@ -93,7 +96,7 @@
     assert!(retry_after_ms(7, 100) >= 400);
 }
 
-/// Late first tokens shrink the limit, those in time from nearly full engines raise it,
+/// Late first tokens lower the load limit, first tokens in time from nearly full engines raise it,
 /// and it stays within its bounds.
 #[test]
 fn limit_found() {
@@ -118,7 +121,8 @@
     }
 }
 
-/// Engines whose first tokens are late above a load of their own, whatever the limit was.
+/// Whatever the limit was, it settles at the load above which the first tokens of these engines are
+/// late.
 #[test]
 fn limit_follows_engines() {
     for sustainable_limit in [0.6, 1.0] {
@@ -143,7 +147,7 @@
     }
 }
 
-/// Boxes go by the mean of what all have found, and come together.
+/// Boxes use the mean of the limits that all boxes have found, so that their limits converge.
 #[test]
 fn limits_shared() {
     let (mut first, mut second) = (AdmissionLimits::default(), AdmissionLimits::default());
@@ -160,8 +164,8 @@
     assert!(first.own_limits()[0].1.abs_diff(second.own_limits()[0].1) < 50);
 }
 
-/// A limit that fell rises again with time alone: what it turns away cannot show that it
-/// may.
+/// A lowered limit recovers with time alone: refused requests cannot show that the engines have
+/// capacity again.
 #[test]
 fn limit_recovers() {
     let mut limits = AdmissionLimits::default();
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -1,5 +1,5 @@
-//! What crosses halls in a large fleet: bridges tell each other of their halls, and their halls of
-//! the others.
+//! Gossip between halls in a large fleet: bridge boxes send each other summaries of their halls and
+//! pass the summaries of other halls on within their own hall.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,7 +9,7 @@
 use coursestile::gateway::decisions::view::ViewDigest;
 
 const HALLS: u32 = 5;
-/// Boxes of a hall: three strong ones first, as on a fleet of 295.
+/// Boxes of each hall, as in a fleet of 295 boxes; the first three have more CPU than the others.
 const BOXES_PER_HALL: u8 = 59;
 const STRONG_BOXES: u8 = 3;
 const UPSTREAM: u32 = 7;
@@ -39,7 +39,8 @@
     }
 }
 
-/// A box that has heard all others, each of which sends `requests` to one upstream.
+/// A box that has received gossip from all others, each of which sends `requests` requests to one
+/// upstream.
 fn fleet_box(hall: u32, host: u8, requests: u32) -> Peers {
     let own_address = SocketAddr::new(address(hall, host), 7000);
     let own = LocalBox { number: 1, address: own_address, hall, millicores: 120 };
@@ -66,7 +67,7 @@
     targets.iter().map(SocketAddr::ip).collect()
 }
 
-/// Two bridges of each of the four other halls.
+/// The two bridges of each of the four other halls.
 fn bridges_of_other_halls(hall: u32) -> Vec<IpAddr> {
     let others = (0..HALLS).filter(|other_hall| *other_hall != hall);
     others.flat_map(|other_hall| [address(other_hall, 1), address(other_hall, 2)]).collect()
@@ -79,21 +80,21 @@
         peers.next_targets(300, Audience::All, GossipScope::AllBridges);
     let full = ips(&full);
     assert!(bridges_of_other_halls(0).iter().all(|bridge| full.contains(bridge)));
-    assert_eq!(full.len(), 58 + 8, "the own hall, and the bridges of all others");
-    assert_eq!(abridged.len(), 4, "others in turn");
+    assert_eq!(full.len(), 58 + 8, "own hall and the bridges of all other halls");
+    assert_eq!(abridged.len(), 4, "boxes of other halls, in rotation");
     assert_eq!(ips(&bridges), bridges_of_other_halls(0));
     assert_eq!(own_hall.len(), 58);
     let next_targets = peers.next_targets(320, Audience::All, GossipScope::AllBridges);
     assert_eq!(
         (next_targets.bridges.len(), next_targets.own_hall.len()),
         (0, 0),
-        "halls have their own period"
+        "hall summaries have a period of their own"
     );
     let non_bridge_targets = peers.next_targets(600, Audience::All, GossipScope::OwnHall);
     assert_eq!(
         (non_bridge_targets.full.len(), non_bridge_targets.abridged.len()),
         (58, 4),
-        "any other box"
+        "as for any box that is no bridge"
     );
 }
 
@@ -103,7 +104,10 @@
     let new_bridge = Gossip { follows_caches: true, ..gossip(1, 3, 0) };
     peers.receive_gossip(300, address(1, 3), new_bridge, ViewDigest::default());
     let targets = peers.next_targets(310, Audience::All, GossipScope::AllBridges);
-    assert!(ips(&targets.bridges).contains(&address(1, 3)), "it says that it is one");
+    assert!(
+        ips(&targets.bridges).contains(&address(1, 3)),
+        "its gossip says that it follows the caches of its hall"
+    );
 }
 
 #[test]
@@ -111,7 +115,7 @@
     let north = fleet_box(0, 1, 2);
     let summary = north.hall_summary(100, [load_report(3)].into_iter(), &[(STORE, 5)]);
     let mut south = fleet_box(1, 1, 1);
-    assert_eq!(south.load(UPSTREAM).requests, 58, "its own hall alone");
+    assert_eq!(south.load(UPSTREAM).requests, 58, "only the own hall is known so far");
     south.receive_hall_summary(100, summary.clone());
     assert_eq!(south.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
     assert_eq!(south.fetch_tokens(STORE), 580 + 580 + 5);
@@ -119,9 +123,9 @@
     assert_eq!(
         south.load(UPSTREAM).requests,
         58 + 58 * 2 + 3,
-        "told once more by the other bridge"
+        "the second bridge's copy of a summary counts once"
     );
-    // A box of the south that is no bridge hears it from there.
+    // A box of the south that is no bridge gets the summary from the bridge.
     let mut non_bridge = fleet_box(1, 40, 1);
     non_bridge.receive_other_halls(200, &south.other_halls_summary(200));
     assert_eq!(non_bridge.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
@@ -129,7 +133,7 @@
     non_bridge.expire(1200);
     assert_eq!(non_bridge.load(UPSTREAM).requests, 58 + 58 * 2 + 3);
     non_bridge.expire(1700);
-    assert_eq!(non_bridge.load(UPSTREAM), Load::default(), "all are silent");
+    assert_eq!(non_bridge.load(UPSTREAM), Load::default(), "all loads have expired");
 }
 
 #[test]
@@ -141,7 +145,10 @@
         let message = Gossip { view_digest, ..gossip(1, host, 0) };
         south.receive_gossip(1000, address(1, host), message, ViewDigest::default());
     }
-    assert!(!leader.has_reached_revision(address(1, 50), 9), "its turn has not come");
+    assert!(
+        !leader.has_reached_revision(address(1, 50), 9),
+        "no gossip with that revision has arrived yet"
+    );
     leader.receive_hall_summary(1010, south.hall_summary(1000, std::iter::empty(), &[]));
     assert!((2..=BOXES_PER_HALL).all(|host| leader.has_reached_revision(address(1, host), 9)));
     assert!(!leader.has_reached_revision(address(2, 50), 9));
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -1,4 +1,5 @@
-//! Parts that most requests share, in a large fleet: each hall keeps them near its engines.
+//! Prompt parts that most requests share, in a large fleet: each hall keeps a copy of them in a
+//! store near its engines.
 
 use std::net::SocketAddr;
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// Two stores in each hall, empty and known.
+/// Two stores in each hall, which are known to be empty.
 fn stores() -> Stores {
     let mut stores = Stores::default();
     stores.configure(&[
@@ -69,7 +70,7 @@
     upstreams
 }
 
-/// What a box of a hall chooses for a prompt with a common part.
+/// The choice of a box in `hall` for a prompt that contains the shared part.
 fn choice_in_hall(stores: &Stores, hall: &str) -> Choice {
     let prompt = Prompt::parse("m", "9000,10", "aa:2500,bb:5000,cc:1500").unwrap();
     let engine = EngineSpec {
@@ -103,13 +104,13 @@
     choose(0, &engines(), stores, Some(&engine), &demand).unwrap()
 }
 
-/// The store that a choice has take the common part.
+/// The store in which the engine is told to save the shared part.
 fn save_store(choice: &Choice) -> Option<String> {
     choice.context.as_ref()?.saves[0].as_ref().map(|target| target.store.clone())
 }
 
-/// Engines of all halls that had lost the common part fetched it from the one store that
-/// kept it, and waited for two seconds.
+/// With only one copy in the fleet, engines of all halls that had evicted the shared part fetched
+/// it from the same store and waited for two seconds.
 #[test]
 fn kept_in_each_hall() {
     let mut stores = stores();
@@ -117,7 +118,11 @@
     assert!(north_store.starts_with('n'), "{north_store} is in another hall");
     let shared_part = PartKey::new("1.m", SHARED_PART);
     stores.get_mut(&north_store).unwrap().1.contents.set_tokens(shared_part, SHARED_PART_TOKENS);
-    assert_eq!(save_store(&choice_in_hall(&stores, "north")), None, "it is kept there");
+    assert_eq!(
+        save_store(&choice_in_hall(&stores, "north")),
+        None,
+        "a store of this hall has it already"
+    );
     let south_store = save_store(&choice_in_hall(&stores, "south")).unwrap();
     assert!(south_store.starts_with('s'), "{south_store} is in another hall");
     stores.get_mut(&south_store).unwrap().1.contents.set_tokens(shared_part, SHARED_PART_TOKENS);
--- a/tests/gateway_crashes.rs
+++ b/tests/gateway_crashes.rs
@@ -1,6 +1,6 @@
-//! One request crashed each engine that began to run it, and was sent to the next: 33 engines
-//! ended under it, 18 of them ran at a time, and each took up to nine streams of other callers
-//! with it. Its client gave it a new id with each try, and any box took it for a new request.
+//! A request that crashed every engine that began to run it was sent to the next one: it ended 33
+//! engines, 18 of which ran at a time, and each took up to nine streams of other clients with it.
+//! The client sent it under a new id with each retry, so every box treated it as a new request.
 
 #[path = "common/site.rs"]
 mod common;
@@ -14,16 +14,16 @@
 use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
 use rstest::rstest;
 
-/// Time after the third crash in which boxes may still send the request.
+/// Time after the third crash within which boxes may still forward the request.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
-/// Crashes after which a request is held back.
+/// Crashes after which a request is quarantined.
 const QUARANTINE_CRASHES: usize = 3;
-/// Body of the request that crashes what runs it.
+/// Body of the request that crashes any upstream that runs it.
 const CRASHING_BODY: &str = "deadly";
 
-/// Two boxes before upstreams, all of which end under one request.
+/// Two boxes in front of upstreams that all crash when they run the request.
 struct Fleet {
-    /// The platform, for as long as the boxes run.
+    /// Keeps the platform running while the boxes run.
     _site: Site,
     gateways: Vec<Gateway>,
     servers: Vec<Server>,
@@ -50,7 +50,7 @@
         Self { _site: site, gateways, servers: started, sent: 0 }
     }
 
-    /// Sends the request through the boxes in turn, each time under another id.
+    /// Sends a request through the boxes in rotation, under a new id each time.
     async fn send(&mut self, path: &str, body: &str) -> Option<Message> {
         self.sent += 1;
         let gateway = &self.gateways[self.sent % self.gateways.len()];
@@ -62,13 +62,14 @@
         self.servers.iter().filter(|server| server.has_crashed()).count()
     }
 
-    /// How often a body has arrived at any upstream.
+    /// Number of requests with this body that have arrived at the upstreams.
     fn arrivals(&self, body: &str) -> usize {
         let arrived = self.servers.iter().flat_map(Server::arrived);
         arrived.filter(|request| request.body == body.as_bytes()).count()
     }
 
-    /// Sends the request until it has crashed three upstreams.
+    /// Sends the request until it has crashed three upstreams, and waits until all boxes know of
+    /// it.
     async fn crash_until_quarantined(&mut self, path: &str) {
         while self.crash_count() < QUARANTINE_CRASHES {
             self.send(path, CRASHING_BODY).await;
@@ -80,14 +81,18 @@
         let before = self.arrivals(CRASHING_BODY);
         for _ in 0..6 {
             let answer = self.send(path, CRASHING_BODY).await.expect("an answer");
-            assert_eq!(answer.status(), 503, "not run, and not in vain: {}", answer.text());
+            assert_eq!(answer.status(), 503, "expected a refusal without a run: {}", answer.text());
             assert!(answer.header("retry-after").is_some());
         }
-        assert_eq!(self.arrivals(CRASHING_BODY), before, "it reached no upstream again");
+        assert_eq!(
+            self.arrivals(CRASHING_BODY),
+            before,
+            "the quarantined request has reached an upstream"
+        );
     }
 }
 
-/// The request comes again at any box, on a route of each kind.
+/// The quarantine holds at every box and on routes of each kind.
 #[rstest]
 #[case("/safe/")]
 #[case("/once/")]
@@ -99,10 +104,10 @@
     fleet.crash_until_quarantined(path).await;
     fleet.assert_quarantined(path).await;
     let answer = fleet.send(path, "sound").await.expect("an answer");
-    assert_eq!(answer.status(), 200, "other requests of the caller are served");
+    assert_eq!(answer.status(), 200, "other requests of the client must be served");
 }
 
-/// All boxes lose what they know, and the request comes again.
+/// The quarantine outlasts the restart of all boxes.
 #[tokio::test]
 async fn boxes_killed() {
     let mut fleet = Fleet::start(12).await;
@@ -111,7 +116,7 @@
         gateway.signal("-9");
     }
     for gateway in &fleet.gateways {
-        eventually("it has ended", async || !gateway.is_alive()).await;
+        eventually("the box has ended", async || !gateway.is_alive()).await;
         gateway.start_if_ended();
     }
     for gateway in &fleet.gateways {
@@ -120,7 +125,7 @@
     fleet.assert_quarantined("/stream/").await;
 }
 
-/// What ran beside it is served, however often it was cut.
+/// A request that was cut because it ran beside the crashing one is not quarantined.
 #[tokio::test]
 async fn bystander_served() {
     let mut fleet = Fleet::start(12).await;
@@ -133,7 +138,7 @@
         let clients = fleet.gateways[0].clients.clone();
         let bystander =
             tokio::spawn(async move { Client::connect(&clients).await.send(&bytes).await });
-        eventually("it runs", async || fleet.arrivals("bystander") > before).await;
+        eventually("the bystander runs", async || fleet.arrivals("bystander") > before).await;
         while fleet.crash_count() <= before {
             fleet.send("/once/", CRASHING_BODY).await;
         }
@@ -141,13 +146,13 @@
             server.then_nothing();
             server.release();
         }
-        bystander.await.expect("the task ends");
+        bystander.await.expect("the task does not panic");
     }
     let answer = fleet.send("/once/", "bystander").await.expect("an answer");
     assert_eq!(answer.status(), 200);
 }
 
-/// A request that is reset again and again, where nothing crashes, is not held back.
+/// A request whose connections are reset again and again without a crash is not quarantined.
 #[tokio::test]
 async fn resets_only() {
     let mut fleet = Fleet::start(4).await;
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -1,5 +1,6 @@
-//! Boxes that choose engines at once, by news of each other that is old: a hall of 59 boxes
-//! and 51 engines, each box with its own view, through the decisions alone.
+//! Many boxes that choose engines at the same time from outdated load reports: a hall of 59 boxes
+//! and 51 engines, each box with its own view. Only the decision code runs, without processes or a
+//! network.
 
 use std::collections::VecDeque;
 
@@ -22,11 +23,11 @@
 const MODEL: &str = "m";
 const OBJECTIVE_MS: u64 = 500;
 const DURATION_MS: u64 = 4000;
-/// Requests of the hall in a second, on an ordinary day.
+/// Requests per second in the hall on an ordinary day.
 const REQUESTS_PER_S: f64 = 285.0;
-/// Tokens of a prompt that an engine reads itself: two thirds are long.
+/// Tokens of a prompt that the engine must prefill: two of three prompts are long.
 const PREFILL_TOKENS: [u32; 3] = [3600, 3600, 800];
-/// Time for which a request runs once its prompt is read.
+/// Time for which a request runs after its prefill.
 const RUN_MS: u64 = 400;
 
 fn engine_id(engine: usize) -> String {
@@ -50,7 +51,7 @@
     upstreams
 }
 
-/// A change of the load that one box puts on an engine.
+/// A change of the load that one box puts on an engine; each variant holds the request's tokens.
 #[derive(Clone, Copy)]
 enum LoadChange {
     Started(u32),
@@ -73,7 +74,7 @@
     }
 }
 
-/// Something that becomes known to the other boxes of the hall.
+/// A load change of one box, which the other boxes of the hall learn of at `at_ms`.
 struct LoadUpdate {
     at_ms: u64,
     box_index: usize,
@@ -81,12 +82,12 @@
     change: LoadChange,
 }
 
-/// A hall: what each box believes, what the engines do, and what is on its way.
+/// A hall: the view of each box, the work of the engines, and load changes that are still to come.
 struct Hall {
     views: Vec<Upstreams>,
     idle_at_ms: Vec<f64>,
     pending_updates: VecDeque<LoadUpdate>,
-    /// Changes at engines that come, by their time.
+    /// Load changes that will happen at engines.
     scheduled: Vec<LoadUpdate>,
     report_delay_ms: u64,
 }
@@ -133,9 +134,9 @@
         }
     }
 
-    /// Sends a request; the time to its first token.
+    /// Sends a request and returns the time to its first token in milliseconds.
     fn send(&mut self, now_ms: u64, box_index: usize, engine: usize, tokens: u32) -> f64 {
-        #[expect(clippy::cast_precision_loss, reason = "some thousand milliseconds")]
+        #[expect(clippy::cast_precision_loss, reason = "a few thousand milliseconds")]
         let now = now_ms as f64;
         let prefill_starts_at_ms = self.idle_at_ms[engine].max(now);
         let prefilled_at_ms = prefill_starts_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
@@ -159,14 +160,14 @@
     }
 }
 
-/// How a box finds an engine.
+/// How a box selects an engine.
 #[derive(Clone, Copy)]
 enum Selection {
     Decision,
     Random,
 }
 
-/// Requests whose first token came late, of all.
+/// Number of requests whose first token was late, and of all requests.
 fn late_requests(selection: Selection, report_delay_ms: u64, load: f64) -> (usize, usize) {
     let mut rng = fastrand::Rng::with_seed(11);
     let mut hall = Hall::new(report_delay_ms);
@@ -228,7 +229,7 @@
     digits.parse().unwrap()
 }
 
-/// Old news may help little, but it must not make choosing worse than not to choose.
+/// Outdated load reports may help little, but must not make the choice worse than a random one.
 #[rstest]
 #[case(20, 1.0)]
 #[case(100, 1.0)]
@@ -241,6 +242,8 @@
 fn old_news(#[case] report_delay_ms: u64, #[case] load: f64) {
     let (chosen, all) = late_requests(Selection::Decision, report_delay_ms, load);
     let (random, _) = late_requests(Selection::Random, report_delay_ms, load);
-    println!("delay {report_delay_ms} load {load}: {chosen} late, {random} by chance, of {all}");
-    assert!(chosen <= random, "{chosen} late, {random} by chance, of {all}");
+    println!(
+        "delay {report_delay_ms} load {load}: {chosen} late, {random} late at random, of {all}"
+    );
+    assert!(chosen <= random, "{chosen} late, {random} late at random, of {all}");
 }
