--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -35,11 +35,11 @@
     }
 }
 
-fn run(id: &str) -> Incarnation {
+fn incarnation(id: &str) -> Incarnation {
     Incarnation { id: id.to_owned(), started_at_ms: None }
 }
 
-fn spec() -> EngineSpec {
+fn engine_spec() -> EngineSpec {
     EngineSpec {
         slots: 4,
         memory_tokens: 40_000,
@@ -75,15 +75,15 @@
 
 #[test]
 fn budget_share() {
-    let terms = RetryBudgetConfig { ratio: 0.2, window_ms: 10_000, extra: 54.0 };
-    let mut budget = RetryBudget::new(terms, 0);
+    let config = RetryBudgetConfig { ratio: 0.2, window_ms: 10_000, extra: 54.0 };
+    let mut budget = RetryBudget::new(config, 0);
     assert!(!budget.try_spend(0, "s", 9), "a new process has nothing of the extra");
     for at_ms in 0..200 {
         budget.record_request(20_000 + at_ms, "s");
     }
-    let spent = (0..100).filter(|_| budget.try_spend(20_300, "s", 9)).count();
+    let granted = (0..100).filter(|_| budget.try_spend(20_300, "s", 9)).count();
     // 0.7 of 0.2 x 200 + 54 / 9.
-    assert_eq!(spent, 32);
+    assert_eq!(granted, 32);
     assert!(!budget.try_spend(20_400, "s", 9));
     assert!(budget.try_spend(31_000, "s", 9), "the window has passed");
 }
@@ -95,10 +95,10 @@
     upstreams.upsert(0, "b", entry("south", 2, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
-    let far = upstreams.get_mut("b").unwrap();
-    far.contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
+    let remote_engine = upstreams.get_mut("b").unwrap();
+    remote_engine.contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let choice =
-        choose(0, &upstreams, &stores, Some(&spec()), &demand(Some(&prompt), &[])).unwrap();
+        choose(0, &upstreams, &stores, Some(&engine_spec()), &demand(Some(&prompt), &[])).unwrap();
     assert_eq!(choice.upstream.id, "b");
     assert_eq!(choice.context.unwrap().prefill_tokens, 200);
 }
@@ -111,13 +111,19 @@
     let engine = upstreams.get_mut("a").unwrap();
     engine.contents.set_tokens(PartKey::new("1.m", "aa"), 5000);
     let stores = Stores::default();
-    let mut asked = demand(Some(&prompt), &[]);
-    asked.isolated_account = Some("petra");
-    let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
+    let mut request_demand = demand(Some(&prompt), &[]);
+    request_demand.isolated_account = Some("petra");
+    let plan = choose(0, &upstreams, &stores, Some(&engine_spec()), &request_demand)
+        .unwrap()
+        .context
+        .unwrap();
     assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("1.m.petra", 5200));
     upstreams.get_mut("a").unwrap().record_weight_version("m", 2);
-    let asked = demand(Some(&prompt), &[]);
-    let plan = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap().context.unwrap();
+    let request_demand = demand(Some(&prompt), &[]);
+    let plan = choose(0, &upstreams, &stores, Some(&engine_spec()), &request_demand)
+        .unwrap()
+        .context
+        .unwrap();
     assert_eq!((plan.scope.as_str(), plan.prefill_tokens), ("2.m", 5200));
     assert_eq!((scope_version(&plan.scope), scope_model(&plan.scope)), (Some(2), Some("m")));
 }
@@ -129,10 +135,10 @@
     upstreams.upsert(0, "b", entry("south", 2, 1));
     upstreams.get_mut("a").unwrap().record_sent(0, 0, 0);
     let stores = Stores::default();
-    let at =
+    let chosen_at =
         |now_ms| choose(now_ms, &upstreams, &stores, None, &demand(None, &[])).unwrap().upstream.id;
-    assert_eq!(at(5000), "b", "it owes an answer and says nothing");
-    let tried = [run("a"), run("b")];
+    assert_eq!(chosen_at(5000), "b", "it owes an answer and says nothing");
+    let tried = [incarnation("a"), incarnation("b")];
     assert_eq!(choose(0, &upstreams, &stores, None, &demand(None, &tried)), None);
 }
 
@@ -140,7 +146,7 @@
 fn context_headers(per_part_sources: bool) -> [Option<String>; 2] {
     let mut upstreams = Upstreams::default();
     upstreams.upsert(0, "a", entry("north", 1, 1));
-    let held = |part: &str, tokens| CacheChange {
+    let complete_part = |part: &str, tokens| CacheChange {
         part: CachedPart { scope: "1.m".to_owned(), part_id: part.to_owned() },
         tokens,
     };
@@ -150,14 +156,15 @@
         let listing = CacheListing {
             boot_epoch: 1,
             next_position: 0,
-            complete: vec![held(part, tokens)],
+            complete: vec![complete_part(part, tokens)],
             partial: Vec::new(),
         };
         stores.get_mut(name).unwrap().1.contents.apply_listing(&listing);
     }
     let prompt = Prompt::parse("m", "5300,10", "aa:1000,bb:4000,cc:100,dd:200").unwrap();
-    let spec = EngineSpec { per_part_sources, ..spec() };
-    let choice = choose(0, &upstreams, &stores, Some(&spec), &demand(Some(&prompt), &[])).unwrap();
+    let engine_spec = EngineSpec { per_part_sources, ..engine_spec() };
+    let choice =
+        choose(0, &upstreams, &stores, Some(&engine_spec), &demand(Some(&prompt), &[])).unwrap();
     let request = exchange::upstream_request(
         &Method::POST,
         &Uri::from_static("/a/"),
@@ -213,9 +220,9 @@
     large.contents.set_tokens(PartKey::new("1.m", "aa"), 500);
     large.set_peer_fetch_tokens(60_000);
     let prefill_tokens = |objective_ms| {
-        let mut asked = demand(Some(&prompt), &[]);
-        asked.admission.objective_ms = objective_ms;
-        let choice = choose(0, &upstreams, &stores, Some(&spec()), &asked).unwrap();
+        let mut request_demand = demand(Some(&prompt), &[]);
+        request_demand.admission.objective_ms = objective_ms;
+        let choice = choose(0, &upstreams, &stores, Some(&engine_spec()), &request_demand).unwrap();
         choice.context.unwrap().prefill_tokens
     };
     assert_eq!(prefill_tokens(500), 700, "the fetch would take most of it");
@@ -246,9 +253,9 @@
     for (id, hall) in [("a", "north"), ("b", "south"), ("c", "south"), ("d", "south")] {
         upstreams.upsert(0, id, entry(hall, 1, 1));
     }
-    upstreams.record_connect_timeout(1000, &run("b"), "north");
+    upstreams.record_connect_timeout(1000, &incarnation("b"), "north");
     assert!(!upstreams.get("d").unwrap().is_unreachable());
-    upstreams.record_connect_timeout(1200, &run("c"), "north");
+    upstreams.record_connect_timeout(1200, &incarnation("c"), "north");
     assert!(upstreams.get("d").unwrap().is_unhealthy(1200), "the way to the hall is cut");
     assert!(!upstreams.get("a").unwrap().is_unhealthy(1200));
     upstreams.get_mut("d").unwrap().mark_reachable();
@@ -271,14 +278,17 @@
             && !weights.add_named_at(1500, 2)
     );
     let stores = Stores::default();
-    let mut asked = demand(Some(&prompt), &[]);
-    asked.weights = Some(&weights);
-    let mut at = |now_ms| {
+    let mut request_demand = demand(Some(&prompt), &[]);
+    request_demand.weights = Some(&weights);
+    let mut chosen_at = |now_ms| {
         upstreams.get_mut("b").unwrap().record_receive(now_ms);
-        choose(now_ms, &upstreams, &stores, Some(&spec()), &asked).unwrap().upstream.id
+        choose(now_ms, &upstreams, &stores, Some(&engine_spec()), &request_demand)
+            .unwrap()
+            .upstream
+            .id
     };
-    assert_eq!(at(5000), "a", "it is behind, and much quicker");
-    assert_eq!(at(10_100), "b", "a request might begin after the bound");
+    assert_eq!(chosen_at(5000), "a", "it is behind, and much quicker");
+    assert_eq!(chosen_at(10_100), "b", "a request might begin after the bound");
 }
 
 #[test]
@@ -287,13 +297,15 @@
     upstreams.upsert(0, "a", entry("north", 1, 1));
     let prompt = Prompt::parse("m", "5200,10", "aa:5000,bb:200").unwrap();
     let stores = Stores::default();
-    let asked = demand(Some(&prompt), &[]);
-    let calm = |upstreams: &Upstreams| {
-        choose(0, upstreams, &stores, Some(&spec()), &asked).unwrap().engine_wait_negligible
+    let request_demand = demand(Some(&prompt), &[]);
+    let wait_negligible = |upstreams: &Upstreams| {
+        choose(0, upstreams, &stores, Some(&engine_spec()), &request_demand)
+            .unwrap()
+            .engine_wait_negligible
     };
-    assert!(calm(&upstreams), "a late first token would be the store's");
+    assert!(wait_negligible(&upstreams), "a late first token would be the store's");
     upstreams.get_mut("a").unwrap().record_sent(0, 4000, 0);
-    assert!(!calm(&upstreams), "the engine reads for some 80 ms before");
+    assert!(!wait_negligible(&upstreams), "the engine reads for some 80 ms before");
 }
 
 #[test]
@@ -304,11 +316,11 @@
     }
     let stores = Stores::default();
     let chosen = |box_number| {
-        let asked = Demand { box_number, ..demand(None, &[]) };
-        choose(0, &upstreams, &stores, None, &asked).unwrap().upstream.id
+        let request_demand = Demand { box_number, ..demand(None, &[]) };
+        choose(0, &upstreams, &stores, None, &request_demand).unwrap().upstream.id
     };
-    let all: std::collections::BTreeSet<String> = (0..40).map(chosen).collect();
-    assert!(all.len() > 4, "boxes that know of no load choose {all:?}");
+    let chosen_ids: std::collections::BTreeSet<String> = (0..40).map(chosen).collect();
+    assert!(chosen_ids.len() > 4, "boxes that know of no load choose {chosen_ids:?}");
     assert_eq!(chosen(7), chosen(7));
 }
 
