--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -34,7 +34,7 @@
 use tokio::task::JoinHandle;
 
 /// Time in which a box would have left its upstream: well over ten of its looks.
-const MANY_LOOKS: Duration = Duration::from_millis(1500);
+const MANY_CHECKS: Duration = Duration::from_millis(1500);
 /// Time after which a box takes an upstream for silent, and some looks.
 const LONG_SILENCE: Duration = Duration::from_millis(1300);
 
@@ -70,23 +70,24 @@
 }
 
 /// Waits until a request has arrived so often; the upstreams that got it, in that order.
-async fn arrived<'a>(scene: &'a Scene, id: &str, times: usize) -> Vec<&'a Server> {
+async fn wait_arrived<'a>(scene: &'a Scene, id: &str, times: usize) -> Vec<&'a Server> {
     eventually("it arrives", async || scene.count(id) >= times).await;
-    let at =
+    let ran_at =
         |server: &Server| server.ran().iter().find(|ran| ran.request_id == id).map(|ran| ran.at);
-    let mut servers: Vec<_> = scene.servers.iter().filter(|server| at(server).is_some()).collect();
-    servers.sort_by_key(|server| at(server));
+    let mut servers: Vec<_> =
+        scene.servers.iter().filter(|server| ran_at(server).is_some()).collect();
+    servers.sort_by_key(|server| ran_at(server));
     servers
 }
 
-async fn leave(scene: &Scene, server: &Server) {
+async fn remove_entry(scene: &Scene, server: &Server) {
     scene.site.leave(&server.id);
     let line = format!("event=upstream_gone upstream={}", server.id);
     eventually("it is gone", async || scene.gateway.logged().contains(&line)).await;
 }
 
 /// The ways in which an answer may be waited for.
-fn waits() -> [(&'static str, Act); 3] {
+fn waiting_cases() -> [(&'static str, Act); 3] {
     [("/safe/", Act::Held), ("/resume/", Act::Held), ("/resume/", Act::HeldEvents(2))]
 }
 
@@ -99,15 +100,15 @@
 /// runs: another upstream, an attempt and the budget for it are no reason to leave.
 #[tokio::test]
 async fn gone_serves_on() {
-    let cases = waits().map(async |(path, act)| {
+    let cases = waiting_cases().map(async |(path, act)| {
         let scene = scene(3, 3, 1000).await;
         scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
         let answer = send(&scene, path, "r-1");
-        let server = arrived(&scene, "r-1", 1).await[0];
-        leave(&scene, server).await;
-        tokio::time::sleep(MANY_LOOKS).await;
+        let server = wait_arrived(&scene, "r-1", 1).await[0];
+        remove_entry(&scene, server).await;
+        tokio::time::sleep(MANY_CHECKS).await;
         // Before its entry had gone, a stall may have made it look silent.
-        if !silent_before_gone(&scene) {
+        if !retried_before_removal(&scene) {
             assert_eq!(scene.count("r-1"), 1, "it is left where it is");
         }
         scene.servers.iter().for_each(Server::release);
@@ -118,7 +119,7 @@
 }
 
 /// Whether a second upstream was asked before the first one's entry had gone.
-fn silent_before_gone(scene: &Scene) -> bool {
+fn retried_before_removal(scene: &Scene) -> bool {
     let log = scene.gateway.logged();
     let before = log.split("event=upstream_gone").next().unwrap_or_default();
     before.lines().any(|line| line.contains("event=routed") && line.contains("attempt=2"))
@@ -131,18 +132,18 @@
     let no_other = (1, 3, 1000);
     let no_attempt = (2, 1, 1000);
     let no_budget = (2, 3, 0);
-    let cases = [no_other, no_attempt, no_budget]
-        .into_iter()
-        .flat_map(|lack| waits().map(|(path, act)| silence_waited_out(path, act, lack)));
-    join(join_all(cases), last_waited_out()).await;
+    let cases = [no_other, no_attempt, no_budget].into_iter().flat_map(|limits| {
+        waiting_cases().map(|(path, act)| assert_silent_awaited(path, act, limits))
+    });
+    join(join_all(cases), assert_last_upstream_awaited()).await;
 }
 
-async fn silence_waited_out(path: &str, act: Act, lack: (usize, u32, u32)) {
-    let (servers, attempts, retry_extra) = lack;
+async fn assert_silent_awaited(path: &str, act: Act, limits: (usize, u32, u32)) {
+    let (servers, attempts, retry_extra) = limits;
     let scene = scene(servers, attempts, retry_extra).await;
     scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
     let answer = send(&scene, path, "r-1");
-    let server = arrived(&scene, "r-1", 1).await[0];
+    let server = wait_arrived(&scene, "r-1", 1).await[0];
     tokio::time::sleep(LONG_SILENCE).await;
     server.release();
     let answer = answer.await.unwrap();
@@ -151,13 +152,13 @@
 }
 
 /// The last upstream that a request may be sent to is waited for, silent or not.
-async fn last_waited_out() {
+async fn assert_last_upstream_awaited() {
     let scene = scene(3, 2, 1000).await;
     scene.servers.iter().for_each(|server| server.then(&[Act::Held]));
     let answer = send(&scene, "/resume/", "r-1");
-    let last = arrived(&scene, "r-1", 2).await[1];
+    let last_upstream = wait_arrived(&scene, "r-1", 2).await[1];
     tokio::time::sleep(LONG_SILENCE).await;
-    last.release();
+    last_upstream.release();
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
     assert_eq!(scene.count("r-1"), 2);
@@ -166,12 +167,12 @@
 /// A silent upstream is left when another can take the request.
 #[tokio::test]
 async fn silent_left() {
-    let cases = waits().map(async |(path, act)| {
+    let cases = waiting_cases().map(async |(path, act)| {
         let scene = scene(3, 2, 1000).await;
         scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
         let answer = send(&scene, path, "r-1");
-        let first = arrived(&scene, "r-1", 1).await[0];
-        arrived(&scene, "r-1", 2).await;
+        let first = wait_arrived(&scene, "r-1", 1).await[0];
+        wait_arrived(&scene, "r-1", 2).await;
         let others = scene.servers.iter().filter(|server| server.id != first.id);
         others.for_each(Server::release);
         let answer = answer.await.unwrap();
@@ -187,8 +188,8 @@
     let scene = scene(2, 2, 1000).await;
     scene.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
     let answer = send(&scene, "/resume/", "r-1");
-    let first = arrived(&scene, "r-1", 1).await[0];
-    arrived(&scene, "r-1", 2).await;
+    let first = wait_arrived(&scene, "r-1", 1).await[0];
+    wait_arrived(&scene, "r-1", 2).await;
     first.release();
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
@@ -202,7 +203,7 @@
     let scene = scene(3, 3, 1000).await;
     scene.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
     let answer = send(&scene, "/resume/", "r-1");
-    let first = arrived(&scene, "r-1", 1).await[0];
+    let first = wait_arrived(&scene, "r-1", 1).await[0];
     let others = scene.servers.iter().filter(|server| server.id != first.id);
     others.for_each(|server| {
         server.then_nothing();
