--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -17,98 +17,98 @@
 /// How an entry is not what an upstream writes of itself.
 #[derive(Clone, Copy, Debug)]
 enum Flaw {
-    NoText,
-    NoEntry,
+    NotUtf8,
+    NotAnObject,
     Missing(&'static str),
-    OtherType(&'static str),
+    WrongType(&'static str),
     TooLarge(&'static str),
-    OtherState,
-    Twice,
-    BornAsText,
-    NegativeBorn,
-    Spoiled,
+    UnknownState,
+    DuplicateField,
+    StartAsText,
+    NegativeStart,
+    InvalidEncoding,
 }
 
 /// Writes a flawed entry under the id of an upstream.
-fn write(scene: &Scene, server: usize, flaw: Flaw) {
+fn write_flawed(scene: &Scene, server: usize, flaw: Flaw) {
     let server = &scene.servers[server];
     let key = format!("servers/{}", server.id);
     let mut entry = entry("plain", &server.address, "ready");
     let metadata = &scene.site.metadata;
     match flaw {
-        Flaw::NoText => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
-        Flaw::NoEntry => return metadata.put(&key, b"[1, 2]", 0),
-        Flaw::Spoiled => return metadata.put_spoiled(&key),
-        Flaw::Twice => {
+        Flaw::NotUtf8 => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
+        Flaw::NotAnObject => return metadata.put(&key, b"[1, 2]", 0),
+        Flaw::InvalidEncoding => return metadata.put_spoiled(&key),
+        Flaw::DuplicateField => {
             let text = entry.to_string().replacen('{', "{\"slots\":9,", 1);
             return metadata.put(&key, text.as_bytes(), 0);
         }
         Flaw::Missing(field) => {
             entry.as_object_mut().unwrap().remove(field);
         }
-        Flaw::OtherType(field) => entry[field] = json!({ "of": "another type" }),
+        Flaw::WrongType(field) => entry[field] = json!({ "of": "another type" }),
         Flaw::TooLarge(field) => entry[field] = json!(1_u64 << 40),
-        Flaw::OtherState => entry["state"] = json!("asleep"),
-        Flaw::BornAsText => entry["born"] = json!("1790000000000"),
-        Flaw::NegativeBorn => entry["born"] = json!(-1),
+        Flaw::UnknownState => entry["state"] = json!("asleep"),
+        Flaw::StartAsText => entry["born"] = json!("1790000000000"),
+        Flaw::NegativeStart => entry["born"] = json!(-1),
     }
     metadata.put(&key, entry.to_string().as_bytes(), 0);
 }
 
 /// Asks until the upstreams in `left` alone get requests, which are all answered.
-async fn served_by(scene: &Scene, left: &[usize]) {
+async fn assert_served_by(scene: &Scene, serving: &[usize]) {
     for number in 0..8 {
         let id = format!("q-{number}");
         assert_eq!(scene.send("GET", "/safe/", &id).await.status(), 200);
-        let by = scene.servers.iter().position(|server| server.count(&id) > 0);
-        assert!(left.contains(&by.expect("it ran")), "{by:?}");
+        let server = scene.servers.iter().position(|server| server.count(&id) > 0);
+        assert!(serving.contains(&server.expect("it ran")), "{server:?}");
     }
 }
 
 #[rstest]
-#[case(Flaw::NoText)]
-#[case(Flaw::NoEntry)]
+#[case(Flaw::NotUtf8)]
+#[case(Flaw::NotAnObject)]
 #[case(Flaw::Missing("service"))]
 #[case(Flaw::Missing("addr"))]
 #[case(Flaw::Missing("slots"))]
 #[case(Flaw::Missing("state"))]
 #[case(Flaw::Missing("seq"))]
-#[case(Flaw::OtherType("zone"))]
-#[case(Flaw::OtherType("version"))]
-#[case(Flaw::OtherType("cold_left_ms"))]
-#[case(Flaw::OtherType("models"))]
+#[case(Flaw::WrongType("zone"))]
+#[case(Flaw::WrongType("version"))]
+#[case(Flaw::WrongType("cold_left_ms"))]
+#[case(Flaw::WrongType("models"))]
 #[case(Flaw::TooLarge("slots"))]
-#[case(Flaw::OtherState)]
-#[case(Flaw::Twice)]
-#[case(Flaw::BornAsText)]
-#[case(Flaw::NegativeBorn)]
-#[case(Flaw::Spoiled)]
+#[case(Flaw::UnknownState)]
+#[case(Flaw::DuplicateField)]
+#[case(Flaw::StartAsText)]
+#[case(Flaw::NegativeStart)]
+#[case(Flaw::InvalidEncoding)]
 #[tokio::test]
 async fn taken_out(#[case] flaw: Flaw) {
     let scene = scene(2).await;
-    write(&scene, 0, flaw);
+    write_flawed(&scene, 0, flaw);
     eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
-    served_by(&scene, &[1]).await;
+    assert_served_by(&scene, &[1]).await;
     assert!(is_ready(&scene.gateway).await);
 }
 
 #[rstest]
-#[case(Flaw::NoText)]
-#[case(Flaw::Spoiled)]
+#[case(Flaw::NotUtf8)]
+#[case(Flaw::InvalidEncoding)]
 #[tokio::test]
 async fn listed_beside_others(#[case] flaw: Flaw) {
     let mut scene = scene(2).await;
-    write(&scene, 0, flaw);
+    write_flawed(&scene, 0, flaw);
     let gateway = scene.site.gateway("north", &[]);
     common::wait_ready(&gateway).await;
     scene.gateway = gateway;
-    served_by(&scene, &[1]).await;
+    assert_served_by(&scene, &[1]).await;
 }
 
 #[tokio::test]
 async fn back_when_readable() {
     let scene = scene(1).await;
-    write(&scene, 0, Flaw::NoText);
+    write_flawed(&scene, 0, Flaw::NotUtf8);
     eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 503);
     let server = &scene.servers[0];
@@ -120,18 +120,18 @@
 #[tokio::test]
 async fn said_once() {
     let scene = scene(2).await;
-    write(&scene, 0, Flaw::NoText);
+    write_flawed(&scene, 0, Flaw::NotUtf8);
     eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
-    write(&scene, 0, Flaw::NoText);
-    let other: Value = entry("plain", &scene.servers[1].address, "draining");
-    scene.site.enter("s-1", &other);
+    write_flawed(&scene, 0, Flaw::NotUtf8);
+    let leaving: Value = entry("plain", &scene.servers[1].address, "draining");
+    scene.site.enter("s-1", &leaving);
     eventually("a later change is known", async || scene.gateway.logged().contains("leaving=true"))
         .await;
     assert_eq!(scene.gateway.logged().matches("upstream_unreadable").count(), 1);
 }
 
 /// What holders and engines tell, as they write it.
-fn told() -> [String; 3] {
+fn valid_messages() -> [String; 3] {
     let change = json!([4, "+", "1.m", "aa", 100, "m"]);
     let events = json!({ "boot_epoch": 7, "next_token": 9, "lost": false, "events": [change],
         "clock_ms": 1_790_000_000_000.5, "born": 1_790_000_000_000_u64 });
@@ -139,14 +139,14 @@
         "partial": [["1.m", "bb", 16, 500]] });
     let report = json!({ "busy": true, "seq": 3, "born": 1_790_000_000_000_u64,
         "models": [{ "name": "m", "version": 2 }] });
-    [events, list, report].map(|one| one.to_string())
+    [events, list, report].map(|message| message.to_string())
 }
 
 /// Whoever told it.
 const HOLDER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 80);
 
 /// Puts what one reads into a box's picture of a holder: no figure may stop it.
-fn take(text: &[u8]) {
+fn parse_and_apply(text: &[u8]) {
     let mut holder = CacheContents::with_log();
     if let Ok(changes) = caches::read_changes(HOLDER, text) {
         holder.apply_changes(&changes);
@@ -176,24 +176,24 @@
         let _ = keys::read_upstream("u", &bytes);
         let _ = keys::read_configuration(&bytes);
         let _ = keys::read_weights("m", &bytes);
-        take(&bytes);
+        parse_and_apply(&bytes);
     }
 
     #[test]
-    fn told_with_flaws(which in 0_usize..3, at in 0_usize..200, bytes in "[0-9eE.,\\[\\]\"{}a-]{0,24}", cut in 0_usize..4) {
-        let mut text = told()[which].clone().into_bytes();
+    fn told_with_flaws(message_index in 0_usize..3, at in 0_usize..200, bytes in "[0-9eE.,\\[\\]\"{}a-]{0,24}", cut in 0_usize..4) {
+        let mut text = valid_messages()[message_index].clone().into_bytes();
         let at = at % text.len();
         let end = (at + cut).min(text.len());
         text.splice(at..end, bytes.into_bytes());
-        take(&text);
+        parse_and_apply(&text);
     }
 
     #[test]
     fn cut_or_mixed(from in 0_usize..8, to in 0_usize..8, cut in 0_usize..400) {
-        let whole = mixed_entry(from, to);
-        let cut = &whole[..cut.min(whole.len() - 1)];
+        let mixed = mixed_entry(from, to);
+        let cut = &mixed[..cut.min(mixed.len() - 1)];
         prop_assert!(keys::read_upstream("u", cut).is_err());
         // Fields of one type may stand for each other; it must not panic.
-        let _ = keys::read_upstream("u", &whole);
+        let _ = keys::read_upstream("u", &mixed);
     }
 }
