--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -28,7 +28,7 @@
     let answer = scene.raw(bytes.as_bytes()).await;
     assert!(answer.is_none_or(|answer| answer.status() == 400), "{head}");
     let arrived = scene.servers[0].arrived();
-    assert!(arrived.iter().all(|one| one.header("x-request-id") != Some("r")), "{head}");
+    assert!(arrived.iter().all(|request| request.header("x-request-id") != Some("r")), "{head}");
 }
 
 /// A length beside chunks is passed over, as HTTP has it, and never passed on:
