--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -24,17 +24,17 @@
 /// Time in which every engine must have a named version, where boxes come and go.
 const APPLY_MS: u64 = 10_000;
 /// Time for which boxes come and go.
-const TROUBLE_MS: u64 = 22_000;
+const DISRUPTION_MS: u64 = 22_000;
 /// When versions 2 and on are named, after the trouble has begun.
 const NAMED_AFTER_MS: [u64; 4] = [1000, 5000, 11_000, 12_000];
 /// Longest wait for somebody to lead before the trouble goes on with any box.
 const LEADER_WAIT_MS: u64 = 5000;
 /// How often a test looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 /// Time in which boxes tell each other what they know, well above what it takes.
-const TELL_MS: u64 = 300;
+const GOSSIP_MS: u64 = 300;
 /// Time for which a box is away after a version was named, before it starts again.
-const AWAY_MS: u64 = 2000;
+const DOWNTIME_MS: u64 = 2000;
 /// Pause between two prompts of a series.
 const PROMPT_PERIOD: Duration = Duration::from_millis(250);
 
@@ -66,7 +66,7 @@
 }
 
 /// A platform with bounds of its own.
-async fn site_of(lease_ms: u64, weights_apply_ms: u64) -> Site {
+async fn site_with_limits(lease_ms: u64, weights_apply_ms: u64) -> Site {
     let mut site = Site::start().await;
     site.lease_ms = lease_ms;
     site.weights_apply_ms = weights_apply_ms;
@@ -81,7 +81,7 @@
 }
 
 /// A version that was named.
-struct Naming {
+struct NamedVersion {
     version: u64,
     at_ms: u64,
 }
@@ -90,7 +90,7 @@
     /// The box that took over last, if its fence is above `fence`.
     fn leader_after(&self, fence: u64) -> Option<Leader> {
         let leaders = self.gateways.iter().enumerate().filter_map(|(index, gateway)| {
-            Some(Leader { index, fence: held_fence(&gateway.logged())? })
+            Some(Leader { index, fence: logged_fence(&gateway.logged())? })
         });
         leaders.filter(|leader| leader.fence > fence).max_by_key(|leader| leader.fence)
     }
@@ -102,36 +102,36 @@
             if let Some(leader) = self.leader_after(fence) {
                 return Some(leader);
             }
-            sleep(LOOK_PERIOD).await;
+            sleep(POLL_PERIOD).await;
         }
         None
     }
 
-    fn name(&self, version: u64) -> Naming {
+    fn name_version(&self, version: u64) -> NamedVersion {
         self.site.name_weights(MODEL, version);
-        Naming { version, at_ms: now_ms() }
+        NamedVersion { version, at_ms: now_ms() }
     }
 
     /// Names versions, while the trouble goes on.
-    async fn name_versions(&self) -> Vec<Naming> {
-        let begin_ms = now_ms();
-        let mut namings = Vec::new();
+    async fn name_versions(&self) -> Vec<NamedVersion> {
+        let started_at_ms = now_ms();
+        let mut named_versions = Vec::new();
         for (version, after_ms) in (2..).zip(NAMED_AFTER_MS) {
-            wait_until(begin_ms + after_ms).await;
-            namings.push(self.name(version));
+            wait_until(started_at_ms + after_ms).await;
+            named_versions.push(self.name_version(version));
         }
-        namings
+        named_versions
     }
 
     /// Asks boxes to stop in turn, `period_ms` apart, and starts each again once it has.
     async fn stop_in_turn(&self, period_ms: u64) {
-        let begin_ms = now_ms();
+        let started_at_ms = now_ms();
         for (gateway, round) in self.gateways.iter().cycle().zip(0..) {
-            while now_ms() < begin_ms + period_ms * round {
+            while now_ms() < started_at_ms + period_ms * round {
                 self.gateways.iter().for_each(Gateway::start_if_ended);
-                sleep(LOOK_PERIOD).await;
+                sleep(POLL_PERIOD).await;
             }
-            if now_ms() >= begin_ms + TROUBLE_MS {
+            if now_ms() >= started_at_ms + DISRUPTION_MS {
                 break;
             }
             gateway.try_signal("-TERM");
@@ -144,48 +144,51 @@
     }
 
     /// Does something to each box that leads, `lead_ms` after it has taken over.
-    async fn strike_leaders(&self, lead_ms: u64, mut strike: impl AsyncFnMut(&Gateway)) {
-        let until_ms = now_ms() + TROUBLE_MS;
+    async fn disrupt_leaders(&self, delay_ms: u64, mut disrupt: impl AsyncFnMut(&Gateway)) {
+        let until_ms = now_ms() + DISRUPTION_MS;
         let mut fence = 0;
-        let mut struck = 0;
+        let mut target = 0;
         while now_ms() < until_ms {
             if let Some(leader) = self.next_leader(fence).await {
-                (struck, fence) = (leader.index, leader.fence);
-                sleep(Duration::from_millis(lead_ms)).await;
+                (target, fence) = (leader.index, leader.fence);
+                sleep(Duration::from_millis(delay_ms)).await;
             } else {
-                struck = (struck + 1) % self.gateways.len();
+                target = (target + 1) % self.gateways.len();
             }
-            strike(&self.gateways[struck]).await;
+            disrupt(&self.gateways[target]).await;
         }
     }
 
     /// Each engine had each version, or a newer one, in time.
-    async fn assert_in_time(&self, namings: &[Naming]) {
-        let last_ms = namings.iter().map(|naming| naming.at_ms).max().unwrap_or_default();
+    async fn assert_in_time(&self, named_versions: &[NamedVersion]) {
+        let last_ms = named_versions.iter().map(|named| named.at_ms).max().unwrap_or_default();
         wait_until(last_ms + APPLY_MS).await;
-        let late: Vec<String> = namings.iter().flat_map(|naming| self.late_with(naming)).collect();
-        let figures = format!("{}; {}", late.join(", "), self.order_figures());
-        assert!(late.is_empty(), "later than {APPLY_MS} ms: {figures}");
+        let late: Vec<String> =
+            named_versions.iter().flat_map(|named| self.late_engines(named)).collect();
+        let statistics = format!("{}; {}", late.join(", "), self.order_statistics());
+        assert!(late.is_empty(), "later than {APPLY_MS} ms: {statistics}");
     }
 
-    fn late_with(&self, naming: &Naming) -> Vec<String> {
-        let late = self.engines.iter().enumerate().filter(|(_, engine)| is_late(engine, naming));
-        let told = late.map(|(number, engine)| {
-            format!("e-{number} version {} after {:?}", naming.version, took_ms(engine, naming))
+    fn late_engines(&self, named: &NamedVersion) -> Vec<String> {
+        let late = self.engines.iter().enumerate().filter(|(_, engine)| is_late(engine, named));
+        let descriptions = late.map(|(number, engine)| {
+            format!("e-{number} version {} after {:?}", named.version, took_ms(engine, named))
         });
-        told.collect()
+        descriptions.collect()
     }
 
     /// How many leaders and orders there were, and the longest time without an order.
-    fn order_figures(&self) -> String {
+    fn order_statistics(&self) -> String {
         let mut at_ms: Vec<u64> =
             self.engines.iter().flat_map(Engine::orders).map(|order| order.at_ms).collect();
         at_ms.sort_unstable();
-        let longest_ms = at_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
+        let longest_gap_ms = at_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
         let logs = self.gateways.iter().map(Gateway::logged);
         let leaders: usize = logs.map(|log| log.matches("event=leadership_taken").count()).sum();
         let orders = at_ms.len();
-        format!("{leaders} leaders, {orders} orders, longest time between two {longest_ms:?} ms")
+        format!(
+            "{leaders} leaders, {orders} orders, longest time between two {longest_gap_ms:?} ms"
+        )
     }
 
     /// No engine had orders of two holders within the time of a lease, and its fences rise.
@@ -199,7 +202,7 @@
     }
 
     /// Waits until all boxes know of a version; since when they do.
-    async fn wait_known(&self, version: u64) -> u64 {
+    async fn wait_known_by_all(&self, version: u64) -> u64 {
         let text = format!("event=weights_named model={MODEL} version={version}");
         eventually("all know of it", async || {
             self.gateways.iter().all(|gateway| gateway.logged().contains(&text))
@@ -209,7 +212,7 @@
     }
 
     /// Prompts through a box are turned away, and reach no engine.
-    async fn assert_barred(&self, gateway: &Gateway) {
+    async fn assert_refused(&self, gateway: &Gateway) {
         let ids: Vec<String> = (0..4).map(|number| format!("r-{number}")).collect();
         let prompts = ids.iter().zip(0..).map(async |(id, number)| {
             sleep(PROMPT_PERIOD * number).await;
@@ -222,7 +225,7 @@
 
     fn has_run(&self, id: &str) -> bool {
         let mut runs = self.engines.iter().flat_map(Engine::runs);
-        runs.any(|run| run.headers.get("x-request-id").is_some_and(|one| one == id))
+        runs.any(|run| run.headers.get("x-request-id").is_some_and(|value| value == id))
     }
 
     /// Engines load again, and prompts are served.
@@ -238,13 +241,13 @@
 }
 
 /// How long it took until an engine had a named version or a newer one.
-fn took_ms(engine: &Engine, naming: &Naming) -> Option<u64> {
-    let loaded = engine.loaded().into_iter().find(|one| one.version >= naming.version);
-    loaded.map(|one| one.at_ms.saturating_sub(naming.at_ms))
+fn took_ms(engine: &Engine, named: &NamedVersion) -> Option<u64> {
+    let loaded = engine.loaded().into_iter().find(|load| load.version >= named.version);
+    loaded.map(|load| load.at_ms.saturating_sub(named.at_ms))
 }
 
-fn is_late(engine: &Engine, naming: &Naming) -> bool {
-    took_ms(engine, naming).is_none_or(|took_ms| took_ms > APPLY_MS)
+fn is_late(engine: &Engine, named: &NamedVersion) -> bool {
+    took_ms(engine, named).is_none_or(|took_ms| took_ms > APPLY_MS)
 }
 
 /// Whether two orders are of one holder, or far enough apart.
@@ -253,16 +256,16 @@
 }
 
 /// The fence that a box has by its log, if it leads.
-fn held_fence(log: &str) -> Option<u64> {
-    let mut held = None;
+fn logged_fence(log: &str) -> Option<u64> {
+    let mut fence = None;
     for line in log.lines() {
         if let Some((_, rest)) = line.split_once("event=leadership_taken fence=") {
-            held = rest.split(' ').next().and_then(|text| text.trim().parse().ok());
+            fence = rest.split(' ').next().and_then(|text| text.trim().parse().ok());
         } else if line.contains("event=leadership_ended") || line.contains("event=started ") {
-            held = None;
+            fence = None;
         }
     }
-    held
+    fence
 }
 
 /// Whether the last run of a box, by its log, has been asked to stop.
@@ -286,44 +289,44 @@
 /// of two holders.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn boxes_stopped_in_turn() {
-    let fleet = fleet(site_of(3000, APPLY_MS).await, 5, 6).await;
-    let (namings, ()) = tokio::join!(fleet.name_versions(), fleet.stop_in_turn(1000));
+    let fleet = fleet(site_with_limits(3000, APPLY_MS).await, 5, 6).await;
+    let (named_versions, ()) = tokio::join!(fleet.name_versions(), fleet.stop_in_turn(1000));
     fleet.assert_one_holder_at_once();
-    fleet.assert_in_time(&namings).await;
+    fleet.assert_in_time(&named_versions).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leader_killed_again() {
-    let fleet = fleet(site_of(2000, APPLY_MS).await, 5, 6).await;
-    let kills = fleet.strike_leaders(1200, kill_and_start);
-    let (namings, ()) = tokio::join!(fleet.name_versions(), kills);
+    let fleet = fleet(site_with_limits(2000, APPLY_MS).await, 5, 6).await;
+    let kills = fleet.disrupt_leaders(1200, kill_and_start);
+    let (named_versions, ()) = tokio::join!(fleet.name_versions(), kills);
     fleet.assert_one_holder_at_once();
-    fleet.assert_in_time(&namings).await;
+    fleet.assert_in_time(&named_versions).await;
 }
 
 /// A leader stands still until another has surely taken over, and goes on.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leader_paused_again() {
-    let fleet = fleet(site_of(2000, APPLY_MS).await, 5, 6).await;
-    let pauses = fleet.strike_leaders(1200, async |gateway| {
+    let fleet = fleet(site_with_limits(2000, APPLY_MS).await, 5, 6).await;
+    let pauses = fleet.disrupt_leaders(1200, async |gateway| {
         gateway.signal("-STOP");
         sleep(Duration::from_millis(1600)).await;
         gateway.signal("-CONT");
     });
-    let (namings, ()) = tokio::join!(fleet.name_versions(), pauses);
+    let (named_versions, ()) = tokio::join!(fleet.name_versions(), pauses);
     fleet.assert_one_holder_at_once();
-    fleet.assert_in_time(&namings).await;
+    fleet.assert_in_time(&named_versions).await;
 }
 
 /// Without an engine whose weights are allowed, a prompt has not run.
 #[tokio::test]
 async fn overdue_is_barred() {
-    let fleet = fleet(site_of(1000, 3000).await, 1, 4).await;
+    let fleet = fleet(site_with_limits(1000, 3000).await, 1, 4).await;
     fleet.engines.iter().for_each(Engine::refuse_orders);
-    fleet.name(2);
-    let known_at_ms = fleet.wait_known(2).await;
+    fleet.name_version(2);
+    let known_at_ms = fleet.wait_known_by_all(2).await;
     wait_until(known_at_ms + fleet.site.weights_apply_ms).await;
-    fleet.assert_barred(&fleet.gateways[0]).await;
+    fleet.assert_refused(&fleet.gateways[0]).await;
     fleet.assert_served_again(&fleet.gateways[0]).await;
 }
 
@@ -331,14 +334,14 @@
 /// short of memory a prompt began 3.3 s after it was sent, 154 ms after the bound.
 #[tokio::test]
 async fn waiting_is_withdrawn() {
-    let fleet = fleet(site_of(1000, 4000).await, 1, 2).await;
+    let fleet = fleet(site_with_limits(1000, 4000).await, 1, 2).await;
     fleet.engines.iter().for_each(Engine::refuse_orders);
     fleet.engines.iter().for_each(Engine::queue_runs);
-    let naming = fleet.name(2);
+    let named = fleet.name_version(2);
     // Two seconds before the bound it is sent still; its route gives it three.
-    wait_until(naming.at_ms + 2000).await;
+    wait_until(named.at_ms + 2000).await;
     let status = common::prompt(&fleet.gateways[0], "r-1").await;
-    assert!(now_ms() < naming.at_ms + fleet.site.weights_apply_ms, "it waits on");
+    assert!(now_ms() < named.at_ms + fleet.site.weights_apply_ms, "it waits on");
     assert_eq!(status, 502, "whether it has begun is not known");
 }
 
@@ -349,19 +352,19 @@
 #[case::passed_over(&[2, 3])]
 #[tokio::test]
 async fn restarted_box_knows(#[case] versions: &[u64]) {
-    let fleet = fleet(site_of(1000, 4000).await, 3, 4).await;
+    let fleet = fleet(site_with_limits(1000, 4000).await, 3, 4).await;
     fleet.engines.iter().for_each(Engine::refuse_orders);
-    fleet.name(versions[0]);
-    let known_at_ms = fleet.wait_known(versions[0]).await;
+    fleet.name_version(versions[0]);
+    let known_at_ms = fleet.wait_known_by_all(versions[0]).await;
     let restarted = &fleet.gateways[2];
     restarted.signal("-KILL");
     eventually("it has ended", async || !restarted.is_alive()).await;
-    wait_until(known_at_ms + AWAY_MS).await;
+    wait_until(known_at_ms + DOWNTIME_MS).await;
     versions[1..].iter().for_each(|version| fleet.site.name_weights(MODEL, *version));
     restarted.start_if_ended();
     wait_ready(restarted).await;
-    wait_until(known_at_ms + fleet.site.weights_apply_ms + TELL_MS).await;
-    fleet.assert_barred(restarted).await;
+    wait_until(known_at_ms + fleet.site.weights_apply_ms + GOSSIP_MS).await;
+    fleet.assert_refused(restarted).await;
     fleet.assert_served_again(restarted).await;
 }
 
@@ -370,14 +373,14 @@
 /// the newest version 18.9 s after its naming still to come.
 #[tokio::test]
 async fn late_orders_repeated() {
-    let fleet = fleet(site_of(1000, APPLY_MS).await, 1, 4).await;
+    let fleet = fleet(site_with_limits(1000, APPLY_MS).await, 1, 4).await;
     fleet.engines.iter().for_each(|engine| engine.take_orders_late(Some(Duration::from_secs(60))));
-    fleet.name(2);
+    fleet.name_version(2);
     sleep(Duration::from_secs(12)).await;
     for engine in &fleet.engines {
         let at_ms: Vec<u64> = engine.orders().iter().map(|order| order.at_ms).collect();
-        let longest_ms = at_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
-        assert!(longest_ms.is_some_and(|longest_ms| longest_ms < 3500), "{at_ms:?}");
+        let longest_gap_ms = at_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
+        assert!(longest_gap_ms.is_some_and(|longest_gap_ms| longest_gap_ms < 3500), "{at_ms:?}");
     }
 }
 
@@ -393,17 +396,19 @@
     #[case] hanging: usize,
     #[case] hang: impl Fn(&Engine),
 ) {
-    let fleet = fleet(site_of(1000, APPLY_MS).await, 2, engines).await;
-    let (hanging, sound) = fleet.engines.split_at(hanging);
+    let fleet = fleet(site_with_limits(1000, APPLY_MS).await, 2, engines).await;
+    let (hanging, responsive) = fleet.engines.split_at(hanging);
     hanging.iter().for_each(hang);
-    let naming = fleet.name(2);
+    let named = fleet.name_version(2);
     let mut statuses = Vec::new();
-    while now_ms() < naming.at_ms + APPLY_MS && sound.iter().any(|one| one.version() < 2) {
+    while now_ms() < named.at_ms + APPLY_MS && responsive.iter().any(|engine| engine.version() < 2)
+    {
         statuses.push(common::prompt(&fleet.gateways[0], &format!("r-{}", statuses.len())).await);
-        sleep(LOOK_PERIOD).await;
+        sleep(POLL_PERIOD).await;
     }
-    let took_ms: Vec<Option<u64>> = sound.iter().map(|one| took_ms(one, &naming)).collect();
-    let figures = format!("{took_ms:?}; {}", fleet.order_figures());
-    assert!(!sound.iter().any(|one| is_late(one, &naming)), "{figures}");
+    let took_ms: Vec<Option<u64>> =
+        responsive.iter().map(|engine| took_ms(engine, &named)).collect();
+    let statistics = format!("{took_ms:?}; {}", fleet.order_statistics());
+    assert!(!responsive.iter().any(|engine| is_late(engine, &named)), "{statistics}");
     assert!(statuses.iter().all(|status| *status == 200), "{statuses:?}");
 }
