--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -1,4 +1,4 @@
-//! The gateway's pure decisions.
+//! The gateway's decisions, which are pure functions of what a box knows.
 
 use std::net::SocketAddr;
 
@@ -77,15 +77,15 @@
 fn budget_share() {
     let config = RetryBudgetConfig { ratio: 0.2, window_ms: 10_000, extra: 54.0 };
     let mut budget = RetryBudget::new(config, 0);
-    assert!(!budget.try_spend(0, "s", 9), "a new process has nothing of the extra");
+    assert!(!budget.try_spend(0, "s", 9), "a new process has no part of the extra retries");
     for at_ms in 0..200 {
         budget.record_request(20_000 + at_ms, "s");
     }
     let granted = (0..100).filter(|_| budget.try_spend(20_300, "s", 9)).count();
-    // 0.7 of 0.2 x 200 + 54 / 9.
+    // 0.7 x (0.2 x 200 + 54 / 9)
     assert_eq!(granted, 32);
     assert!(!budget.try_spend(20_400, "s", 9));
-    assert!(budget.try_spend(31_000, "s", 9), "the window has passed");
+    assert!(budget.try_spend(31_000, "s", 9), "the window of the earlier retries has passed");
 }
 
 #[test]
@@ -137,12 +137,12 @@
     let stores = Stores::default();
     let chosen_at =
         |now_ms| choose(now_ms, &upstreams, &stores, None, &demand(None, &[])).unwrap().upstream.id;
-    assert_eq!(chosen_at(5000), "b", "it owes an answer and says nothing");
+    assert_eq!(chosen_at(5000), "b", "it has not answered, and nothing has been received from it");
     let tried = [incarnation("a"), incarnation("b")];
     assert_eq!(choose(0, &upstreams, &stores, None, &demand(None, &tried)), None);
 }
 
-/// Headers of context that an engine gets which takes sources in this way.
+/// Context headers that an engine gets which supports a source for each part, or only one for all.
 fn context_headers(per_part_sources: bool) -> [Option<String>; 2] {
     let mut upstreams = Upstreams::default();
     upstreams.upsert(0, "a", entry("north", 1, 1));
@@ -201,14 +201,15 @@
     let [fetch, save] = context_headers(true);
     assert_eq!(fetch.as_deref(), Some("127.0.0.1:3,127.0.0.1:2,-,-"));
     assert_eq!(save.as_deref(), Some("-,-,127.0.0.1:3,-"));
-    // An engine that takes no lists gets the address of the longest part.
+    // An engine without support for lists gets the address for the longest part.
     let [fetch, save] = context_headers(false);
     assert_eq!(fetch.as_deref(), Some("127.0.0.1:2"));
     assert_eq!(save.as_deref(), Some("127.0.0.1:3"));
 }
 
-/// A link that is busy for 300 ms: a short part is quicker read again, but when the caller
-/// waits for a second anyway, the engine's time is worth more.
+/// The link of the store is busy for 300 ms. Prefilling a short part again is faster, but a caller
+/// whose objective allows a second waits anyway, and then the engine time that a fetch saves is
+/// worth more.
 #[test]
 fn fetched_while_in_time() {
     let mut upstreams = Upstreams::default();
@@ -225,24 +226,24 @@
         let choice = choose(0, &upstreams, &stores, Some(&engine_spec()), &request_demand).unwrap();
         choice.context.unwrap().prefill_tokens
     };
-    assert_eq!(prefill_tokens(500), 700, "the fetch would take most of it");
+    assert_eq!(prefill_tokens(500), 700, "the fetch would take most of the objective");
     assert_eq!(prefill_tokens(1200), 200);
 }
 
-/// A busy engine says nothing to one box for a second, and streams to others meanwhile.
+/// A busy engine may send nothing to one box for a second while it streams to others.
 #[test]
 fn busy_is_not_silent() {
     let mut upstreams = Upstreams::default();
     upstreams.upsert(0, "a", entry("north", 1, 1));
     let engine = upstreams.get_mut("a").unwrap();
     engine.record_sent(0, 0, 0);
-    assert!(engine.is_silent(801), "nobody hears it");
+    assert!(engine.is_silent(801), "no box has received anything from it");
     engine.record_peer_receive(500);
-    assert!(!engine.is_silent(1300), "others heard it 800 ms before");
+    assert!(!engine.is_silent(1300), "a peer received something 800 ms ago");
     assert!(engine.is_silent(1301));
     engine.record_peer_receive(1600);
     assert!(!engine.is_silent(1600));
-    assert!(engine.is_silent(1601), "the way to it may be cut");
+    assert!(engine.is_silent(1601), "the path from this box may be cut");
     engine.record_receive(1600);
     assert!(!engine.is_silent(2400));
 }
@@ -256,7 +257,7 @@
     upstreams.record_connect_timeout(1000, &incarnation("b"), "north");
     assert!(!upstreams.get("d").unwrap().is_unreachable());
     upstreams.record_connect_timeout(1200, &incarnation("c"), "north");
-    assert!(upstreams.get("d").unwrap().is_unhealthy(1200), "the way to the hall is cut");
+    assert!(upstreams.get("d").unwrap().is_unhealthy(1200), "the path to the hall is cut");
     assert!(!upstreams.get("a").unwrap().is_unhealthy(1200));
     upstreams.get_mut("d").unwrap().mark_reachable();
     assert!(!upstreams.get("d").unwrap().is_unhealthy(1200));
@@ -287,8 +288,12 @@
             .upstream
             .id
     };
-    assert_eq!(chosen_at(5000), "a", "it is behind, and much quicker");
-    assert_eq!(chosen_at(10_100), "b", "a request might begin after the bound");
+    assert_eq!(
+        chosen_at(5000),
+        "a",
+        "its weights are outdated but not overdue, and it is much faster"
+    );
+    assert_eq!(chosen_at(10_100), "b", "a request might begin after the weights are overdue");
 }
 
 #[test]
@@ -303,9 +308,15 @@
             .unwrap()
             .engine_wait_negligible
     };
-    assert!(wait_negligible(&upstreams), "a late first token would be the store's");
+    assert!(
+        wait_negligible(&upstreams),
+        "with an idle engine, only the store could delay the first token"
+    );
     upstreams.get_mut("a").unwrap().record_sent(0, 4000, 0);
-    assert!(!wait_negligible(&upstreams), "the engine reads for some 80 ms before");
+    assert!(
+        !wait_negligible(&upstreams),
+        "the engine first prefills another prompt for some 80 ms"
+    );
 }
 
 #[test]
@@ -320,7 +331,7 @@
         choose(0, &upstreams, &stores, None, &request_demand).unwrap().upstream.id
     };
     let chosen_ids: std::collections::BTreeSet<String> = (0..40).map(chosen).collect();
-    assert!(chosen_ids.len() > 4, "boxes that know of no load choose {chosen_ids:?}");
+    assert!(chosen_ids.len() > 4, "boxes that know no load choose {chosen_ids:?}");
     assert_eq!(chosen(7), chosen(7));
 }
 
--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -1,23 +1,14 @@
-//! On a day of overload two streams were cut in the middle of their answers when the
-//! upstream that ran them announced its end, which it did seconds before it ended. A box
-//! took an upstream whose entry had gone for one that is silent, broke the streams off
-//! at its next look, and had no attempt left for them:
+//! Neither the removed entry of an upstream nor its silence is a reason to give up a request that
+//! runs there, unless another upstream can take it.
 //!
-//! ```text
-//!  8.2143 follow: event=upstream_gone upstream=i-76a1cd9648
-//!  8.2223 relay: event=stream_broken upstream=i-76a1cd9648 cause="the upstream is silent"
-//! ```
-//!
-//! In one run of that traffic 32 streams were broken off so, each 4 to 91 ms after an
-//! entry had gone; 11 went on elsewhere. Silence was taken for death as well: 405 attempts
-//! that waited for the first byte of an answer were given up, though all engines ran and
-//! were only busy. Once streams left only for another place, requests were still answered
-//! 502 for want of an attempt or of budget, 59 in a run:
-//!
-//! ```text
-//! serve: event=attempt_ended end=unknown cause="the upstream is silent"
-//! serve: event=refused reason="upstream failed" status=502 held_ms=1119
-//! ```
+//! On an overloaded fleet, two streams were cut in the middle of their answers when the upstream
+//! that ran them announced its end, seconds before it ended. A box treated an upstream whose entry
+//! had been removed as silent, broke off the streams at its next check, and had no attempt left for
+//! them. In one run of that traffic, 32 streams were broken off 4 to 91 ms after an entry had been
+//! removed; 11 were continued elsewhere. In the same way, 405 attempts that waited for the first
+//! byte of an answer were given up, though all engines ran and were only busy. Once streams moved
+//! only when another upstream could take them, 59 requests of a run were still answered 502 for
+//! want of an attempt or of retry budget, because their upstream counted as silent.
 
 #[path = "common/site.rs"]
 mod common;
@@ -33,12 +24,12 @@
 use serde_json::json;
 use tokio::task::JoinHandle;
 
-/// Time in which a box would have left its upstream: well over ten of its looks.
+/// Time within which a box would have given up its upstream: well over ten of its checks.
 const MANY_CHECKS: Duration = Duration::from_millis(1500);
-/// Time after which a box takes an upstream for silent, and some looks.
+/// Time after which a box considers an upstream silent, and some checks.
 const LONG_SILENCE: Duration = Duration::from_millis(1300);
 
-/// A scene whose routes leave time for a slow machine.
+/// A scene whose routes have time-outs that are long enough for a slow machine.
 async fn scene(servers: usize, attempts: u32, retry_extra: u32) -> Scene {
     let mut site = Site::start().await;
     site.retry_extra = retry_extra;
@@ -59,7 +50,7 @@
     Scene { gateway, servers: started, site }
 }
 
-/// Sends a request that may take a minute.
+/// Sends a request with a deadline of a minute.
 fn send(scene: &Scene, path: &str, id: &str) -> JoinHandle<Message> {
     let text = String::from_utf8(request("POST", path, id, "", "")).unwrap();
     let bytes = text.replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 60000").into_bytes();
@@ -69,9 +60,10 @@
     )
 }
 
-/// Waits until a request has arrived so often; the upstreams that got it, in that order.
+/// Waits until a request has arrived `times` times; returns the upstreams that got it, in that
+/// order.
 async fn wait_arrived<'a>(scene: &'a Scene, id: &str, times: usize) -> Vec<&'a Server> {
-    eventually("it arrives", async || scene.count(id) >= times).await;
+    eventually("the request arrives", async || scene.count(id) >= times).await;
     let ran_at =
         |server: &Server| server.ran().iter().find(|ran| ran.request_id == id).map(|ran| ran.at);
     let mut servers: Vec<_> =
@@ -83,10 +75,13 @@
 async fn remove_entry(scene: &Scene, server: &Server) {
     scene.site.leave(&server.id);
     let line = format!("event=upstream_gone upstream={}", server.id);
-    eventually("it is gone", async || scene.gateway.logged().contains(&line)).await;
+    eventually("the removal of the entry is known", async || {
+        scene.gateway.logged().contains(&line)
+    })
+    .await;
 }
 
-/// The ways in which an answer may be waited for.
+/// Routes and upstreams' behaviour that leave a request waiting for its answer, or for the rest.
 fn waiting_cases() -> [(&'static str, Act); 3] {
     [("/safe/", Act::Held), ("/resume/", Act::Held), ("/resume/", Act::HeldEvents(2))]
 }
@@ -96,8 +91,8 @@
     assert_eq!((answer.status(), answer.whole, answer.text()), (200, true, text));
 }
 
-/// An entry that goes says that an upstream gets no more work, and nothing of what it
-/// runs: another upstream, an attempt and the budget for it are no reason to leave.
+/// A removed entry says that an upstream gets no more requests, and nothing about those that it
+/// runs: they stay there, even if there are another upstream, an attempt and the budget for it.
 #[tokio::test]
 async fn gone_serves_on() {
     let cases = waiting_cases().map(async |(path, act)| {
@@ -107,9 +102,9 @@
         let server = wait_arrived(&scene, "r-1", 1).await[0];
         remove_entry(&scene, server).await;
         tokio::time::sleep(MANY_CHECKS).await;
-        // Before its entry had gone, a stall may have made it look silent.
+        // A stall may have made it look silent before its entry was removed.
         if !retried_before_removal(&scene) {
-            assert_eq!(scene.count("r-1"), 1, "it is left where it is");
+            assert_eq!(scene.count("r-1"), 1, "the request stays where it runs");
         }
         scene.servers.iter().for_each(Server::release);
         let answer = answer.await.unwrap();
@@ -118,15 +113,15 @@
     join_all(cases).await;
 }
 
-/// Whether a second upstream was asked before the first one's entry had gone.
+/// Whether a second upstream was tried before the entry of the first was removed.
 fn retried_before_removal(scene: &Scene) -> bool {
     let log = scene.gateway.logged();
     let before = log.split("event=upstream_gone").next().unwrap_or_default();
     before.lines().any(|line| line.contains("event=routed") && line.contains("attempt=2"))
 }
 
-/// What is silent may only be busy: without another upstream, an attempt and the budget
-/// for it, its answer is waited for.
+/// A silent upstream may only be busy: without another upstream, an attempt or the retry budget,
+/// the box waits for its answer.
 #[tokio::test]
 async fn silent_waited_for() {
     let no_other = (1, 3, 1000);
@@ -151,7 +146,7 @@
     assert_eq!(scene.count("r-1"), 1);
 }
 
-/// The last upstream that a request may be sent to is waited for, silent or not.
+/// The box waits for the last upstream that a request may be sent to, even if it is silent.
 async fn assert_last_upstream_awaited() {
     let scene = scene(3, 2, 1000).await;
     scene.servers.iter().for_each(|server| server.then(&[Act::Held]));
@@ -164,7 +159,7 @@
     assert_eq!(scene.count("r-1"), 2);
 }
 
-/// A silent upstream is left when another can take the request.
+/// A request moves from a silent upstream when another can take it.
 #[tokio::test]
 async fn silent_left() {
     let cases = waiting_cases().map(async |(path, act)| {
@@ -182,7 +177,7 @@
     join_all(cases).await;
 }
 
-/// A stream that was silent goes on with whichever upstream speaks first.
+/// A silent stream is continued by whichever upstream sends something first.
 #[tokio::test]
 async fn first_to_speak() {
     let scene = scene(2, 2, 1000).await;
@@ -195,9 +190,9 @@
     assert_whole("/resume/", &answer);
 }
 
-/// An upstream hung, and the one that was asked to go on with its stream turned it away:
-/// the stream was then left where it hung until its deadline, with places and attempts to
-/// spare. It is left again.
+/// An upstream hung, and the one that was asked to continue its stream turned it away. The stream
+/// then stayed at the hung upstream until its deadline, though there were free slots and attempts
+/// left. It must be moved again.
 #[tokio::test]
 async fn left_again() {
     let scene = scene(3, 3, 1000).await;
@@ -209,7 +204,7 @@
         server.then_nothing();
         server.then(&[Act::NotRun]);
     });
-    eventually("both others are asked", async || scene.count("r-1") == 3).await;
+    eventually("both other upstreams are tried", async || scene.count("r-1") == 3).await;
     scene.servers.iter().for_each(Server::release);
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -1,5 +1,5 @@
-//! Entries of upstreams that come from another writer name no upstream, and take out what
-//! their key named before; the others hold. No reader of what others write ever panics.
+//! Malformed entries of upstreams: such an entry counts as no upstream and removes the one that its
+//! key held before, and other entries stay in force. No parser of foreign data panics.
 
 #[path = "common/site.rs"]
 mod common;
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// How an entry is not what an upstream writes of itself.
+/// How an entry differs from what an upstream writes of itself.
 #[derive(Clone, Copy, Debug)]
 enum Flaw {
     NotUtf8,
@@ -55,7 +55,7 @@
     metadata.put(&key, entry.to_string().as_bytes(), 0);
 }
 
-/// Asks until the upstreams in `left` alone get requests, which are all answered.
+/// Sends requests, which must all be answered, and only by the upstreams with indexes in `serving`.
 async fn assert_served_by(scene: &Scene, serving: &[usize]) {
     for number in 0..8 {
         let id = format!("q-{number}");
@@ -87,7 +87,10 @@
 async fn taken_out(#[case] flaw: Flaw) {
     let scene = scene(2).await;
     write_flawed(&scene, 0, flaw);
-    eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
+    eventually("the unreadable entry is logged", async || {
+        scene.gateway.logged().contains("upstream_unreadable")
+    })
+    .await;
     assert_served_by(&scene, &[1]).await;
     assert!(is_ready(&scene.gateway).await);
 }
@@ -109,19 +112,27 @@
 async fn back_when_readable() {
     let scene = scene(1).await;
     write_flawed(&scene, 0, Flaw::NotUtf8);
-    eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
+    eventually("the unreadable entry is logged", async || {
+        scene.gateway.logged().contains("upstream_unreadable")
+    })
+    .await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 503);
     let server = &scene.servers[0];
     scene.site.enter(&server.id, &entry("plain", &server.address, "ready"));
-    eventually("it serves", async || scene.send("GET", "/safe/", "r-2").await.status() == 200)
-        .await;
+    eventually("the upstream serves again", async || {
+        scene.send("GET", "/safe/", "r-2").await.status() == 200
+    })
+    .await;
 }
 
 #[tokio::test]
 async fn said_once() {
     let scene = scene(2).await;
     write_flawed(&scene, 0, Flaw::NotUtf8);
-    eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
+    eventually("the unreadable entry is logged", async || {
+        scene.gateway.logged().contains("upstream_unreadable")
+    })
+    .await;
     write_flawed(&scene, 0, Flaw::NotUtf8);
     let leaving: Value = entry("plain", &scene.servers[1].address, "draining");
     scene.site.enter("s-1", &leaving);
@@ -130,7 +141,7 @@
     assert_eq!(scene.gateway.logged().matches("upstream_unreadable").count(), 1);
 }
 
-/// What holders and engines tell, as they write it.
+/// Cache events, a cache listing and an engine's report, as stores and engines write them.
 fn valid_messages() -> [String; 3] {
     let change = json!([4, "+", "1.m", "aa", 100, "m"]);
     let events = json!({ "boot_epoch": 7, "next_token": 9, "lost": false, "events": [change],
@@ -142,10 +153,11 @@
     [events, list, report].map(|message| message.to_string())
 }
 
-/// Whoever told it.
+/// Address of the store or engine that sent a message.
 const HOLDER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 80);
 
-/// Puts what one reads into a box's picture of a holder: no figure may stop it.
+/// Applies whatever can be parsed to a box's knowledge of a cache: no number in it may cause a
+/// panic.
 fn parse_and_apply(text: &[u8]) {
     let mut holder = CacheContents::with_log();
     if let Ok(changes) = caches::read_changes(HOLDER, text) {
@@ -154,11 +166,11 @@
     if let Ok(listing) = caches::read_listing(HOLDER, text) {
         holder.apply_listing(&listing);
     }
-    // What it says of such bytes is of no concern here.
+    // Only panics matter here, not the result.
     let _ = engine::read_report(text);
 }
 
-/// An entry as upstreams write it, with one of its fields put in the place of another.
+/// A valid entry in which the value of one field is copied to another.
 fn mixed_entry(from: usize, to: usize) -> Vec<u8> {
     let mut entry = entry("plain", "10.0.0.1:80", "ready");
     let fields: Vec<String> = entry.as_object().unwrap().keys().cloned().collect();
@@ -172,7 +184,7 @@
 
     #[test]
     fn readers_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        // What they say of such bytes is of no concern here.
+        // Only panics matter here, not the results.
         let _ = keys::read_upstream("u", &bytes);
         let _ = keys::read_configuration(&bytes);
         let _ = keys::read_weights("m", &bytes);
@@ -193,7 +205,8 @@
         let mixed = mixed_entry(from, to);
         let cut = &mixed[..cut.min(mixed.len() - 1)];
         prop_assert!(keys::read_upstream("u", cut).is_err());
-        // Fields of one type may stand for each other; it must not panic.
+        // Fields of one type can be swapped, so that the entry may still be valid; it must not
+        // panic.
         let _ = keys::read_upstream("u", &mixed);
     }
 }
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -1,4 +1,4 @@
-//! Bad input gets a clear answer, and nothing of it reaches an upstream.
+//! Malformed input gets a clear answer, and nothing of it reaches an upstream.
 
 #[path = "common/site.rs"]
 mod common;
@@ -31,8 +31,8 @@
     assert!(arrived.iter().all(|request| request.header("x-request-id") != Some("r")), "{head}");
 }
 
-/// A length beside chunks is passed over, as HTTP has it, and never passed on:
-/// nobody behind the gateway can read the body's end elsewhere.
+/// A `Content-Length` beside chunked encoding is ignored, as HTTP requires, and never forwarded:
+/// nobody behind the gateway can see the end of the body elsewhere.
 #[tokio::test]
 async fn length_and_chunks() {
     let scene = scene(1).await;
--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -1,12 +1,13 @@
-//! Weights stayed old while boxes came and went. A box that takes over the orders first
-//! waits until those of the one before are surely in the past, and began that wait anew
-//! whatever had been ordered before. Boxes that were stopped in turn, or killed while they
-//! led, ended before their wait did: twelve leaders in a row gave no order (`leadership_taken`
-//! to `leadership_ended` after 0.4 to 1.7 s, where the wait is 2.7 s), so that there was none
-//! for 21.9 s where 10 s are allowed, and requests began on weights that should have been
-//! gone. A box that started again took the time at which it learned of a version for that of
-//! its naming, and one that knew better sent to engines whose weights were overdue all the
-//! same, since that was a cost and no bar.
+//! New weights must reach all engines in time while boxes, and above all leaders, stop and start.
+//!
+//! A box that takes over the orders first waits until the orders of its predecessor are certain to
+//! be over, and it began that wait anew whatever had been ordered before. Boxes that were stopped
+//! in turn, or killed while they led, ended before their wait did: twelve leaders in a row gave no
+//! order (`leadership_taken` to `leadership_ended` after 0.4 to 1.7 s, where the wait is 2.7 s), so
+//! that no order was given for 21.9 s where 10 s are allowed, and requests began on overdue
+//! weights. A restarted box took the time at which it learned of a version for the time at which it
+//! was named. A box that knew the right time still sent requests to engines with overdue weights,
+//! since these were only given a higher cost instead of being excluded.
 
 #[path = "common/site.rs"]
 mod common;
@@ -21,21 +22,21 @@
 use rstest::rstest;
 use tokio::time::sleep;
 
-/// Time in which every engine must have a named version, where boxes come and go.
+/// Time within which every engine must have a named version, even while boxes stop and start.
 const APPLY_MS: u64 = 10_000;
-/// Time for which boxes come and go.
+/// Time for which boxes stop and start.
 const DISRUPTION_MS: u64 = 22_000;
-/// When versions 2 and on are named, after the trouble has begun.
+/// Times at which versions 2 and on are named, from the start of the disruption.
 const NAMED_AFTER_MS: [u64; 4] = [1000, 5000, 11_000, 12_000];
-/// Longest wait for somebody to lead before the trouble goes on with any box.
+/// Longest wait for a new leader before the disruption goes on with any box.
 const LEADER_WAIT_MS: u64 = 5000;
-/// How often a test looks.
+/// Time between two checks of a test.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
-/// Time in which boxes tell each other what they know, well above what it takes.
+/// Time within which boxes learn what their peers know, well above what gossip takes.
 const GOSSIP_MS: u64 = 300;
-/// Time for which a box is away after a version was named, before it starts again.
+/// Time after the naming of a version until a killed box is started again.
 const DOWNTIME_MS: u64 = 2000;
-/// Pause between two prompts of a series.
+/// Time between two prompts of a series.
 const PROMPT_PERIOD: Duration = Duration::from_millis(250);
 
 struct Fleet {
@@ -44,7 +45,7 @@
     site: Site,
 }
 
-/// A fleet whose boxes are ready, and one of them leads.
+/// A fleet in which all boxes are ready and one of them leads.
 async fn fleet(mut site: Site, gateways: usize, engines: usize) -> Fleet {
     let engines = start_engines(&site, engines).await;
     let mut config = document(7);
@@ -65,7 +66,7 @@
     fleet
 }
 
-/// A platform with bounds of its own.
+/// A platform with its own limits.
 async fn site_with_limits(lease_ms: u64, weights_apply_ms: u64) -> Site {
     let mut site = Site::start().await;
     site.lease_ms = lease_ms;
@@ -73,21 +74,21 @@
     site
 }
 
-/// A box that took over.
+/// A box that has taken the leadership.
 struct Leader {
-    /// Index among the boxes.
+    /// Index in `Fleet::gateways`.
     index: usize,
     fence: u64,
 }
 
-/// A version that was named.
+/// A version of the weights, and when it was named.
 struct NamedVersion {
     version: u64,
     at_ms: u64,
 }
 
 impl Fleet {
-    /// The box that took over last, if its fence is above `fence`.
+    /// The box that took the leadership last, if its fence is above `fence`.
     fn leader_after(&self, fence: u64) -> Option<Leader> {
         let leaders = self.gateways.iter().enumerate().filter_map(|(index, gateway)| {
             Some(Leader { index, fence: logged_fence(&gateway.logged())? })
@@ -95,7 +96,7 @@
         leaders.filter(|leader| leader.fence > fence).max_by_key(|leader| leader.fence)
     }
 
-    /// Waits a while for a box that takes over after the one with `fence`.
+    /// Waits up to `LEADER_WAIT_MS` for a leader whose fence is above `fence`.
     async fn next_leader(&self, fence: u64) -> Option<Leader> {
         let until_ms = now_ms() + LEADER_WAIT_MS;
         while now_ms() < until_ms {
@@ -112,7 +113,7 @@
         NamedVersion { version, at_ms: now_ms() }
     }
 
-    /// Names versions, while the trouble goes on.
+    /// Names versions during the disruption.
     async fn name_versions(&self) -> Vec<NamedVersion> {
         let started_at_ms = now_ms();
         let mut named_versions = Vec::new();
@@ -123,7 +124,8 @@
         named_versions
     }
 
-    /// Asks boxes to stop in turn, `period_ms` apart, and starts each again once it has.
+    /// Asks boxes to stop in rotation, one each `period_ms`, and starts each again once it has
+    /// stopped.
     async fn stop_in_turn(&self, period_ms: u64) {
         let started_at_ms = now_ms();
         for (gateway, round) in self.gateways.iter().cycle().zip(0..) {
@@ -143,7 +145,7 @@
         .await;
     }
 
-    /// Does something to each box that leads, `lead_ms` after it has taken over.
+    /// Calls `disrupt` for each leader, `delay_ms` after it has taken the leadership.
     async fn disrupt_leaders(&self, delay_ms: u64, mut disrupt: impl AsyncFnMut(&Gateway)) {
         let until_ms = now_ms() + DISRUPTION_MS;
         let mut fence = 0;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Each engine had each version, or a newer one, in time.
+    /// Asserts that each engine had each version, or a newer one, in time.
     async fn assert_in_time(&self, named_versions: &[NamedVersion]) {
         let last_ms = named_versions.iter().map(|named| named.at_ms).max().unwrap_or_default();
         wait_until(last_ms + APPLY_MS).await;
@@ -177,7 +179,7 @@
         descriptions.collect()
     }
 
-    /// How many leaders and orders there were, and the longest time without an order.
+    /// Number of leaders and orders, and the longest time without an order.
     fn order_statistics(&self) -> String {
         let mut at_ms: Vec<u64> =
             self.engines.iter().flat_map(Engine::orders).map(|order| order.at_ms).collect();
@@ -186,13 +188,12 @@
         let logs = self.gateways.iter().map(Gateway::logged);
         let leaders: usize = logs.map(|log| log.matches("event=leadership_taken").count()).sum();
         let orders = at_ms.len();
-        format!(
-            "{leaders} leaders, {orders} orders, longest time between two {longest_gap_ms:?} ms"
-        )
+        format!("{leaders} leaders, {orders} orders, longest gap {longest_gap_ms:?} ms")
     }
 
-    /// No engine had orders of two holders within the time of a lease, and its fences rise.
-    fn assert_one_holder_at_once(&self) {
+    /// Asserts that no engine got orders of two leaders within the time of a lease, and that its
+    /// fences only rise.
+    fn assert_one_leader_at_once(&self) {
         for (number, engine) in self.engines.iter().enumerate() {
             for pair in engine.orders().windows(2) {
                 assert!(pair[0].fence <= pair[1].fence, "e-{number}: {pair:?}");
@@ -201,17 +202,17 @@
         }
     }
 
-    /// Waits until all boxes know of a version; since when they do.
+    /// Waits until all boxes know a version; returns the time.
     async fn wait_known_by_all(&self, version: u64) -> u64 {
         let text = format!("event=weights_named model={MODEL} version={version}");
-        eventually("all know of it", async || {
+        eventually("all boxes know the version", async || {
             self.gateways.iter().all(|gateway| gateway.logged().contains(&text))
         })
         .await;
         now_ms()
     }
 
-    /// Prompts through a box are turned away, and reach no engine.
+    /// Asserts that prompts sent through a box are refused and reach no engine.
     async fn assert_refused(&self, gateway: &Gateway) {
         let ids: Vec<String> = (0..4).map(|number| format!("r-{number}")).collect();
         let prompts = ids.iter().zip(0..).map(async |(id, number)| {
@@ -228,7 +229,7 @@
         runs.any(|run| run.headers.get("x-request-id").is_some_and(|value| value == id))
     }
 
-    /// Engines load again, and prompts are served.
+    /// Makes engines take orders again, and waits until prompts are served.
     async fn assert_served_again(&self, gateway: &Gateway) {
         self.engines.iter().for_each(Engine::take_orders);
         let mut number = 0;
@@ -240,7 +241,7 @@
     }
 }
 
-/// How long it took until an engine had a named version or a newer one.
+/// Time from the naming of a version until an engine had it or a newer one.
 fn took_ms(engine: &Engine, named: &NamedVersion) -> Option<u64> {
     let loaded = engine.loaded().into_iter().find(|load| load.version >= named.version);
     loaded.map(|load| load.at_ms.saturating_sub(named.at_ms))
@@ -250,12 +251,12 @@
     took_ms(engine, named).is_none_or(|took_ms| took_ms > APPLY_MS)
 }
 
-/// Whether two orders are of one holder, or far enough apart.
+/// Whether two orders come from one leader, or are at least a lease apart.
 fn are_apart(pair: &[Order], lease_ms: u64) -> bool {
     pair[0].holder == pair[1].holder || pair[1].at_ms >= pair[0].at_ms + lease_ms
 }
 
-/// The fence that a box has by its log, if it leads.
+/// The fence of a box according to its log, if it leads.
 fn logged_fence(log: &str) -> Option<u64> {
     let mut fence = None;
     for line in log.lines() {
@@ -268,30 +269,30 @@
     fence
 }
 
-/// Whether the last run of a box, by its log, has been asked to stop.
+/// Whether the latest process of a box, according to its log, has been asked to stop.
 fn is_stopping(log: &str) -> bool {
-    let asked = log.rfind("event=stopping");
-    asked.is_some() && asked > log.rfind("event=started ")
+    let stopping_at = log.rfind("event=stopping");
+    stopping_at.is_some() && stopping_at > log.rfind("event=started ")
 }
 
 async fn wait_until(at_ms: u64) {
     sleep(Duration::from_millis(at_ms.saturating_sub(now_ms()))).await;
 }
 
-/// Kills a box, and starts it again.
+/// Kills a box and starts it again.
 async fn kill_and_start(gateway: &Gateway) {
     gateway.try_signal("-KILL");
-    eventually("it has ended", async || !gateway.is_alive()).await;
+    eventually("the box has ended", async || !gateway.is_alive()).await;
     gateway.start_if_ended();
 }
 
-/// Stops of boxes in turn, each of which serves for less than the pause between the orders
-/// of two holders.
+/// Boxes are stopped in rotation, so that each serves for less than the pause between the orders of
+/// two leaders.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn boxes_stopped_in_turn() {
     let fleet = fleet(site_with_limits(3000, APPLY_MS).await, 5, 6).await;
     let (named_versions, ()) = tokio::join!(fleet.name_versions(), fleet.stop_in_turn(1000));
-    fleet.assert_one_holder_at_once();
+    fleet.assert_one_leader_at_once();
     fleet.assert_in_time(&named_versions).await;
 }
 
@@ -300,11 +301,11 @@
     let fleet = fleet(site_with_limits(2000, APPLY_MS).await, 5, 6).await;
     let kills = fleet.disrupt_leaders(1200, kill_and_start);
     let (named_versions, ()) = tokio::join!(fleet.name_versions(), kills);
-    fleet.assert_one_holder_at_once();
+    fleet.assert_one_leader_at_once();
     fleet.assert_in_time(&named_versions).await;
 }
 
-/// A leader stands still until another has surely taken over, and goes on.
+/// A leader is suspended until another box is certain to have taken over, and then continued.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn leader_paused_again() {
     let fleet = fleet(site_with_limits(2000, APPLY_MS).await, 5, 6).await;
@@ -314,11 +315,11 @@
         gateway.signal("-CONT");
     });
     let (named_versions, ()) = tokio::join!(fleet.name_versions(), pauses);
-    fleet.assert_one_holder_at_once();
+    fleet.assert_one_leader_at_once();
     fleet.assert_in_time(&named_versions).await;
 }
 
-/// Without an engine whose weights are allowed, a prompt has not run.
+/// Without an engine whose weights may still be used, a prompt is not run.
 #[tokio::test]
 async fn overdue_is_barred() {
     let fleet = fleet(site_with_limits(1000, 3000).await, 1, 4).await;
@@ -330,23 +331,27 @@
     fleet.assert_served_again(&fleet.gateways[0]).await;
 }
 
-/// A prompt that an engine has not begun with leaves it before it must not begin there: at one
-/// short of memory a prompt began 3.3 s after it was sent, 154 ms after the bound.
+/// A prompt that waits at an engine is withdrawn before the engine's weights are overdue: at an
+/// engine short of memory, a prompt began 3.3 s after it was sent, 154 ms after the bound.
 #[tokio::test]
 async fn waiting_is_withdrawn() {
     let fleet = fleet(site_with_limits(1000, 4000).await, 1, 2).await;
     fleet.engines.iter().for_each(Engine::refuse_orders);
     fleet.engines.iter().for_each(Engine::queue_runs);
     let named = fleet.name_version(2);
-    // Two seconds before the bound it is sent still; its route gives it three.
+    // Two seconds before the bound, the prompt is still sent; its route's time-out is three
+    // seconds.
     wait_until(named.at_ms + 2000).await;
     let status = common::prompt(&fleet.gateways[0], "r-1").await;
-    assert!(now_ms() < named.at_ms + fleet.site.weights_apply_ms, "it waits on");
-    assert_eq!(status, 502, "whether it has begun is not known");
+    assert!(
+        now_ms() < named.at_ms + fleet.site.weights_apply_ms,
+        "the prompt must not wait past the bound"
+    );
+    assert_eq!(status, 502, "the engine may have begun with it");
 }
 
-/// A box that was not there goes by the time of naming that the others know: of the newest
-/// version, and of the first that is newer than the one an engine has.
+/// A restarted box uses the naming times that its peers know: that of the newest version, and that
+/// of the first one newer than what an engine has.
 #[rstest]
 #[case::newest(&[2])]
 #[case::passed_over(&[2, 3])]
@@ -358,7 +363,7 @@
     let known_at_ms = fleet.wait_known_by_all(versions[0]).await;
     let restarted = &fleet.gateways[2];
     restarted.signal("-KILL");
-    eventually("it has ended", async || !restarted.is_alive()).await;
+    eventually("the box has ended", async || !restarted.is_alive()).await;
     wait_until(known_at_ms + DOWNTIME_MS).await;
     versions[1..].iter().for_each(|version| fleet.site.name_weights(MODEL, *version));
     restarted.start_if_ended();
@@ -368,9 +373,9 @@
     fleet.assert_served_again(restarted).await;
 }
 
-/// Orders that are carried out seconds late, or not at all, are given again and again. While
-/// the pause between them grew to 4.6 s, engines that carried out an older one in between had
-/// the newest version 18.9 s after its naming still to come.
+/// Orders that are carried out seconds late, or not at all, are repeated. When the pause between
+/// repeats grew to 4.6 s, engines that carried out an older order in between still lacked the
+/// newest version 18.9 s after it was named.
 #[tokio::test]
 async fn late_orders_repeated() {
     let fleet = fleet(site_with_limits(1000, APPLY_MS).await, 1, 4).await;
@@ -384,8 +389,8 @@
     }
 }
 
-/// Engines that answer no order, or load for ever, hold up no other, though they are more
-/// than load at once.
+/// Engines that answer no order, or never end a load, hold up no other engine, even if there are
+/// more of them than may load at once.
 #[rstest]
 #[case::few_silent(8, 3, Engine::hang)]
 #[case::many_silent(10, 6, Engine::hang)]
