--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -1,10 +1,9 @@
-//! Decides for one model in one data hall: who runs next, and where.
+//! Scheduler of one model in one data hall: decides which request runs next, and on which engine.
 //!
-//! The dispatcher counts exactly what it has granted, queues the rest by fair
-//! shares, and looks after kept context. Each box can act as the dispatcher
-//! of each model; the owner of the model in the hall does, and any other box
-//! for itself when the owner does not answer. A place whose holder does not
-//! renew it falls free.
+//! The dispatcher keeps an exact count of the slots that it has granted, queues further requests by
+//! fair shares, and manages stored context. Every box can act as the dispatcher of every model.
+//! Normally the model's owner in the hall does; any other box does so for its own requests when the
+//! owner does not answer. A slot whose holder does not renew its grant is freed.
 
 mod slots;
 
@@ -21,46 +20,46 @@
 use crate::slot_request::{SlotEnd, SlotReport, SlotRequest, SlotRequestId, SlotResponse};
 use crate::throughput::Throughput;
 
-/// Shortest time to come back after an overload.
+/// Lower bound of the retry time suggested after an overload.
 const MIN_RETRY_MS: u64 = 200;
-/// Longest time to come back after an overload.
+/// Upper bound of the retry time suggested after an overload.
 const MAX_RETRY_MS: u64 = 10_000;
-/// Time to come back when no engine serves the request now.
+/// Retry time suggested while no engine can serve the request.
 const NO_UPSTREAM_RETRY_MS: u64 = 2000;
 
-/// Policies in force.
+/// Scheduling policies.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policies {
-    /// Where a request runs.
+    /// Selects the engine.
     pub route: RoutePolicy,
-    /// Who is served next.
+    /// Selects the next request.
     pub share: SharePolicy,
 }
 
-/// What the dispatcher wants done.
+/// A side effect that the caller of the dispatcher carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Answer an ask.
+    /// Respond to a slot request.
     Respond { to: SlotRequestId, response: SlotResponse },
     /// Write context to a store.
     Export(Export),
 }
 
-/// The dispatcher of one model in one data hall.
+/// Schedules the requests of one model in one data hall.
 pub struct Dispatcher {
     policies: Policies,
-    /// The engines.
+    /// The engines of the model.
     pub fleet: Fleet,
     queue: ShareQueue<SlotRequest>,
     running: HashMap<SlotRequestId, RunningRequest>,
     throughput: Throughput,
-    /// Kept context.
+    /// Context in stores, and what engines are estimated to have cached.
     pub context: ContextManager,
     selections: usize,
 }
 
 impl Dispatcher {
-    /// Starts with nothing running.
+    /// Creates a dispatcher without running requests.
     #[must_use]
     pub fn new(policies: Policies, engines: Vec<Engine>, context: ContextManager) -> Self {
         Self {
@@ -74,32 +73,32 @@
         }
     }
 
-    /// Takes in an engine's own report, `None` when it did not answer.
+    /// Processes an engine's status report, `None` when it did not answer.
     pub fn engine_report(&mut self, now_ms: u64, name: &str, report: Option<&EngineReport>) {
-        // With another version, an engine holds nothing of what it held.
+        // An engine's cached context is lost when it loads another version.
         if let Some(engine) = self.fleet.engine_report(now_ms, name, report) {
             self.context.directory.forget_engine(engine_index(engine));
         }
     }
 
-    /// Number of asks that wait.
+    /// Number of queued slot requests.
     #[must_use]
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Number of places in use.
+    /// Number of slots in use.
     #[must_use]
     pub fn slots_in_use(&self) -> usize {
         self.running.len()
     }
 
-    /// Work served over share, by account.
+    /// Virtual token counter of each account: work served, divided by the account's share.
     pub fn virtual_tokens(&self) -> impl Iterator<Item = (&str, f64)> {
         self.queue.virtual_tokens()
     }
 
-    /// Takes an ask.
+    /// Grants a slot, queues the request, or refuses it.
     pub fn request_slot(&mut self, now_ms: u64, slot_request: SlotRequest) -> Vec<Action> {
         if let Some(response) = self.known_response(&slot_request.id) {
             return vec![Action::Respond { to: slot_request.id, response }];
@@ -130,7 +129,7 @@
         actions
     }
 
-    /// The verdict on an ask that came before: its answer may have been lost.
+    /// The response to a repeated slot request: the first response may have been lost.
     fn known_response(&self, id: &SlotRequestId) -> Option<SlotResponse> {
         if let Some(running) = self.running.get(id) {
             return Some(SlotResponse::Granted(running.grant.clone()));
@@ -138,7 +137,7 @@
         self.queue.contains(|queued| queued.id == *id).then_some(SlotResponse::Queued)
     }
 
-    /// Takes a report on a place.
+    /// Processes a report on a granted slot.
     pub fn report(&mut self, now_ms: u64, report: &SlotReport) -> Vec<Action> {
         match report {
             SlotReport::Imported { id, imported } => self.record_import(now_ms, id, imported),
@@ -153,12 +152,12 @@
         Vec::new()
     }
 
-    /// Drops an ask that waits.
+    /// Removes a slot request from the queue.
     pub fn withdraw(&mut self, id: &SlotRequestId) {
         self.queue.remove_where(|queued| queued.item.id == *id);
     }
 
-    /// Does what is due: places fall free, waiting asks are placed or refused.
+    /// Frees slots whose grants have expired, and grants or refuses queued requests.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         let expired = self.running.iter().filter(|(_, running)| running.expires_at_ms <= now_ms);
         for id in expired.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
@@ -197,7 +196,7 @@
         Some(Refusal::not_run(Reason::Overloaded).retry_at(now_ms + retry_ms))
     }
 
-    /// How long the ask would wait for a place, by the work ahead of it.
+    /// Estimated time until the request gets a slot, from the work queued before it.
     fn expected_wait_ms(&self, slot_request: &SlotRequest) -> u64 {
         let tokens_ahead = self.queue.tokens_ahead(&slot_request.scope.account, slot_request.share);
         self.throughput.time_ms(tokens_ahead)
--- a/src/dispatcher/slots.rs
+++ b/src/dispatcher/slots.rs
@@ -1,4 +1,4 @@
-//! Places at engines: given to those who wait, followed, and freed.
+//! Slots on engines: granting, tracking and freeing them.
 
 use crate::context_manager::ExportSource;
 use crate::dispatcher::{Action, Dispatcher, engine_index};
@@ -7,19 +7,20 @@
 use crate::share::GENERATED_TOKEN_WEIGHT;
 use crate::slot_request::{Grant, ImportReport, SlotEnd, SlotRequest, SlotRequestId, SlotResponse};
 
-/// Time for which a place is held without a renewal.
+/// Time after which a grant expires unless it is renewed.
 pub const GRANT_TTL_MS: u64 = 4000;
-/// Tokens that an engine may hold less than believed, for its block size.
+/// Tokens by which an engine's cache may fall short of the estimate and still count as a hit:
+/// engines cache whole prefix blocks.
 const HIT_SLACK_TOKENS: u32 = 256;
 
-/// What an engine is believed to hold of a prompt, and how deep in its cache.
+/// Part of a prompt that an engine is estimated to have cached, and its depth in the cache.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedPrefix {
     tokens: u32,
     depth_tokens: u64,
 }
 
-/// A place in use.
+/// A request that holds a slot.
 pub(super) struct RunningRequest {
     pub(super) slot_request: SlotRequest,
     pub(super) grant: Grant,
@@ -94,7 +95,7 @@
         grant
     }
 
-    /// Counts a place as used, and notes what the engine will hold.
+    /// Counts a slot as used, and records what the engine will have cached.
     fn take_slot(
         &mut self,
         now_ms: u64,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Tokens of the prompt that each engine is believed to hold.
+    /// Estimated tokens of the prompt in the cache of each engine.
     fn cached_prefixes(&self, slot_request: &SlotRequest) -> Vec<CachedPrefix> {
         let mut cached = vec![CachedPrefix::default(); self.fleet.engines.len()];
         for (record, common) in self.context.directory.matching(&slot_request.prefix) {
@@ -194,7 +195,7 @@
         actions
     }
 
-    /// Frees a place and settles its account.
+    /// Frees a slot and charges the account for the work done.
     pub(super) fn free_slot(
         &mut self,
         now_ms: u64,
