--- a/src/context_manager/eviction.rs
+++ b/src/context_manager/eviction.rs
@@ -14,10 +14,10 @@
 /// Fill of a store down to which blocks are freed, in percent.
 const LOW_FILL_PERCENT: u64 = 85;
 /// Backlog of a link above which nothing is written over it.
-const MAX_WRITE_BACKLOG_MS: f64 = 100.0;
+const MAX_EXPORT_BACKLOG_MS: f64 = 100.0;
 
 impl ContextManager {
-    pub(super) fn make_room(&mut self, now_ms: u64, name: &str) {
+    pub(super) fn evict_blocks(&mut self, now_ms: u64, name: &str) {
         let capacity_bytes = self.stores[name].capacity_bytes;
         // What is being freed needs no more room made for it.
         let mut used_bytes = self.blocks.live_bytes(name);
@@ -26,38 +26,44 @@
         } else {
             u64::MAX
         };
-        let mut kept = self.kept_in(name, capacity_bytes);
-        kept.sort_by(|left, right| {
-            let rank = |one: &KeptBlock| {
-                retention::rank(self.policy, now_ms, &one.kept, &self.directory.prior(&one.account))
+        let mut candidates = self.eviction_candidates(name, capacity_bytes);
+        candidates.sort_by(|left, right| {
+            let rank = |candidate: &EvictionCandidate| {
+                retention::rank(
+                    self.policy,
+                    now_ms,
+                    &candidate.block_stats,
+                    &self.directory.prior(&candidate.account),
+                )
             };
             rank(left).total_cmp(&rank(right))
         });
-        for one in kept {
-            let expired = retention::expired(self.policy, now_ms, &one.kept);
-            if expired || used_bytes > target_bytes {
-                used_bytes -= one.kept.size_bytes;
-                self.drop_block(&one.id, one.root);
+        for candidate in candidates {
+            let is_expired = retention::expired(self.policy, now_ms, &candidate.block_stats);
+            if is_expired || used_bytes > target_bytes {
+                used_bytes -= candidate.block_stats.size_bytes;
+                self.drop_block(&candidate.id, candidate.root);
             }
         }
     }
 
-    fn kept_in(&self, name: &str, capacity_bytes: u64) -> Vec<KeptBlock> {
+    fn eviction_candidates(&self, name: &str, capacity_bytes: u64) -> Vec<EvictionCandidate> {
         let mut by_account: BTreeMap<&str, u64> = BTreeMap::new();
         for (_, block) in self.blocks.iter().filter(|(_, block)| block.store == name) {
             *by_account.entry(&block.scope.account).or_default() += block.size_bytes;
         }
         let share_of = |account: &str| self.shares.get(account).copied().unwrap_or(1.0);
         let all_shares: f64 = by_account.keys().map(|account| share_of(account)).sum();
-        let over = |account: &str| {
+        let is_over_share = |account: &str| {
             let fair_bytes = to_f64(capacity_bytes) * share_of(account) / all_shares.max(1e-6);
             to_f64(by_account.get(account).copied().unwrap_or(0)) > fair_bytes
         };
         let records = self.directory.iter().filter_map(|record| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.store == name)?;
-            let sealed = matches!(block.phase, Phase::Sealed(_));
-            sealed.then(|| KeptBlock::new(id, record, block, over(&record.account)))
+            let is_sealed = matches!(block.phase, Phase::Sealed(_));
+            is_sealed
+                .then(|| EvictionCandidate::new(id, record, block, is_over_share(&record.account)))
         });
         records.collect()
     }
@@ -67,27 +73,27 @@
         self.directory.forget_block(root, id);
     }
 
-    pub(super) fn store_for(&self, now_ms: u64, root: u64, size_bytes: u64) -> Option<String> {
-        let fit = self.stores.iter().filter(|(name, store)| {
+    pub(super) fn select_store(&self, now_ms: u64, root: u64, size_bytes: u64) -> Option<String> {
+        let usable_stores = self.stores.iter().filter(|(name, store)| {
             let fits = self.blocks.used_bytes(name) + size_bytes <= store.capacity_bytes;
-            let calm = store.backlog_ms(now_ms) <= MAX_WRITE_BACKLOG_MS;
-            fits && calm && now_ms >= store.cooldown_until_ms
+            let is_link_free = store.backlog_ms(now_ms) <= MAX_EXPORT_BACKLOG_MS;
+            fits && is_link_free && now_ms >= store.cooldown_until_ms
         });
-        owner(&root.to_string(), fit.map(|(name, _)| name.as_str())).map(str::to_owned)
+        owner(&root.to_string(), usable_stores.map(|(name, _)| name.as_str())).map(str::to_owned)
     }
 }
 
 /// A block that may be freed.
-struct KeptBlock {
+struct EvictionCandidate {
     id: BlockId,
     account: String,
     root: u64,
-    kept: BlockStats,
+    block_stats: BlockStats,
 }
 
-impl KeptBlock {
+impl EvictionCandidate {
     fn new(id: &BlockId, record: &PromptRecord, block: &Block, over_share: bool) -> Self {
-        let kept = BlockStats {
+        let block_stats = BlockStats {
             reuse: record.reuse,
             worthless_at_ms: record.worthless_at_ms,
             saved_ms: f64::from(block.prefix_end.tokens),
@@ -95,6 +101,6 @@
             over_share,
         };
         let (account, root) = (record.account.clone(), record.prefix.root);
-        Self { id: id.clone(), account, root, kept }
+        Self { id: id.clone(), account, root, block_stats }
     }
 }
--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -19,19 +19,19 @@
 use crate::store::{Store, ceil_ms, to_f64};
 
 /// Least context worth a block, in tokens.
-const LEAST_BLOCK_TOKENS: u32 = 512;
+const MIN_BLOCK_TOKENS: u32 = 512;
 /// Time in which a write must be done.
-const WRITE_TIMEOUT_MS: u64 = 10_000;
+const EXPORT_TIMEOUT_MS: u64 = 10_000;
 /// Time for which a write may be put off.
-const PUT_OFF_MS: u64 = 3000;
+const MAX_DEFERRAL_MS: u64 = 3000;
 /// Writes put off at most.
-const MAX_PUT_OFF: usize = 64;
+const MAX_DEFERRED_EXPORTS: usize = 64;
 /// An import may take so many times its estimate, and the slack.
-const IMPORT_PATIENCE: f64 = 2.0;
+const IMPORT_TIMEOUT_FACTOR: f64 = 2.0;
 /// Slack of an import's deadline.
-const IMPORT_SLACK_MS: f64 = 20.0;
+const IMPORT_TIMEOUT_SLACK_MS: f64 = 20.0;
 /// Time for which a block is pinned past its import's deadline.
-const PIN_EXTRA_MS: u64 = 5000;
+const PIN_AFTER_DEADLINE_MS: u64 = 5000;
 
 /// What a block says of itself, for dispatchers that come after.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -146,16 +146,22 @@
 
     /// The best kept block for a prompt, and what bringing it takes.
     #[must_use]
-    pub fn best_import(&self, now_ms: u64, ask: &SlotRequest) -> Option<(BlockId, ImportEstimate)> {
-        let offers = self.directory.matching(&ask.prefix).filter_map(|(record, common)| {
-            let id = record.block.as_ref()?;
-            let block = self.blocks.get(id).filter(|block| block.scope == ask.scope)?;
-            let store = self.stores.get(&block.store)?;
-            let usable =
-                matches!(block.phase, Phase::Sealed(_)) && now_ms >= store.cooldown_until_ms;
-            usable.then(|| (id.clone(), store.import_offer(now_ms, block, common)))
-        });
-        offers.max_by_key(|(_, offer)| offer.tokens)
+    pub fn best_import(
+        &self,
+        now_ms: u64,
+        slot_request: &SlotRequest,
+    ) -> Option<(BlockId, ImportEstimate)> {
+        let estimates =
+            self.directory.matching(&slot_request.prefix).filter_map(|(record, common)| {
+                let id = record.block.as_ref()?;
+                let block =
+                    self.blocks.get(id).filter(|block| block.scope == slot_request.scope)?;
+                let store = self.stores.get(&block.store)?;
+                let is_usable =
+                    matches!(block.phase, Phase::Sealed(_)) && now_ms >= store.cooldown_until_ms;
+                is_usable.then(|| (id.clone(), store.import_offer(now_ms, block, common)))
+            });
+        estimates.max_by_key(|(_, estimate)| estimate.tokens)
     }
 
     /// Plans the import of a block that was offered; it spares `spared_ms` of reading.
@@ -164,42 +170,42 @@
         now_ms: u64,
         scope: &Scope,
         id: &BlockId,
-        offer: &ImportEstimate,
-        spared_ms: f64,
+        estimate: &ImportEstimate,
+        saved_ms: f64,
     ) -> Option<Import> {
         // Given up before it is late by what reading takes, it would cost more than it may.
-        let least_ms = offer.link_ms * IMPORT_PATIENCE + IMPORT_SLACK_MS;
-        let patience_ms = ceil_ms(least_ms.max(offer.link_ms + spared_ms));
-        let deadline_ms = now_ms + patience_ms;
-        let pinned_until_ms = deadline_ms + PIN_EXTRA_MS;
+        let min_timeout_ms = estimate.link_ms * IMPORT_TIMEOUT_FACTOR + IMPORT_TIMEOUT_SLACK_MS;
+        let timeout_ms = ceil_ms(min_timeout_ms.max(estimate.link_ms + saved_ms));
+        let deadline_ms = now_ms + timeout_ms;
+        let pinned_until_ms = deadline_ms + PIN_AFTER_DEADLINE_MS;
         let (block, seal) = self.blocks.pin(id, scope, pinned_until_ms)?;
         let store = self.stores.get_mut(&block.store)?;
-        store.plan_transfer(now_ms, offer.transfer_ms);
+        store.plan_transfer(now_ms, estimate.transfer_ms);
         Some(Import {
             block: id.clone(),
-            tokens: offer.tokens,
+            tokens: estimate.tokens,
             store_url: store.url.clone(),
             seal: seal.clone(),
-            expected_ms: u32::try_from(ceil_ms(offer.link_ms)).unwrap_or(u32::MAX),
+            expected_ms: u32::try_from(ceil_ms(estimate.link_ms)).unwrap_or(u32::MAX),
             deadline_ms,
             pinned_until_ms,
         })
     }
 
     /// Takes in how an import went.
-    pub fn record_import(&mut self, now_ms: u64, course: &PrefixChain, imported: &ImportReport) {
-        let Some(block) = self.blocks.get(&imported.block) else {
+    pub fn record_import(&mut self, now_ms: u64, prefix: &PrefixChain, report: &ImportReport) {
+        let Some(block) = self.blocks.get(&report.block) else {
             return;
         };
         let Some(store) = self.stores.get_mut(&block.store) else {
             return;
         };
-        match imported.result {
-            ImportResult::Done => store.update_rate(imported.expected_ms, imported.took_ms),
+        match report.result {
+            ImportResult::Done => store.update_rate(report.expected_ms, report.took_ms),
             ImportResult::TimedOut => store.mark_failed(now_ms),
             ImportResult::NotFound => {
-                self.blocks.free(&imported.block);
-                self.directory.forget_block(course.root, &imported.block);
+                self.blocks.free(&report.block);
+                self.directory.forget_block(prefix.root, &report.block);
             }
         }
     }
@@ -207,13 +213,13 @@
     /// Plans to write the context of a finished request, if it is worth it.
     /// While the links are busy it is put off for a little.
     pub fn plan_export(&mut self, now_ms: u64, source: ExportSource) -> Option<Export> {
-        let size_bytes = self.worth_writing(now_ms, &source)?;
+        let size_bytes = self.export_size_bytes(now_ms, &source)?;
         let root = source.slot_request.prefix.root;
-        if let Some(store) = self.store_for(now_ms, root, size_bytes) {
+        if let Some(store) = self.select_store(now_ms, root, size_bytes) {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
-        if self.deferred_exports.len() < MAX_PUT_OFF {
-            self.deferred_exports.push_back((now_ms + PUT_OFF_MS, source));
+        if self.deferred_exports.len() < MAX_DEFERRED_EXPORTS {
+            self.deferred_exports.push_back((now_ms + MAX_DEFERRAL_MS, source));
         }
         None
     }
@@ -224,8 +230,9 @@
         if until_ms <= now_ms {
             return None;
         }
-        let size_bytes = self.worth_writing(now_ms, &source)?;
-        if let Some(store) = self.store_for(now_ms, source.slot_request.prefix.root, size_bytes) {
+        let size_bytes = self.export_size_bytes(now_ms, &source)?;
+        if let Some(store) = self.select_store(now_ms, source.slot_request.prefix.root, size_bytes)
+        {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
         self.deferred_exports.push_front((until_ms, source));
@@ -233,26 +240,29 @@
     }
 
     /// Size of the block that would be written; none when it is not worth it.
-    fn worth_writing(&mut self, now_ms: u64, source: &ExportSource) -> Option<u64> {
-        let ExportSource { slot_request: ask, prefill_ms_per_token: token_ms, .. } = source;
-        let mark = ask.prefix.last().filter(|mark| mark.tokens >= LEAST_BLOCK_TOKENS)?;
-        self.shares.insert(ask.scope.account.clone(), ask.share);
-        let record = self.directory.record_mut(&ask.prefix)?;
+    fn export_size_bytes(&mut self, now_ms: u64, source: &ExportSource) -> Option<u64> {
+        let ExportSource { slot_request, prefill_ms_per_token, .. } = source;
+        let prefix_end = slot_request
+            .prefix
+            .last()
+            .filter(|prefix_end| prefix_end.tokens >= MIN_BLOCK_TOKENS)?;
+        self.shares.insert(slot_request.scope.account.clone(), slot_request.share);
+        let record = self.directory.record_mut(&slot_request.prefix)?;
         if record.block.is_some() {
             return None;
         }
-        let size_bytes = u64::from(mark.tokens) * self.token_bytes;
-        let kept = BlockStats {
+        let size_bytes = u64::from(prefix_end.tokens) * self.token_bytes;
+        let block_stats = BlockStats {
             reuse: record.reuse,
             worthless_at_ms: record.worthless_at_ms,
-            saved_ms: f64::from(mark.tokens) * token_ms,
+            saved_ms: f64::from(prefix_end.tokens) * prefill_ms_per_token,
             size_bytes,
             over_share: false,
         };
         let rates = self.stores.values().map(|store| store.bytes_per_ms);
         let transfer_ms = to_f64(size_bytes) / rates.fold(1.0, f64::max);
-        let prior = self.directory.prior(&ask.scope.account);
-        retention::worth_exporting(self.policy, now_ms, &kept, &prior, transfer_ms)
+        let prior = self.directory.prior(&slot_request.scope.account);
+        retention::worth_exporting(self.policy, now_ms, &block_stats, &prior, transfer_ms)
             .then_some(size_bytes)
     }
 
@@ -263,64 +273,64 @@
         store_name: &str,
         size_bytes: u64,
     ) -> Option<Export> {
-        let ExportSource { slot_request: ask, engine_url, request_id: request, .. } = source;
+        let ExportSource { slot_request, engine_url, request_id, .. } = source;
         let store = self.stores.get_mut(store_name)?;
         store.plan_transfer(now_ms, to_f64(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
-        let mark = ask.prefix.last()?;
-        let id = BlockId::new(&ask.scope, mark, &self.writer, self.next_nonce);
+        let prefix_end = slot_request.prefix.last()?;
+        let id = BlockId::new(&slot_request.scope, prefix_end, &self.writer, self.next_nonce);
         self.next_nonce += 1;
         let block = Block {
-            scope: ask.scope.clone(),
+            scope: slot_request.scope.clone(),
             store: store_name.to_owned(),
-            prefix_end: mark,
+            prefix_end,
             size_bytes,
-            phase: Phase::Writing { deadline_ms: now_ms + WRITE_TIMEOUT_MS },
+            phase: Phase::Writing { deadline_ms: now_ms + EXPORT_TIMEOUT_MS },
             pinned_until_ms: 0,
         };
         self.blocks.begin_write(&id, block);
-        self.directory.record_mut(&ask.prefix)?.block = Some(id.clone());
-        let SlotRequest { scope, prefix: course, worthless_at_ms, .. } = ask;
-        let meta = BlockMeta { scope, prefix: course, worthless_at_ms };
-        Some(Export { block: id, engine_url, request_id: request, store_url, meta })
+        self.directory.record_mut(&slot_request.prefix)?.block = Some(id.clone());
+        let SlotRequest { scope, prefix, worthless_at_ms, .. } = slot_request;
+        let meta = BlockMeta { scope, prefix, worthless_at_ms };
+        Some(Export { block: id, engine_url, request_id, store_url, meta })
     }
 
     /// Takes in how a write ended.
-    pub fn record_export(&mut self, now_ms: u64, export: &Export, written: ExportResult) {
-        let failed = written == ExportResult::Failed;
-        let sealed = match written {
+    pub fn record_export(&mut self, now_ms: u64, export: &Export, result: ExportResult) {
+        let is_failed = result == ExportResult::Failed;
+        let is_sealed = match result {
             ExportResult::Sealed(seal, size_bytes) => {
                 self.blocks.seal(&export.block, seal, size_bytes)
             }
             ExportResult::ContextGone | ExportResult::Failed => false,
         };
-        if sealed {
+        if is_sealed {
             return;
         }
         self.drop_block(&export.block, export.meta.prefix.root);
         let store = self.stores.values_mut().find(|store| store.url == export.store_url);
-        if let Some(store) = store.filter(|_| failed) {
+        if let Some(store) = store.filter(|_| is_failed) {
             store.mark_failed(now_ms);
         }
     }
 
     /// Takes over a block that a store lists.
-    pub fn adopt_block(&mut self, now_ms: u64, store: &str, listed: StoredBlock) {
-        let Some(mark) = listed.meta.prefix.last() else {
+    pub fn adopt_block(&mut self, now_ms: u64, store: &str, stored: StoredBlock) {
+        let Some(prefix_end) = stored.meta.prefix.last() else {
             return;
         };
-        let meta = listed.meta;
+        let meta = stored.meta;
         let block = Block {
             scope: meta.scope.clone(),
             store: store.to_owned(),
-            prefix_end: mark,
-            size_bytes: listed.size_bytes,
-            phase: Phase::Sealed(listed.seal),
+            prefix_end,
+            size_bytes: stored.size_bytes,
+            phase: Phase::Sealed(stored.seal),
             pinned_until_ms: now_ms,
         };
-        self.blocks.adopt(&listed.id, block);
+        self.blocks.adopt(&stored.id, block);
         let account = &meta.scope.account;
-        self.directory.adopt_block(now_ms, account, &meta.prefix, meta.worthless_at_ms, &listed.id);
+        self.directory.adopt_block(now_ms, account, &meta.prefix, meta.worthless_at_ms, &stored.id);
     }
 
     /// Forgets a block that was deleted.
@@ -332,7 +342,7 @@
     pub fn tick(&mut self, now_ms: u64) -> Vec<BlockDeletion> {
         self.blocks.expire_writes(now_ms);
         for name in self.stores.keys().cloned().collect::<Vec<_>>() {
-            self.make_room(now_ms, &name);
+            self.evict_blocks(now_ms, &name);
         }
         for store in self.stores.values_mut() {
             store.restore_rate();
