--- a/src/context_manager/eviction.rs
+++ b/src/context_manager/eviction.rs
@@ -1,4 +1,4 @@
-//! Room in stores: what is freed for what, and where a block goes.
+//! Space in stores: which blocks are evicted, and which store gets a new block.
 
 use std::collections::BTreeMap;
 
@@ -9,17 +9,17 @@
 use crate::retention::{self, BlockStats};
 use crate::store::to_f64;
 
-/// Fill of a store above which blocks are freed, in percent.
+/// Fill level of a store above which blocks are evicted, in percent.
 const HIGH_FILL_PERCENT: u64 = 92;
-/// Fill of a store down to which blocks are freed, in percent.
+/// Fill level of a store down to which blocks are evicted, in percent.
 const LOW_FILL_PERCENT: u64 = 85;
-/// Backlog of a link above which nothing is written over it.
+/// Backlog of a link above which no exports use it.
 const MAX_EXPORT_BACKLOG_MS: f64 = 100.0;
 
 impl ContextManager {
     pub(super) fn evict_blocks(&mut self, now_ms: u64, name: &str) {
         let capacity_bytes = self.stores[name].capacity_bytes;
-        // What is being freed needs no more room made for it.
+        // Space of blocks that are being deleted needs no further evictions.
         let mut used_bytes = self.blocks.live_bytes(name);
         let target_bytes = if used_bytes > capacity_bytes / 100 * HIGH_FILL_PERCENT {
             capacity_bytes / 100 * LOW_FILL_PERCENT
@@ -83,7 +83,7 @@
     }
 }
 
-/// A block that may be freed.
+/// A candidate for eviction.
 struct EvictionCandidate {
     id: BlockId,
     account: String,
--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -1,8 +1,8 @@
-//! Kept context of one dispatcher: what to write, bring and free.
+//! Stored context of one dispatcher: which blocks to export, import and delete.
 //!
-//! Brings together the directory of prompts, the life of blocks and the
-//! policy of their worth. Transfers are planned against each store's link, so
-//! that an offer includes what the link has to do before.
+//! Combines the directory of prompts, the states of the blocks and the retention policy. Transfers
+//! are scheduled on each store's link, so that the estimate of an import includes the transfers
+//! scheduled before it.
 
 mod eviction;
 
@@ -18,99 +18,99 @@
 use crate::slot_request::{Import, ImportReport, ImportResult, SlotRequest};
 use crate::store::{Store, ceil_ms, to_f64};
 
-/// Least context worth a block, in tokens.
+/// Minimum size of a block, in tokens.
 const MIN_BLOCK_TOKENS: u32 = 512;
-/// Time in which a write must be done.
+/// Time limit of an export.
 const EXPORT_TIMEOUT_MS: u64 = 10_000;
-/// Time for which a write may be put off.
+/// Time for which an export may be deferred.
 const MAX_DEFERRAL_MS: u64 = 3000;
-/// Writes put off at most.
+/// Maximum number of deferred exports.
 const MAX_DEFERRED_EXPORTS: usize = 64;
-/// An import may take so many times its estimate, and the slack.
+/// Factor on an import's estimated time that gives its time limit, together with the slack.
 const IMPORT_TIMEOUT_FACTOR: f64 = 2.0;
-/// Slack of an import's deadline.
+/// Slack added to the time limit of an import.
 const IMPORT_TIMEOUT_SLACK_MS: f64 = 20.0;
-/// Time for which a block is pinned past its import's deadline.
+/// Time for which a block stays pinned after its import's deadline.
 const PIN_AFTER_DEADLINE_MS: u64 = 5000;
 
-/// What a block says of itself, for dispatchers that come after.
+/// Metadata stored with a block, for dispatchers that take the block over.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BlockMeta {
-    /// Whose context it is.
+    /// Account, model and weight version of the context.
     pub scope: Scope,
-    /// Course of its prompt.
+    /// Prefix chain of the prompt.
     #[serde(rename = "course")]
     pub prefix: PrefixChain,
-    /// When it is no longer worth keeping, in Unix milliseconds.
+    /// When the context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
 }
 
-/// A block that a store lists.
+/// A block in the listing of a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredBlock {
-    /// The block.
+    /// Id of the block.
     pub id: BlockId,
-    /// Its size as the store counts it.
+    /// Size as counted by the store.
     pub size_bytes: u64,
-    /// What its content must match.
+    /// Length and checksum of the content.
     pub seal: Seal,
-    /// What it says of itself.
+    /// Metadata of the block.
     pub meta: BlockMeta,
 }
 
-/// An order to write context to a store.
+/// An instruction to write context from an engine to a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Export {
-    /// The new block.
+    /// Id of the new block.
     pub block: BlockId,
-    /// Where the engine listens that holds the context.
+    /// URL of the engine that holds the context.
     pub engine_url: String,
-    /// Request whose context it is.
+    /// Id of the request whose context it is.
     pub request_id: String,
-    /// Where the store listens.
+    /// URL of the store.
     pub store_url: String,
-    /// What the block says of itself.
+    /// Metadata to store with the block.
     pub meta: BlockMeta,
 }
 
 /// Context that an engine holds after a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ExportSource {
-    /// The request.
+    /// The slot request that the engine has run.
     pub slot_request: SlotRequest,
-    /// Where the engine listens.
+    /// URL of the engine.
     pub engine_url: String,
-    /// The request's name at the engine.
+    /// Id of the request on the engine.
     pub request_id: String,
-    /// Time to prefill a token there.
+    /// Time to prefill one token on the engine, in milliseconds.
     pub prefill_ms_per_token: f64,
 }
 
-/// How a write ended.
+/// Result of an export.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExportResult {
-    /// It is sealed, and takes so many bytes.
+    /// The block is sealed and has this size in bytes.
     Sealed(Seal, u64),
-    /// The engine does not hold the context any more.
+    /// The engine no longer holds the context.
     ContextGone,
     /// The store or the engine failed.
     Failed,
 }
 
-/// An order to delete a block.
+/// An instruction to delete a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BlockDeletion {
-    /// The block.
+    /// Id of the block.
     pub block: BlockId,
-    /// Where its store listens.
+    /// URL of the store.
     pub store_url: String,
 }
 
-/// Kept context of one dispatcher.
+/// Manages the stored context of one dispatcher.
 #[derive(Debug)]
 pub struct ContextManager {
     policy: RetentionPolicy,
-    /// Known prompts.
+    /// Known prompts, with the locations of their context.
     pub directory: Directory,
     blocks: Blocks,
     stores: BTreeMap<String, Store>,
@@ -122,7 +122,7 @@
 }
 
 impl ContextManager {
-    /// Starts without knowledge of prompts or blocks.
+    /// Creates a manager without known prompts or blocks.
     #[must_use]
     pub fn new(
         policy: RetentionPolicy,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The best kept block for a prompt, and what bringing it takes.
+    /// The stored block that covers most of a prompt, with an estimate of its import.
     #[must_use]
     pub fn best_import(
         &self,
@@ -164,7 +164,7 @@
         estimates.max_by_key(|(_, estimate)| estimate.tokens)
     }
 
-    /// Plans the import of a block that was offered; it spares `spared_ms` of reading.
+    /// Schedules the import of a block, which saves `saved_ms` of prefill.
     pub fn plan_import(
         &mut self,
         now_ms: u64,
@@ -173,7 +173,8 @@
         estimate: &ImportEstimate,
         saved_ms: f64,
     ) -> Option<Import> {
-        // Given up before it is late by what reading takes, it would cost more than it may.
+        // Giving up before the import is late by the prefill time that it saves would cost more
+        // than waiting.
         let min_timeout_ms = estimate.link_ms * IMPORT_TIMEOUT_FACTOR + IMPORT_TIMEOUT_SLACK_MS;
         let timeout_ms = ceil_ms(min_timeout_ms.max(estimate.link_ms + saved_ms));
         let deadline_ms = now_ms + timeout_ms;
@@ -192,7 +193,7 @@
         })
     }
 
-    /// Takes in how an import went.
+    /// Processes the result of an import.
     pub fn record_import(&mut self, now_ms: u64, prefix: &PrefixChain, report: &ImportReport) {
         let Some(block) = self.blocks.get(&report.block) else {
             return;
@@ -210,8 +211,8 @@
         }
     }
 
-    /// Plans to write the context of a finished request, if it is worth it.
-    /// While the links are busy it is put off for a little.
+    /// Schedules an export of the context of a finished request if that is worthwhile. The export
+    /// is deferred while all links are busy.
     pub fn plan_export(&mut self, now_ms: u64, source: ExportSource) -> Option<Export> {
         let size_bytes = self.export_size_bytes(now_ms, &source)?;
         let root = source.slot_request.prefix.root;
@@ -224,7 +225,7 @@
         None
     }
 
-    /// Plans one of the writes that were put off.
+    /// Schedules the oldest deferred export, unless it has expired.
     pub fn plan_deferred_export(&mut self, now_ms: u64) -> Option<Export> {
         let (until_ms, source) = self.deferred_exports.pop_front()?;
         if until_ms <= now_ms {
@@ -239,7 +240,7 @@
         None
     }
 
-    /// Size of the block that would be written; none when it is not worth it.
+    /// Size of the block to export; `None` if the export is not worthwhile.
     fn export_size_bytes(&mut self, now_ms: u64, source: &ExportSource) -> Option<u64> {
         let ExportSource { slot_request, prefill_ms_per_token, .. } = source;
         let prefix_end = slot_request
@@ -295,7 +296,7 @@
         Some(Export { block: id, engine_url, request_id, store_url, meta })
     }
 
-    /// Takes in how a write ended.
+    /// Processes the result of an export.
     pub fn record_export(&mut self, now_ms: u64, export: &Export, result: ExportResult) {
         let is_failed = result == ExportResult::Failed;
         let is_sealed = match result {
@@ -314,7 +315,7 @@
         }
     }
 
-    /// Takes over a block that a store lists.
+    /// Adds a block that a store lists.
     pub fn adopt_block(&mut self, now_ms: u64, store: &str, stored: StoredBlock) {
         let Some(prefix_end) = stored.meta.prefix.last() else {
             return;
@@ -333,12 +334,12 @@
         self.directory.adopt_block(now_ms, account, &meta.prefix, meta.worthless_at_ms, &stored.id);
     }
 
-    /// Forgets a block that was deleted.
+    /// Removes a block that its store has deleted.
     pub fn record_deletion(&mut self, id: &BlockId) {
         self.blocks.remove(id);
     }
 
-    /// Frees what is expired or must give way; returns what to delete now.
+    /// Expires exports and evicts blocks; returns the blocks that can be deleted now.
     pub fn tick(&mut self, now_ms: u64) -> Vec<BlockDeletion> {
         self.blocks.expire_writes(now_ms);
         for name in self.stores.keys().cloned().collect::<Vec<_>>() {
