--- a/src/route.rs
+++ b/src/route.rs
@@ -87,19 +87,21 @@
 #[must_use]
 pub fn choose_engine(
     policy: RoutePolicy,
-    demand: &RoutingRequest,
+    request: &RoutingRequest,
     candidates: &[EngineCandidate],
-    turn: usize,
+    selections: usize,
 ) -> Option<RoutingChoice> {
     let best = match policy {
-        RoutePolicy::RoundRobin => candidates.get(turn % candidates.len().max(1)),
-        RoutePolicy::LeastOutstanding => candidates.iter().min_by_key(|one| one.outstanding),
-        RoutePolicy::LongestPrefix => candidates
-            .iter()
-            .min_by_key(|one| (std::cmp::Reverse(one.cached_tokens), one.outstanding)),
-        RoutePolicy::Cost => return cheapest(demand, candidates),
+        RoutePolicy::RoundRobin => candidates.get(selections % candidates.len().max(1)),
+        RoutePolicy::LeastOutstanding => {
+            candidates.iter().min_by_key(|candidate| candidate.outstanding)
+        }
+        RoutePolicy::LongestPrefix => candidates.iter().min_by_key(|candidate| {
+            (std::cmp::Reverse(candidate.cached_tokens), candidate.outstanding)
+        }),
+        RoutePolicy::Cost => return cheapest(request, candidates),
     };
-    best.map(|one| plan(demand, one).choice)
+    best.map(|candidate| plan(request, candidate).choice)
 }
 
 struct Plan {
@@ -107,35 +109,39 @@
     cost: f64,
 }
 
-fn cheapest(demand: &RoutingRequest, candidates: &[EngineCandidate]) -> Option<RoutingChoice> {
-    let plans = candidates.iter().map(|one| (plan(demand, one), one.outstanding));
+fn cheapest(request: &RoutingRequest, candidates: &[EngineCandidate]) -> Option<RoutingChoice> {
+    let plans =
+        candidates.iter().map(|candidate| (plan(request, candidate), candidate.outstanding));
     let best =
         plans.min_by(|left, right| left.0.cost.total_cmp(&right.0.cost).then(left.1.cmp(&right.1)));
     best.map(|(plan, _)| plan.choice)
 }
 
 /// The cheaper way to run on one engine: with or without the kept context.
-fn plan(demand: &RoutingRequest, candidate: &EngineCandidate) -> Plan {
-    let weights = &demand.weights;
-    let plain = recompute_ms(demand, candidate, candidate.cached_tokens);
-    let first_token = candidate.wait_ms + plain;
-    let cost = weights.first_token * first_token + weights.recompute * plain;
+fn plan(request: &RoutingRequest, candidate: &EngineCandidate) -> Plan {
+    let weights = &request.weights;
+    let full_ms = recompute_ms(request, candidate, candidate.cached_tokens);
+    let first_token_ms = candidate.wait_ms + full_ms;
+    let cost = weights.first_token * first_token_ms + weights.recompute * full_ms;
     let engine = candidate.engine;
-    let without =
-        Plan { choice: RoutingChoice { engine, import: false, recompute_ms: plain }, cost };
-    let Some(offer) = demand.import.filter(|offer| offer.tokens > candidate.cached_tokens) else {
-        return without;
+    let without_import =
+        Plan { choice: RoutingChoice { engine, import: false, recompute_ms: full_ms }, cost };
+    let Some(estimate) =
+        request.import.filter(|estimate| estimate.tokens > candidate.cached_tokens)
+    else {
+        return without_import;
     };
-    let rest = recompute_ms(demand, candidate, offer.tokens);
+    let rest_ms = recompute_ms(request, candidate, estimate.tokens);
     // The link works while the engine is still busy with others.
-    let first_token = candidate.wait_ms.max(offer.link_ms) + rest;
-    let cost = weights.first_token * first_token
-        + weights.recompute * rest
-        + weights.link * offer.transfer_ms;
-    let with = Plan { choice: RoutingChoice { engine, import: true, recompute_ms: rest }, cost };
-    if with.cost < without.cost { with } else { without }
+    let first_token_ms = candidate.wait_ms.max(estimate.link_ms) + rest_ms;
+    let cost = weights.first_token * first_token_ms
+        + weights.recompute * rest_ms
+        + weights.link * estimate.transfer_ms;
+    let with_import =
+        Plan { choice: RoutingChoice { engine, import: true, recompute_ms: rest_ms }, cost };
+    if with_import.cost < without_import.cost { with_import } else { without_import }
 }
 
-fn recompute_ms(demand: &RoutingRequest, candidate: &EngineCandidate, held_tokens: u32) -> f64 {
-    f64::from(demand.prompt_tokens.saturating_sub(held_tokens)) * candidate.prefill_ms_per_token
+fn recompute_ms(request: &RoutingRequest, candidate: &EngineCandidate, cached_tokens: u32) -> f64 {
+    f64::from(request.prompt_tokens.saturating_sub(cached_tokens)) * candidate.prefill_ms_per_token
 }
