--- a/src/route.rs
+++ b/src/route.rs
@@ -1,28 +1,28 @@
-//! Where a request runs.
+//! Selects the engine on which a request runs.
 //!
-//! For each engine that has a place free, the cost of running there is its
-//! wait, plus recomputing what it does not hold, or bringing kept context
-//! over a link and recomputing the rest, whichever is less. The account's
-//! weights say how much each part counts. The baselines look at less.
+//! For each engine with a free slot, the cost is the wait, plus the lesser of two ways to prefill:
+//! computing everything that the engine has not cached, or importing stored context over a link and
+//! computing the rest. The account's weights set how much each part counts. The baseline policies
+//! use fewer inputs.
 
 use crate::account::Weights;
 
-/// How an engine is chosen.
+/// How an engine is selected.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RoutePolicy {
-    /// Each in turn.
+    /// Each engine in turn.
     RoundRobin,
-    /// Least work in progress.
+    /// The engine with the fewest running requests.
     LeastOutstanding,
-    /// Most of the prompt in the engine's own cache.
+    /// The engine with the longest cached prefix of the prompt.
     LongestPrefix,
-    /// Least cost.
+    /// The engine with the lowest cost.
     #[default]
     Cost,
 }
 
 impl RoutePolicy {
-    /// The policy called `name` in the settings.
+    /// Parses the name used in the settings.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -35,55 +35,55 @@
     }
 }
 
-/// Kept context that could be brought to an engine.
+/// Estimated import of a stored block into an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ImportEstimate {
-    /// Tokens of the prompt that it covers.
+    /// Tokens of the prompt that the block covers.
     pub tokens: u32,
-    /// Time until it is there, with what the link has to do before.
+    /// Time until the import ends, including the transfers scheduled before it.
     pub link_ms: f64,
-    /// Time that the transfer itself takes the link.
+    /// Time of the transfer alone.
     pub transfer_ms: f64,
 }
 
 /// An engine that could run the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineCandidate {
-    /// Index of the engine at the caller's.
+    /// Index of the engine in the fleet.
     pub engine: usize,
-    /// Requests in progress there.
+    /// Requests that hold a slot of the engine.
     pub outstanding: u32,
-    /// Time until its prefill queue is done.
+    /// Time until the engine's prefill queue is empty.
     pub wait_ms: f64,
-    /// Time to prefill a token there.
+    /// Time to prefill one token on the engine, in milliseconds.
     pub prefill_ms_per_token: f64,
-    /// Tokens of the prompt in its cache.
+    /// Estimated tokens of the prompt in the engine's cache.
     pub cached_tokens: u32,
 }
 
-/// The request to place.
+/// Inputs of the decision that depend on the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingRequest {
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// The account's weights.
+    /// The account's weights in the cost.
     pub weights: Weights,
-    /// Kept context, if there is any.
+    /// Import of stored context, if there is a block for the prompt.
     pub import: Option<ImportEstimate>,
 }
 
-/// A place for the request.
+/// The selected engine and how to prefill there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingChoice {
-    /// The engine.
+    /// Index of the engine in the fleet.
     pub engine: usize,
-    /// Whether kept context is brought there first.
+    /// Whether to import stored context first.
     pub import: bool,
-    /// Expected time to prefill, in milliseconds.
+    /// Estimated prefill time, in milliseconds.
     pub recompute_ms: f64,
 }
 
-/// Chooses among `candidates`; `turn` counts the choices made so far.
+/// Selects one of `candidates`; `selections` counts the previous selections, for the round robin.
 #[must_use]
 pub fn choose_engine(
     policy: RoutePolicy,
@@ -117,7 +117,7 @@
     best.map(|(plan, _)| plan.choice)
 }
 
-/// The cheaper way to run on one engine: with or without the kept context.
+/// The cheaper of the two ways to run on an engine: with or without the import.
 fn plan(request: &RoutingRequest, candidate: &EngineCandidate) -> Plan {
     let weights = &request.weights;
     let full_ms = recompute_ms(request, candidate, candidate.cached_tokens);
@@ -132,7 +132,7 @@
         return without_import;
     };
     let rest_ms = recompute_ms(request, candidate, estimate.tokens);
-    // The link works while the engine is still busy with others.
+    // The import runs while the engine still works on other requests.
     let first_token_ms = candidate.wait_ms.max(estimate.link_ms) + rest_ms;
     let cost = weights.first_token * first_token_ms
         + weights.recompute * rest_ms
--- a/src/slot_request.rs
+++ b/src/slot_request.rs
@@ -1,4 +1,4 @@
-//! What an entry box and a dispatcher say to each other about a request.
+//! Messages between an entry box and a dispatcher about a slot for a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,135 +9,135 @@
 use crate::ticket::BoxRef;
 use crate::trace::TraceId;
 
-/// Names an ask; a repeated one is the same ask.
+/// Id of a slot request. The dispatcher treats a repeated id as the same request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotRequestId {
-    /// Box that entered the request.
+    /// Box that received the client's request.
     pub entry_box: BoxRef,
-    /// Number that the box never uses again.
+    /// Number that the box never reuses.
     pub number: u64,
 }
 
-/// Asks where a request may run.
+/// Requests a slot on an engine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SlotRequest {
-    /// Name of the ask.
+    /// Id of the slot request.
     pub id: SlotRequestId,
     /// Account, model and weight version of the request.
     pub scope: Scope,
-    /// Course of the prompt.
+    /// Prefix chain of the prompt.
     pub prefix: PrefixChain,
-    /// Length of the prompt.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// The account's share.
+    /// Share of the fleet that the account has.
     pub share: f64,
-    /// The account's priority.
+    /// Priority of the account.
     pub priority: i8,
-    /// The account's weights.
+    /// The account's weights in the routing cost.
     pub weights: Weights,
     /// When the context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
-    /// When the caller gives up, in Unix milliseconds.
+    /// When the client's deadline passes, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// Engines that failed this request already.
+    /// Engines on which this request has failed.
     pub excluded_engines: Vec<String>,
-    /// Refuse rather than let it wait.
+    /// Refuse the request if no slot is free now.
     pub no_wait: bool,
     /// Trace that the request belongs to.
     pub trace: TraceId,
 }
 
-/// Kept context to bring to the engine first.
+/// Stored context to import into the engine before the request runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Import {
-    /// The block.
+    /// Id of the block.
     pub block: BlockId,
-    /// Where the store listens.
+    /// URL of the store.
     pub store_url: String,
-    /// Tokens of it that the prompt has in common, which alone are used.
+    /// Tokens that the block and the prompt have in common; only these are used.
     pub tokens: u32,
-    /// What the block's content must match.
+    /// Length and checksum of the block's content.
     pub seal: Seal,
-    /// Time that it is expected to take.
+    /// Estimated time of the import.
     pub expected_ms: u32,
-    /// When to go on without it, in Unix milliseconds.
+    /// When the request runs without the import, in Unix milliseconds.
     pub deadline_ms: u64,
-    /// Until when the block is pinned, in Unix milliseconds.
+    /// End of the block's pin, in Unix milliseconds.
     pub pinned_until_ms: u64,
 }
 
-/// A place on an engine.
+/// A granted slot on an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// Name of the engine.
     pub engine: String,
-    /// Where it listens.
+    /// URL of the engine.
     pub url: String,
-    /// Kept context to bring there first.
+    /// Context to import before the request runs.
     pub import: Option<Import>,
 }
 
-/// Answer to an ask.
+/// Response to a slot request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotResponse {
-    /// Run it there.
+    /// The request may run in this slot.
     Granted(Grant),
-    /// It waits for its turn; another verdict follows.
+    /// The request is queued; another response follows.
     Queued,
-    /// It is refused; it has not run.
+    /// The request is refused and has not run.
     Refused(Refusal),
 }
 
-/// How the use of a place ended.
+/// Outcome of a granted slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotEnd {
-    /// The answer is whole.
+    /// The engine returned the complete answer.
     Finished,
-    /// The caller gave up.
+    /// The client cancelled the request or its deadline passed.
     Cancelled,
     /// The engine failed.
     Failed,
-    /// The engine refused, and has not run it.
+    /// The engine refused the request and has not run it.
     Refused,
-    /// The place was not used.
+    /// The slot was not used.
     Unused,
 }
 
-/// How the import of a block went.
+/// Result of an import with its timing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ImportReport {
-    /// The block.
+    /// Id of the block.
     pub block: BlockId,
-    /// Time that it was expected to take.
+    /// Estimated time.
     pub expected_ms: u32,
-    /// Time taken.
+    /// Actual time.
     pub took_ms: u32,
-    /// How it ended.
+    /// Result.
     pub result: ImportResult,
 }
 
-/// End of an import.
+/// Result of an import.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ImportResult {
-    /// The engine holds the block as it was sealed.
+    /// The engine holds the block, and its content matches the seal.
     Done,
-    /// The store does not hold it any more, or not as it was sealed.
+    /// The store no longer holds the block, or its content does not match the seal.
     NotFound,
-    /// It took too long, or the store cannot be reached.
+    /// The import exceeded its deadline, or the store is unreachable.
     TimedOut,
 }
 
-/// What an entry box reports on a place that it was given.
+/// A report of an entry box on its granted slots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotReport {
-    /// An import ended.
+    /// An import has ended.
     Imported { id: SlotRequestId, imported: ImportReport },
-    /// The prefill ended.
+    /// The prefill has ended.
     FirstToken { id: SlotRequestId, cached_tokens: u32, took_ms: u32 },
-    /// The place is free again.
+    /// The slot is no longer in use.
     Done { id: SlotRequestId, request_id: String, generated_tokens: u32, end: SlotEnd },
-    /// These places are still in use.
+    /// Renews the grants of slots in use.
     Renew { ids: Vec<SlotRequestId> },
 }
