--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -14,9 +14,9 @@
 /// Weight of a new measurement in a mean.
 const RATE_WEIGHT: f64 = 0.1;
 /// Prompt tokens from which on a measured prefill tells its rate.
-const LEAST_MEASURED_TOKENS: u32 = 512;
+const MIN_MEASURED_TOKENS: u32 = 512;
 /// Time for which requests wait for engines to load a new version.
-const VERSION_WAIT_MS: u64 = 15_000;
+const LOAD_WAIT_MS: u64 = 15_000;
 
 /// An engine.
 #[derive(Clone, Debug)]
@@ -78,7 +78,7 @@
     /// Whether a request that expects `version` may run here.
     #[must_use]
     pub fn serves(&self, version: &str) -> bool {
-        self.accepts_work() && self.version.as_deref().is_none_or(|own| own == version)
+        self.accepts_work() && self.version.as_deref().is_none_or(|reported| reported == version)
     }
 
     /// Whether a request may be sent now.
@@ -89,9 +89,10 @@
 
     /// Whether the ask may be sent here now.
     #[must_use]
-    pub fn can_run(&self, now_ms: u64, ask: &SlotRequest) -> bool {
-        let allowed = self.serves(&ask.scope.version) && !ask.excluded_engines.contains(&self.name);
-        allowed && self.has_capacity(now_ms)
+    pub fn can_run(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
+        let is_allowed = self.serves(&slot_request.scope.version)
+            && !slot_request.excluded_engines.contains(&self.name);
+        is_allowed && self.has_capacity(now_ms)
     }
 
     /// The engine as a candidate that holds `cached_tokens` of the prompt.
@@ -129,7 +130,7 @@
 
     /// Takes a measured prefill into the mean.
     pub fn record_prefill(&mut self, tokens: u32, took_ms: f64) {
-        if tokens >= LEAST_MEASURED_TOKENS {
+        if tokens >= MIN_MEASURED_TOKENS {
             self.prefill_ms_per_token +=
                 RATE_WEIGHT * (took_ms / f64::from(tokens) - self.prefill_ms_per_token);
         }
@@ -148,7 +149,7 @@
 #[derive(Debug)]
 struct WantedVersion {
     name: String,
-    awaited_until_ms: u64,
+    expected_until_ms: u64,
 }
 
 impl Fleet {
@@ -176,7 +177,7 @@
         engine.leaving = report.leaving;
         engine.loading = report.loading;
         // The first report changes nothing: what the engine was given before ran on it.
-        let changed = engine.version.as_ref().is_some_and(|own| *own != report.version);
+        let changed = engine.version.as_ref().is_some_and(|reported| *reported != report.version);
         if changed {
             engine.cache.clear();
         }
@@ -188,8 +189,8 @@
     pub fn set_version(&mut self, now_ms: u64, version: Option<&str>) {
         if self.version.as_ref().map(|wanted| wanted.name.as_str()) != version {
             let name = version.map(str::to_owned);
-            let awaited_until_ms = now_ms + VERSION_WAIT_MS;
-            self.version = name.map(|name| WantedVersion { name, awaited_until_ms });
+            let expected_until_ms = now_ms + LOAD_WAIT_MS;
+            self.version = name.map(|name| WantedVersion { name, expected_until_ms });
         }
     }
 
@@ -205,14 +206,16 @@
 
     /// Whether the ask can be served, now or after a load that is awaited.
     #[must_use]
-    pub fn can_serve(&self, now_ms: u64, ask: &SlotRequest) -> bool {
-        let awaited = self.version.as_ref().is_some_and(|wanted| {
-            wanted.name == ask.scope.version && now_ms < wanted.awaited_until_ms
+    pub fn can_serve(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
+        let is_load_expected = self.version.as_ref().is_some_and(|wanted| {
+            wanted.name == slot_request.scope.version && now_ms < wanted.expected_until_ms
         });
-        let allowed = |engine: &Engine| !ask.excluded_engines.contains(&engine.name);
-        let mut engines = self.engines.iter().filter(|engine| allowed(engine));
-        engines
-            .any(|engine| engine.serves(&ask.scope.version) || (awaited && engine.accepts_work()))
+        let is_allowed = |engine: &Engine| !slot_request.excluded_engines.contains(&engine.name);
+        let mut engines = self.engines.iter().filter(|engine| is_allowed(engine));
+        engines.any(|engine| {
+            engine.serves(&slot_request.scope.version)
+                || (is_load_expected && engine.accepts_work())
+        })
     }
 
     /// Marks which engines operators want to leave.
@@ -224,8 +227,8 @@
 
     /// Whether some engine has a place for the ask now.
     #[must_use]
-    pub fn has_free_slot(&self, now_ms: u64, ask: &SlotRequest) -> bool {
-        self.engines.iter().any(|engine| engine.can_run(now_ms, ask))
+    pub fn has_free_slot(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
+        self.engines.iter().any(|engine| engine.can_run(now_ms, slot_request))
     }
 
     /// Engines with a place for the ask; `cached` tells what each holds.
@@ -233,11 +236,11 @@
     pub fn candidates(
         &self,
         now_ms: u64,
-        ask: &SlotRequest,
+        slot_request: &SlotRequest,
         cached: impl Fn(usize) -> u32,
     ) -> Vec<EngineCandidate> {
         let all = self.engines.iter().enumerate();
-        let fit = all.filter(|(_, engine)| engine.can_run(now_ms, ask));
-        fit.map(|(index, engine)| engine.candidate(index, cached(index))).collect()
+        let with_free_slot = all.filter(|(_, engine)| engine.can_run(now_ms, slot_request));
+        with_free_slot.map(|(index, engine)| engine.candidate(index, cached(index))).collect()
     }
 }
--- a/src/share.rs
+++ b/src/share.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Head start of one step of priority, in tokens of a share of 1.
-const PRIORITY_CREDIT_TOKENS: f64 = 2048.0;
+const PRIORITY_STEP_TOKENS: f64 = 2048.0;
 /// Work of a generated token, in prompt tokens.
 pub const GENERATED_TOKEN_WEIGHT: f64 = 4.0;
 /// Smallest share used as a divisor.
@@ -51,7 +51,7 @@
 #[derive(Debug)]
 struct AccountQueue<T> {
     name: String,
-    waiting: VecDeque<QueuedItem<T>>,
+    items: VecDeque<QueuedItem<T>>,
     virtual_tokens: f64,
     share: f64,
     priority: i8,
@@ -59,17 +59,17 @@
 }
 
 impl<T> AccountQueue<T> {
-    fn active(&self) -> bool {
-        self.running > 0 || !self.waiting.is_empty()
+    fn is_active(&self) -> bool {
+        self.running > 0 || !self.items.is_empty()
     }
 
     fn rank(&self) -> f64 {
-        let credit = f64::from(self.priority) * PRIORITY_CREDIT_TOKENS;
-        self.virtual_tokens + credit / self.share.max(MIN_SHARE)
+        let offset = f64::from(self.priority) * PRIORITY_STEP_TOKENS;
+        self.virtual_tokens + offset / self.share.max(MIN_SHARE)
     }
 
     fn queued_tokens(&self) -> f64 {
-        self.waiting.iter().map(|waiting| waiting.work_tokens).sum()
+        self.items.iter().map(|queued| queued.work_tokens).sum()
     }
 }
 
@@ -82,8 +82,8 @@
     policy: SharePolicy,
     queues: Vec<AccountQueue<T>>,
     by_name: HashMap<String, usize>,
-    waiting: BTreeSet<usize>,
-    active: BTreeSet<usize>,
+    queued_accounts: BTreeSet<usize>,
+    active_accounts: BTreeSet<usize>,
     len: usize,
     arrivals: u64,
     floor_tokens: f64,
@@ -97,8 +97,8 @@
             policy,
             queues: Vec::new(),
             by_name: HashMap::new(),
-            waiting: BTreeSet::new(),
-            active: BTreeSet::new(),
+            queued_accounts: BTreeSet::new(),
+            active_accounts: BTreeSet::new(),
             len: 0,
             arrivals: 0,
             floor_tokens: 0.0,
@@ -128,24 +128,24 @@
         deadline_ms: u64,
     ) {
         let index = self.index_of(account);
-        if self.active.insert(index) {
+        if self.active_accounts.insert(index) {
             self.raise_to_floor(index);
         }
-        let waiting = QueuedItem { item, work_tokens, deadline_ms, arrival: self.arrivals };
+        let queued = QueuedItem { item, work_tokens, deadline_ms, arrival: self.arrivals };
         self.arrivals += 1;
         self.len += 1;
-        self.waiting.insert(index);
+        self.queued_accounts.insert(index);
         let queue = &mut self.queues[index];
         (queue.share, queue.priority) = (share, priority);
-        queue.waiting.push_back(waiting);
+        queue.items.push_back(queued);
     }
 
     /// Lifts an account that was away to the least active one.
     fn raise_to_floor(&mut self, index: usize) {
-        let others = self.active.iter().filter(|other| **other != index);
-        let tokens = others.map(|other| self.queues[*other].virtual_tokens);
-        if let Some(least) = tokens.min_by(f64::total_cmp) {
-            self.floor_tokens = self.floor_tokens.max(least);
+        let others = self.active_accounts.iter().filter(|active| **active != index);
+        let tokens = others.map(|active| self.queues[*active].virtual_tokens);
+        if let Some(lowest) = tokens.min_by(f64::total_cmp) {
+            self.floor_tokens = self.floor_tokens.max(lowest);
         }
         let queue = &mut self.queues[index];
         queue.virtual_tokens = queue.virtual_tokens.max(self.floor_tokens);
@@ -153,25 +153,25 @@
 
     /// Takes the next item that `fits`, and charges its account for it.
     pub fn pop(&mut self, fits: impl Fn(&T) -> bool) -> Option<(String, QueuedItem<T>)> {
-        let candidates = self.waiting.iter().filter_map(|index| {
+        let candidates = self.queued_accounts.iter().filter_map(|index| {
             let queue = &self.queues[*index];
-            let place = queue.waiting.iter().position(|waiting| fits(&waiting.item))?;
+            let position = queue.items.iter().position(|queued| fits(&queued.item))?;
             let rank = match self.policy {
                 SharePolicy::Fair => queue.rank(),
                 #[expect(clippy::cast_precision_loss, reason = "arrivals stay far below 2^52")]
-                SharePolicy::Fifo => queue.waiting[place].arrival as f64,
+                SharePolicy::Fifo => queue.items[position].arrival as f64,
             };
-            Some((rank, *index, place))
+            Some((rank, *index, position))
         });
-        let (_, index, place) = candidates.min_by(|left, right| left.0.total_cmp(&right.0))?;
+        let (_, index, position) = candidates.min_by(|left, right| left.0.total_cmp(&right.0))?;
         let queue = &mut self.queues[index];
-        let waiting = queue.waiting.remove(place)?;
+        let queued = queue.items.remove(position)?;
         queue.running += 1;
-        queue.virtual_tokens += waiting.work_tokens / queue.share.max(MIN_SHARE);
+        queue.virtual_tokens += queued.work_tokens / queue.share.max(MIN_SHARE);
         let name = queue.name.clone();
         self.len -= 1;
         self.drop_if_idle(index);
-        Some((name, waiting))
+        Some((name, queued))
     }
 
     /// Ends work of `account`; `extra_tokens` is what it took beyond the
@@ -188,23 +188,24 @@
 
     /// Whether an item that `wanted` says waits.
     pub fn contains(&self, wanted: impl Fn(&T) -> bool) -> bool {
-        let queues = self.waiting.iter().map(|index| &self.queues[*index]);
-        let mut all = queues.flat_map(|queue| &queue.waiting);
-        all.any(|waiting| wanted(&waiting.item))
+        let queues = self.queued_accounts.iter().map(|index| &self.queues[*index]);
+        let mut all = queues.flat_map(|queue| &queue.items);
+        all.any(|queued| wanted(&queued.item))
     }
 
     /// Takes out all items that `gone` says are not wanted any more.
-    pub fn remove_where(&mut self, mut gone: impl FnMut(&QueuedItem<T>) -> bool) -> Vec<T> {
-        let mut out = Vec::new();
-        for index in self.waiting.clone() {
-            let all = std::mem::take(&mut self.queues[index].waiting);
-            let (lost, kept): (Vec<_>, Vec<_>) = all.into_iter().partition(&mut gone);
-            self.queues[index].waiting = kept.into();
-            out.extend(lost.into_iter().map(|waiting| waiting.item));
+    pub fn remove_where(&mut self, mut is_unwanted: impl FnMut(&QueuedItem<T>) -> bool) -> Vec<T> {
+        let mut removed_items = Vec::new();
+        for index in self.queued_accounts.clone() {
+            let all = std::mem::take(&mut self.queues[index].items);
+            let (removed, remaining): (Vec<_>, Vec<_>) =
+                all.into_iter().partition(&mut is_unwanted);
+            self.queues[index].items = remaining.into();
+            removed_items.extend(removed.into_iter().map(|queued| queued.item));
             self.drop_if_idle(index);
         }
-        self.len -= out.len();
-        out
+        self.len -= removed_items.len();
+        removed_items
     }
 
     /// Work that goes before a new item of `account`, in tokens: its own, and
@@ -212,15 +213,15 @@
     #[must_use]
     pub fn tokens_ahead(&self, account: &str, share: f64) -> f64 {
         let own_index = self.by_name.get(account);
-        let queued = |index: &usize| self.queues[*index].queued_tokens();
+        let queued_tokens = |index: &usize| self.queues[*index].queued_tokens();
         if self.policy == SharePolicy::Fifo {
-            return self.waiting.iter().map(queued).sum();
+            return self.queued_accounts.iter().map(queued_tokens).sum();
         }
-        let own = own_index.map_or(0.0, queued);
+        let own = own_index.map_or(0.0, queued_tokens);
         let share = share.max(MIN_SHARE);
-        let others = self.waiting.iter().filter(|index| Some(*index) != own_index);
+        let others = self.queued_accounts.iter().filter(|index| Some(*index) != own_index);
         let meanwhile =
-            others.map(|index| queued(index).min(own * self.queues[*index].share / share));
+            others.map(|index| queued_tokens(index).min(own * self.queues[*index].share / share));
         own + meanwhile.sum::<f64>()
     }
 
@@ -237,7 +238,7 @@
         self.by_name.insert(account.to_owned(), index);
         self.queues.push(AccountQueue {
             name: account.to_owned(),
-            waiting: VecDeque::new(),
+            items: VecDeque::new(),
             virtual_tokens: 0.0,
             share: 1.0,
             priority: 0,
@@ -249,11 +250,11 @@
     /// Takes an account off the lists that it no longer belongs to.
     fn drop_if_idle(&mut self, index: usize) {
         let queue = &self.queues[index];
-        if queue.waiting.is_empty() {
-            self.waiting.remove(&index);
+        if queue.items.is_empty() {
+            self.queued_accounts.remove(&index);
         }
-        if !queue.active() {
-            self.active.remove(&index);
+        if !queue.is_active() {
+            self.active_accounts.remove(&index);
         }
     }
 }
