--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -5,51 +5,51 @@
 use crate::route::EngineCandidate;
 use crate::slot_request::SlotRequest;
 
-/// First wait after a failure.
+/// Cooldown after a first failure.
 const FIRST_COOLDOWN_MS: u64 = 500;
-/// Wait after a refusal.
+/// Cooldown after a refusal.
 const REFUSED_COOLDOWN_MS: u64 = 250;
-/// Longest wait after repeated failures.
+/// Upper bound of the cooldown after repeated failures.
 const MAX_COOLDOWN_MS: u64 = 15_000;
-/// Weight of a new measurement in a mean.
+/// Weight of a new measurement in the moving average.
 const RATE_WEIGHT: f64 = 0.1;
-/// Prompt tokens from which on a measured prefill tells its rate.
+/// Minimum number of prefilled tokens for a measurement to count.
 const MIN_MEASURED_TOKENS: u32 = 512;
 /// Time for which requests wait for engines to load a new version.
 const LOAD_WAIT_MS: u64 = 15_000;
 
-/// An engine.
+/// An engine and what the dispatcher knows of it.
 #[derive(Clone, Debug)]
 pub struct Engine {
     /// Name in the settings.
     pub name: String,
-    /// Where it listens.
+    /// URL of the engine.
     pub url: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// What its prefix cache is believed to hold.
+    /// Estimated contents of its prefix cache.
     pub cache: CacheModel,
-    /// Weight version that it reported last.
+    /// Weight version in its latest report.
     pub version: Option<String>,
-    /// It reports that it leaves.
+    /// It reports that it is leaving.
     pub leaving: bool,
-    /// It loads weights.
+    /// It is loading weights.
     pub loading: bool,
-    /// Operators want it to leave.
+    /// Operators have marked it as leaving.
     pub marked_leaving: bool,
-    /// Requests granted to it and not ended.
+    /// Requests that hold one of its slots.
     pub outstanding: u32,
-    /// Prompt tokens granted to it and not yet prefilled.
+    /// Prompt tokens of granted requests that are not prefilled yet.
     pub pending_tokens: u64,
-    /// Time to prefill a token, measured.
+    /// Time to prefill one token, in milliseconds, as a moving average.
     pub prefill_ms_per_token: f64,
-    /// It is left alone until then, in Unix milliseconds.
+    /// It gets no requests until then, in Unix milliseconds.
     pub cooldown_until_ms: u64,
     failures: u32,
 }
 
 impl Engine {
-    /// An engine not heard of yet.
+    /// Creates an engine that has not reported yet.
     #[must_use]
     pub fn new(name: &str, url: &str, slots: u32, cache_tokens: u64, token_ms: f64) -> Self {
         Self {
@@ -69,25 +69,25 @@
         }
     }
 
-    /// Whether the engine is to get new work at all.
+    /// Whether the engine may get new work at all.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         !self.leaving && !self.marked_leaving
     }
 
-    /// Whether a request that expects `version` may run here.
+    /// Whether a request for `version` may run here.
     #[must_use]
     pub fn serves(&self, version: &str) -> bool {
         self.accepts_work() && self.version.as_deref().is_none_or(|reported| reported == version)
     }
 
-    /// Whether a request may be sent now.
+    /// Whether the engine can take a request now.
     #[must_use]
     pub fn has_capacity(&self, now_ms: u64) -> bool {
         !self.loading && self.outstanding < self.slots && now_ms >= self.cooldown_until_ms
     }
 
-    /// Whether the ask may be sent here now.
+    /// Whether the slot request can be granted here now.
     #[must_use]
     pub fn can_run(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
         let is_allowed = self.serves(&slot_request.scope.version)
@@ -95,7 +95,7 @@
         is_allowed && self.has_capacity(now_ms)
     }
 
-    /// The engine as a candidate that holds `cached_tokens` of the prompt.
+    /// The engine as a routing candidate with `cached_tokens` of the prompt in its cache.
     #[must_use]
     pub fn candidate(&self, engine: usize, cached_tokens: u32) -> EngineCandidate {
         #[expect(clippy::cast_precision_loss, reason = "token counts stay far below 2^52")]
@@ -110,25 +110,25 @@
         }
     }
 
-    /// Notes a failure: the engine is left alone for a while.
+    /// Records a failure, which starts a cooldown.
     pub fn record_failure(&mut self, now_ms: u64) {
         let cooldown_ms = FIRST_COOLDOWN_MS << self.failures.min(5);
         self.failures += 1;
         self.cooldown_until_ms = now_ms + cooldown_ms.min(MAX_COOLDOWN_MS);
     }
 
-    /// Notes that the engine refused work: its next report will say why.
+    /// Records that the engine refused a request; its next report gives the reason.
     pub fn record_refusal(&mut self, now_ms: u64) {
         self.cooldown_until_ms = self.cooldown_until_ms.max(now_ms + REFUSED_COOLDOWN_MS);
     }
 
-    /// Notes that the engine works.
+    /// Records a success, which ends the cooldown.
     pub fn record_success(&mut self) {
         self.failures = 0;
         self.cooldown_until_ms = 0;
     }
 
-    /// Takes a measured prefill into the mean.
+    /// Adds a measured prefill to the moving average.
     pub fn record_prefill(&mut self, tokens: u32, took_ms: f64) {
         if tokens >= MIN_MEASURED_TOKENS {
             self.prefill_ms_per_token +=
@@ -140,7 +140,7 @@
 /// All engines, and the version that operators want.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The engines; an index stays with its engine.
+    /// The engines; the index of an engine does not change.
     pub engines: Vec<Engine>,
     version: Option<WantedVersion>,
 }
@@ -153,14 +153,14 @@
 }
 
 impl Fleet {
-    /// A fleet of these engines.
+    /// Creates a fleet of these engines.
     #[must_use]
     pub fn new(engines: Vec<Engine>) -> Self {
         Self { engines, version: None }
     }
 
-    /// Takes in an engine's own report, `None` when it did not answer; returns
-    /// the engine when it runs another version than before.
+    /// Processes an engine's status report, `None` when it did not answer. Returns the engine's
+    /// index if its version has changed.
     pub fn engine_report(
         &mut self,
         now_ms: u64,
@@ -176,7 +176,8 @@
         engine.record_success();
         engine.leaving = report.leaving;
         engine.loading = report.loading;
-        // The first report changes nothing: what the engine was given before ran on it.
+        // The first report is not a change of version: requests granted before it ran on that
+        // version.
         let changed = engine.version.as_ref().is_some_and(|reported| *reported != report.version);
         if changed {
             engine.cache.clear();
@@ -185,7 +186,7 @@
         changed.then_some(index)
     }
 
-    /// Notes the version that operators want: engines will load it soon.
+    /// Sets the version that operators want, which engines will load soon.
     pub fn set_version(&mut self, now_ms: u64, version: Option<&str>) {
         if self.version.as_ref().map(|wanted| wanted.name.as_str()) != version {
             let name = version.map(str::to_owned);
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Whether some engine has yet to load the version that operators want.
+    /// Whether an engine is loading weights or has another version than operators want.
     #[must_use]
     pub fn awaits_load(&self) -> bool {
         let Some(wanted) = &self.version else {
@@ -204,7 +205,7 @@
         self.engines.iter().any(|engine| engine.loading || differs(engine))
     }
 
-    /// Whether the ask can be served, now or after a load that is awaited.
+    /// Whether the request can be served, now or after a load that is expected soon.
     #[must_use]
     pub fn can_serve(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
         let is_load_expected = self.version.as_ref().is_some_and(|wanted| {
@@ -218,20 +219,21 @@
         })
     }
 
-    /// Marks which engines operators want to leave.
+    /// Sets which engines operators have marked as leaving.
     pub fn set_leaving(&mut self, leaving: impl Fn(&str) -> bool) {
         for engine in &mut self.engines {
             engine.marked_leaving = leaving(&engine.name);
         }
     }
 
-    /// Whether some engine has a place for the ask now.
+    /// Whether an engine has a free slot for the request now.
     #[must_use]
     pub fn has_free_slot(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
         self.engines.iter().any(|engine| engine.can_run(now_ms, slot_request))
     }
 
-    /// Engines with a place for the ask; `cached` tells what each holds.
+    /// Engines with a free slot for the request; `cached` returns the estimated cached tokens of an
+    /// engine.
     #[must_use]
     pub fn candidates(
         &self,
--- a/src/share.rs
+++ b/src/share.rs
@@ -1,20 +1,20 @@
-//! Who is served next: fair shares over client accounts.
+//! Fair queueing over client accounts.
 //!
-//! Each account has a virtual counter of work served over its share, and the
-//! least goes first. An account that was away is lifted to the least active
-//! one, so that idling saves nothing up. Priority is a bounded head start: it
-//! orders work and cannot starve anyone.
+//! Each account has a virtual counter of the work served, divided by its share; the account with
+//! the lowest counter is next. When an account becomes active, its counter is raised to the lowest
+//! one of the active accounts, so that idle accounts do not accumulate credit. A priority is a
+//! bounded offset to the counter: it changes the order and cannot starve an account.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
-/// Head start of one step of priority, in tokens of a share of 1.
+/// Offset of one priority step, in tokens at a share of 1.
 const PRIORITY_STEP_TOKENS: f64 = 2048.0;
-/// Work of a generated token, in prompt tokens.
+/// Work of one generated token, in prompt tokens.
 pub const GENERATED_TOKEN_WEIGHT: f64 = 4.0;
-/// Smallest share used as a divisor.
+/// Lower bound of a share, as it is used as a divisor.
 const MIN_SHARE: f64 = 1e-6;
 
-/// How waiting work is ordered.
+/// Order in which queued work is served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SharePolicy {
     /// In order of arrival.
@@ -25,7 +25,7 @@
 }
 
 impl SharePolicy {
-    /// The policy called `name` in the settings.
+    /// Parses the name used in the settings.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -36,14 +36,14 @@
     }
 }
 
-/// One piece of waiting work.
+/// An item in the queue.
 #[derive(Clone, Debug)]
 pub struct QueuedItem<T> {
-    /// What waits.
+    /// The item.
     pub item: T,
-    /// Work that it is expected to take, in tokens.
+    /// Estimated work of the item, in tokens.
     pub work_tokens: f64,
-    /// When it gives up, in Unix milliseconds.
+    /// Deadline of the item, in Unix milliseconds.
     pub deadline_ms: u64,
     arrival: u64,
 }
@@ -73,10 +73,10 @@
     }
 }
 
-/// Waiting work of all accounts.
+/// Queued work of all accounts.
 ///
-/// Only accounts with waiting or running work are looked at, so that a
-/// decision does not slow down with the number of accounts.
+/// Decisions only look at accounts with queued or running work, so that they do not become slower
+/// with the number of accounts.
 #[derive(Debug)]
 pub struct ShareQueue<T> {
     policy: SharePolicy,
@@ -90,7 +90,7 @@
 }
 
 impl<T> ShareQueue<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(policy: SharePolicy) -> Self {
         Self {
@@ -105,19 +105,19 @@
         }
     }
 
-    /// Number of waiting items.
+    /// Number of queued items.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Whether no item is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an item of `account`.
+    /// Queues an item of `account`.
     pub fn push(
         &mut self,
         account: &str,
@@ -140,7 +140,8 @@
         queue.items.push_back(queued);
     }
 
-    /// Lifts an account that was away to the least active one.
+    /// Raises the counter of an account that becomes active to the lowest one of the active
+    /// accounts.
     fn raise_to_floor(&mut self, index: usize) {
         let others = self.active_accounts.iter().filter(|active| **active != index);
         let tokens = others.map(|active| self.queues[*active].virtual_tokens);
@@ -151,7 +152,8 @@
         queue.virtual_tokens = queue.virtual_tokens.max(self.floor_tokens);
     }
 
-    /// Takes the next item that `fits`, and charges its account for it.
+    /// Removes the next item for which `fits` holds, and charges its account for the estimated
+    /// work.
     pub fn pop(&mut self, fits: impl Fn(&T) -> bool) -> Option<(String, QueuedItem<T>)> {
         let candidates = self.queued_accounts.iter().filter_map(|index| {
             let queue = &self.queues[*index];
@@ -174,8 +176,7 @@
         Some((name, queued))
     }
 
-    /// Ends work of `account`; `extra_tokens` is what it took beyond the
-    /// expected.
+    /// Ends an item of `account`; `extra_tokens` is the work beyond the estimate.
     pub fn finish(&mut self, account: &str, extra_tokens: f64) {
         let Some(&index) = self.by_name.get(account) else {
             return;
@@ -186,14 +187,14 @@
         self.drop_if_idle(index);
     }
 
-    /// Whether an item that `wanted` says waits.
+    /// Whether an item matches `wanted`.
     pub fn contains(&self, wanted: impl Fn(&T) -> bool) -> bool {
         let queues = self.queued_accounts.iter().map(|index| &self.queues[*index]);
         let mut all = queues.flat_map(|queue| &queue.items);
         all.any(|queued| wanted(&queued.item))
     }
 
-    /// Takes out all items that `gone` says are not wanted any more.
+    /// Removes all items for which `is_unwanted` holds.
     pub fn remove_where(&mut self, mut is_unwanted: impl FnMut(&QueuedItem<T>) -> bool) -> Vec<T> {
         let mut removed_items = Vec::new();
         for index in self.queued_accounts.clone() {
@@ -208,8 +209,8 @@
         removed_items
     }
 
-    /// Work that goes before a new item of `account`, in tokens: its own, and
-    /// what the others get meanwhile by their shares.
+    /// Work served before a new item of `account`, in tokens: the account's own, and what the other
+    /// accounts get in the meantime by their shares.
     #[must_use]
     pub fn tokens_ahead(&self, account: &str, share: f64) -> f64 {
         let own_index = self.by_name.get(account);
@@ -225,7 +226,7 @@
         own + meanwhile.sum::<f64>()
     }
 
-    /// Work served over share, by account.
+    /// Virtual token counter of each account: work served, divided by the account's share.
     pub fn virtual_tokens(&self) -> impl Iterator<Item = (&str, f64)> {
         self.queues.iter().map(|queue| (queue.name.as_str(), queue.virtual_tokens))
     }
@@ -247,7 +248,7 @@
         index
     }
 
-    /// Takes an account off the lists that it no longer belongs to.
+    /// Removes an account from the index sets if it has no more queued or running work.
     fn drop_if_idle(&mut self, index: usize) {
         let queue = &self.queues[index];
         if queue.items.is_empty() {
