--- a/src/directory.rs
+++ b/src/directory.rs
@@ -73,10 +73,10 @@
     /// Records that share their start with `course`, with the tokens in common.
     pub fn matching<'a>(
         &'a self,
-        course: &'a PrefixChain,
+        prefix: &'a PrefixChain,
     ) -> impl Iterator<Item = (&'a PromptRecord, u32)> {
-        let records = self.by_root.get(&course.root).into_iter().flatten();
-        records.map(move |record| (record, course.common_tokens(&record.prefix)))
+        let records = self.by_root.get(&prefix.root).into_iter().flatten();
+        records.map(move |record| (record, prefix.common_tokens(&record.prefix)))
     }
 
     /// What is known of the prompts of an account.
@@ -90,15 +90,15 @@
         &mut self,
         now_ms: u64,
         account: &str,
-        course: &PrefixChain,
+        prefix: &PrefixChain,
         worthless_at_ms: u64,
     ) -> Option<&mut PromptRecord> {
-        if course.is_empty() {
+        if prefix.is_empty() {
             return None;
         }
         let prior = self.priors.entry(account.to_owned()).or_default();
-        let records = self.by_root.entry(course.root).or_default();
-        let index = if let Some(index) = course_of(records, course) {
+        let records = self.by_root.entry(prefix.root).or_default();
+        let index = if let Some(index) = index_of(records, prefix) {
             let record = &mut records[index];
             let gap_ms = now_ms.saturating_sub(record.reuse.last_used_at_ms);
             prior.record_reuse(gap_ms, record.reuse.reuses == 0);
@@ -108,16 +108,16 @@
         } else {
             prior.record_first_use();
             if records.len() >= MAX_RECORDS_PER_ROOT {
-                self.len -= usize::from(drop_oldest(records));
+                self.len -= usize::from(drop_least_recent(records));
             }
             self.len += 1;
             records.reserve_exact(1);
-            records.push(PromptRecord::new(now_ms, account, course, worthless_at_ms));
+            records.push(PromptRecord::new(now_ms, account, prefix, worthless_at_ms));
             records.len() - 1
         };
         let record = &mut records[index];
-        if course.tokens() > record.prefix.tokens() {
-            record.prefix = course.clone();
+        if prefix.tokens() > record.prefix.tokens() {
+            record.prefix = prefix.clone();
         }
         Some(record)
     }
@@ -127,27 +127,27 @@
         &mut self,
         now_ms: u64,
         account: &str,
-        course: &PrefixChain,
+        prefix: &PrefixChain,
         worthless_at_ms: u64,
         block: &BlockId,
     ) {
-        if course.is_empty() {
+        if prefix.is_empty() {
             return;
         }
-        let records = self.by_root.entry(course.root).or_default();
-        let index = course_of(records, course).unwrap_or_else(|| {
+        let records = self.by_root.entry(prefix.root).or_default();
+        let index = index_of(records, prefix).unwrap_or_else(|| {
             self.len += 1;
             records.reserve_exact(1);
-            records.push(PromptRecord::new(now_ms, account, course, worthless_at_ms));
+            records.push(PromptRecord::new(now_ms, account, prefix, worthless_at_ms));
             records.len() - 1
         });
         records[index].block.get_or_insert_with(|| block.clone());
     }
 
     /// The record that `course` belongs to.
-    pub fn record_mut(&mut self, course: &PrefixChain) -> Option<&mut PromptRecord> {
-        let records = self.by_root.get_mut(&course.root)?;
-        let index = course_of(records, course)?;
+    pub fn record_mut(&mut self, prefix: &PrefixChain) -> Option<&mut PromptRecord> {
+        let records = self.by_root.get_mut(&prefix.root)?;
+        let index = index_of(records, prefix)?;
         Some(&mut records[index])
     }
 
@@ -173,18 +173,18 @@
     /// Drops records that are past their deadline and have no block, and the
     /// oldest ones when there are too many.
     pub fn prune(&mut self, now_ms: u64) {
-        let mut oldest_kept_ms = 0;
+        let mut min_last_used_at_ms = 0;
         if self.len > self.capacity {
-            let mut uses: Vec<_> = self.iter().map(|one| one.reuse.last_used_at_ms).collect();
+            let mut uses: Vec<_> = self.iter().map(|record| record.reuse.last_used_at_ms).collect();
             let excess = self.len - self.capacity * 9 / 10;
-            let (_, cut, _) = uses.select_nth_unstable(excess);
-            oldest_kept_ms = *cut;
+            let (_, cutoff_ms, _) = uses.select_nth_unstable(excess);
+            min_last_used_at_ms = *cutoff_ms;
         }
         self.by_root.retain(|_, records| {
             records.retain(|record| {
-                let wanted = record.worthless_at_ms > now_ms
-                    && record.reuse.last_used_at_ms >= oldest_kept_ms;
-                wanted || record.block.is_some()
+                let is_needed = record.worthless_at_ms > now_ms
+                    && record.reuse.last_used_at_ms >= min_last_used_at_ms;
+                is_needed || record.block.is_some()
             });
             !records.is_empty()
         });
@@ -193,10 +193,10 @@
 }
 
 impl PromptRecord {
-    fn new(now_ms: u64, account: &str, course: &PrefixChain, worthless_at_ms: u64) -> Self {
+    fn new(now_ms: u64, account: &str, prefix: &PrefixChain, worthless_at_ms: u64) -> Self {
         Self {
             account: account.to_owned(),
-            prefix: course.clone(),
+            prefix: prefix.clone(),
             copies: Vec::new(),
             block: None,
             reuse: ReuseStats::new(now_ms),
@@ -211,8 +211,8 @@
     }
 
     /// Notes that an engine holds `tokens` of this course.
-    pub fn record_copy(&mut self, engine: u16, tokens: u32, used: CacheUse) {
-        let copy = EngineCopy { engine, tokens, last_use: used };
+    pub fn record_copy(&mut self, engine: u16, tokens: u32, last_use: CacheUse) {
+        let copy = EngineCopy { engine, tokens, last_use };
         match self.copies.iter_mut().find(|copy| copy.engine == engine) {
             Some(known) => *known = copy,
             None => self.copies.push(copy),
@@ -221,14 +221,14 @@
 }
 
 /// The record that continues `course` or is continued by it.
-fn course_of(records: &[PromptRecord], course: &PrefixChain) -> Option<usize> {
-    records.iter().position(|record| record.prefix.continues(course))
+fn index_of(records: &[PromptRecord], prefix: &PrefixChain) -> Option<usize> {
+    records.iter().position(|record| record.prefix.continues(prefix))
 }
 
 /// Drops the record used longest ago among those without a block.
-fn drop_oldest(records: &mut Vec<PromptRecord>) -> bool {
-    let free = records.iter().enumerate().filter(|(_, record)| record.block.is_none());
-    let oldest = free.min_by_key(|(_, record)| record.reuse.last_used_at_ms);
+fn drop_least_recent(records: &mut Vec<PromptRecord>) -> bool {
+    let without_block = records.iter().enumerate().filter(|(_, record)| record.block.is_none());
+    let oldest = without_block.min_by_key(|(_, record)| record.reuse.last_used_at_ms);
     let index = oldest.map(|(index, _)| index);
     index.map(|index| records.swap_remove(index)).is_some()
 }
--- a/src/retention.rs
+++ b/src/retention.rs
@@ -85,9 +85,9 @@
 
     /// Counts a return after `gap_ms`; `first` says that it is the prompt's
     /// first return.
-    pub fn record_reuse(&mut self, gap_ms: u64, first: bool) {
-        self.reused_prompts += if first { 1.0 } else { 0.0 };
-        self.mean_gap_ms += GAP_WEIGHT * (millis(gap_ms) - self.mean_gap_ms);
+    pub fn record_reuse(&mut self, gap_ms: u64, is_first: bool) {
+        self.reused_prompts += if is_first { 1.0 } else { 0.0 };
+        self.mean_gap_ms += GAP_WEIGHT * (as_float(gap_ms) - self.mean_gap_ms);
     }
 
     /// Share of the account's prompts that come back.
@@ -99,11 +99,11 @@
 
 /// Returns per millisecond that are expected of a prompt.
 #[must_use]
-pub fn reuse_rate(now_ms: u64, returns: &ReuseStats, prior: &ReusePrior) -> f64 {
-    let idle_ms = millis(now_ms.saturating_sub(returns.last_used_at_ms));
-    let active_ms = millis(returns.last_used_at_ms - returns.first_used_at_ms);
-    let seen = prior.reuse_probability() + f64::from(returns.reuses);
-    seen / (prior.mean_gap_ms + active_ms + idle_ms)
+pub fn reuse_rate(now_ms: u64, reuse: &ReuseStats, prior: &ReusePrior) -> f64 {
+    let idle_ms = as_float(now_ms.saturating_sub(reuse.last_used_at_ms));
+    let active_ms = as_float(reuse.last_used_at_ms - reuse.first_used_at_ms);
+    let expected_reuses = prior.reuse_probability() + f64::from(reuse.reuses);
+    expected_reuses / (prior.mean_gap_ms + active_ms + idle_ms)
 }
 
 /// A block as the policies see it.
@@ -123,27 +123,27 @@
 
 /// Order in which blocks give way: the least goes first.
 #[must_use]
-pub fn rank(policy: RetentionPolicy, now_ms: u64, kept: &BlockStats, prior: &ReusePrior) -> f64 {
-    let last_used = millis(kept.reuse.last_used_at_ms);
+pub fn rank(policy: RetentionPolicy, now_ms: u64, block: &BlockStats, prior: &ReusePrior) -> f64 {
+    let last_used = as_float(block.reuse.last_used_at_ms);
     match policy {
         RetentionPolicy::Lru | RetentionPolicy::Ttl => last_used,
-        RetentionPolicy::Worth if now_ms >= kept.worthless_at_ms => -1.0,
+        RetentionPolicy::Worth if now_ms >= block.worthless_at_ms => -1.0,
         RetentionPolicy::Worth => {
-            let rate = reuse_rate(now_ms, &kept.reuse, prior);
-            let worth = rate * kept.saved_ms / millis(kept.size_bytes.max(1));
+            let rate = reuse_rate(now_ms, &block.reuse, prior);
+            let worth = rate * block.saved_ms / as_float(block.size_bytes.max(1));
             // An account over its share gives way to all that are within.
-            if kept.over_share { worth - 0.5 } else { worth }
+            if block.over_share { worth - 0.5 } else { worth }
         }
     }
 }
 
 /// Whether a block has outlived its use.
 #[must_use]
-pub fn expired(policy: RetentionPolicy, now_ms: u64, kept: &BlockStats) -> bool {
+pub fn expired(policy: RetentionPolicy, now_ms: u64, block: &BlockStats) -> bool {
     match policy {
         RetentionPolicy::Lru => false,
-        RetentionPolicy::Ttl => now_ms >= kept.reuse.last_used_at_ms + FIXED_TTL_MS,
-        RetentionPolicy::Worth => now_ms >= kept.worthless_at_ms,
+        RetentionPolicy::Ttl => now_ms >= block.reuse.last_used_at_ms + FIXED_TTL_MS,
+        RetentionPolicy::Worth => now_ms >= block.worthless_at_ms,
     }
 }
 
@@ -152,22 +152,22 @@
 pub fn worth_exporting(
     policy: RetentionPolicy,
     now_ms: u64,
-    kept: &BlockStats,
+    block: &BlockStats,
     prior: &ReusePrior,
     transfer_ms: f64,
 ) -> bool {
     match policy {
         RetentionPolicy::Lru | RetentionPolicy::Ttl => true,
         RetentionPolicy::Worth => {
-            let left_ms = millis(kept.worthless_at_ms.saturating_sub(now_ms));
-            let expected = reuse_rate(now_ms, &kept.reuse, prior) * left_ms;
-            let chance = 1.0 - (-expected).exp();
-            chance >= MIN_REUSE_PROBABILITY && kept.saved_ms > transfer_ms
+            let remaining_ms = as_float(block.worthless_at_ms.saturating_sub(now_ms));
+            let expected_reuses = reuse_rate(now_ms, &block.reuse, prior) * remaining_ms;
+            let probability = 1.0 - (-expected_reuses).exp();
+            probability >= MIN_REUSE_PROBABILITY && block.saved_ms > transfer_ms
         }
     }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "times and sizes stay far below 2^52")]
-fn millis(value: u64) -> f64 {
+fn as_float(value: u64) -> f64 {
     value as f64
 }
