--- a/src/directory.rs
+++ b/src/directory.rs
@@ -1,8 +1,8 @@
-//! Which prompts are known, and where their context is.
+//! Known prompts and the locations of their context.
 //!
-//! A record stands for prompts that share a course: one continues the other. It says which engines are believed to hold how much
-//! of it, and which sealed block a store keeps. What engines hold is a belief,
-//! corrected by what they report with each answer.
+//! Prompts of which one continues the other share a record. The record lists the engines that are
+//! estimated to have a part of the prompt cached, and the sealed block in a store. What engines
+//! have cached is an estimate, which is corrected by what they report with each answer.
 
 use std::collections::HashMap;
 
@@ -11,34 +11,34 @@
 use crate::context::PrefixChain;
 use crate::retention::{ReusePrior, ReuseStats};
 
-/// Most records that start with the same block.
+/// Maximum number of records whose prompts start with the same prefix block.
 const MAX_RECORDS_PER_ROOT: usize = 8;
 
-/// What an engine is believed to hold of a prompt.
+/// Part of a prompt that an engine is estimated to have cached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCopy {
     /// Index of the engine in the fleet.
     pub engine: u16,
-    /// Tokens from the start on.
+    /// Cached tokens, from the start of the prompt.
     pub tokens: u32,
-    /// When the engine used it last.
+    /// Latest use by the engine.
     pub last_use: CacheUse,
 }
 
-/// A known course of prompts.
+/// Prompts of which one continues the other.
 #[derive(Clone, Debug)]
 pub struct PromptRecord {
-    /// Client account that it belongs to.
+    /// Client account of the prompts.
     pub account: String,
-    /// Course of the longest prompt seen.
+    /// Prefix chain of the longest prompt seen.
     pub prefix: PrefixChain,
-    /// Engines that are believed to hold some of it.
+    /// Estimated copies in engine caches.
     pub copies: Vec<EngineCopy>,
-    /// Block that a store keeps or is being given.
+    /// Block that a store holds or that is being exported.
     pub block: Option<BlockId>,
-    /// How often it comes back.
+    /// How often the prompt is reused.
     pub reuse: ReuseStats,
-    /// When its context is no longer worth keeping, in Unix milliseconds.
+    /// When the context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl Directory {
-    /// An empty directory of at most `capacity` records.
+    /// Creates an empty directory that holds at most `capacity` records after pruning.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         Self { capacity, ..Self::default() }
@@ -64,13 +64,14 @@
         self.len
     }
 
-    /// Whether there is no record.
+    /// Whether there are no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Records that share their start with `course`, with the tokens in common.
+    /// Records that start with the same prefix block as `prefix`, each with the number of common
+    /// tokens.
     pub fn matching<'a>(
         &'a self,
         prefix: &'a PrefixChain,
@@ -79,13 +80,13 @@
         records.map(move |record| (record, prefix.common_tokens(&record.prefix)))
     }
 
-    /// What is known of the prompts of an account.
+    /// Reuse statistics of the prompts of an account.
     #[must_use]
     pub fn prior(&self, account: &str) -> ReusePrior {
         self.priors.get(account).copied().unwrap_or_default()
     }
 
-    /// Counts a use of the prompt; its record is made when there is none.
+    /// Records a use of the prompt; adds a record if there is none.
     pub fn record_use(
         &mut self,
         now_ms: u64,
@@ -122,7 +123,7 @@
         Some(record)
     }
 
-    /// Takes over a block that a store listed.
+    /// Adds a block that a store lists.
     pub fn adopt_block(
         &mut self,
         now_ms: u64,
@@ -144,7 +145,7 @@
         records[index].block.get_or_insert_with(|| block.clone());
     }
 
-    /// The record that `course` belongs to.
+    /// The record of the prompt.
     pub fn record_mut(&mut self, prefix: &PrefixChain) -> Option<&mut PromptRecord> {
         let records = self.by_root.get_mut(&prefix.root)?;
         let index = index_of(records, prefix)?;
@@ -156,22 +157,22 @@
         self.by_root.values().flatten()
     }
 
-    /// Forgets what an engine is believed to hold.
+    /// Drops all copies in the cache of an engine.
     pub fn forget_engine(&mut self, engine: u16) {
         for record in self.by_root.values_mut().flatten() {
             record.copies.retain(|copy| copy.engine != engine);
         }
     }
 
-    /// Forgets a block; true when a record knew it.
+    /// Drops a block; returns whether a record referred to it.
     pub fn forget_block(&mut self, root: u64, block: &BlockId) -> bool {
         let records = self.by_root.get_mut(&root).into_iter().flatten();
         let mut known = records.filter(|record| record.block.as_ref() == Some(block));
         known.next().is_some_and(|record| record.block.take().is_some())
     }
 
-    /// Drops records that are past their deadline and have no block, and the
-    /// oldest ones when there are too many.
+    /// Drops records that are past their deadline and have no block, and the least recently used
+    /// ones when there are more than the capacity.
     pub fn prune(&mut self, now_ms: u64) {
         let mut min_last_used_at_ms = 0;
         if self.len > self.capacity {
@@ -204,13 +205,13 @@
         }
     }
 
-    /// When an engine used this course last.
+    /// Latest use of this prompt by an engine.
     #[must_use]
     pub fn last_use_by(&self, engine: u16) -> Option<CacheUse> {
         self.copies.iter().find(|copy| copy.engine == engine).map(|copy| copy.last_use)
     }
 
-    /// Notes that an engine holds `tokens` of this course.
+    /// Records that an engine has `tokens` of this prompt cached.
     pub fn record_copy(&mut self, engine: u16, tokens: u32, last_use: CacheUse) {
         let copy = EngineCopy { engine, tokens, last_use };
         match self.copies.iter_mut().find(|copy| copy.engine == engine) {
@@ -220,12 +221,12 @@
     }
 }
 
-/// The record that continues `course` or is continued by it.
+/// Index of the record whose prompt continues `prefix` or is continued by it.
 fn index_of(records: &[PromptRecord], prefix: &PrefixChain) -> Option<usize> {
     records.iter().position(|record| record.prefix.continues(prefix))
 }
 
-/// Drops the record used longest ago among those without a block.
+/// Drops the least recently used record without a block.
 fn drop_least_recent(records: &mut Vec<PromptRecord>) -> bool {
     let without_block = records.iter().enumerate().filter(|(_, record)| record.block.is_none());
     let oldest = without_block.min_by_key(|(_, record)| record.reuse.last_used_at_ms);
--- a/src/retention.rs
+++ b/src/retention.rs
@@ -1,24 +1,24 @@
-//! Which kept context is worth its place.
+//! Retention policies for blocks in stores.
 //!
-//! The worth of a block is the rate at which its prompt is expected to come
-//! back, times the recompute that it saves, over its size. The rate follows
-//! from the prompt's own returns, with the account's as a prior, and falls the
-//! longer the prompt stays away. Past the account's deadline the worth is 0.
+//! The worth of a block is the rate at which its prompt is expected to be reused, times the prefill
+//! time that it saves, divided by its size. The rate is estimated from the reuse of the prompt,
+//! with the reuse of the account's prompts as a prior, and decreases while the prompt is not used.
+//! After the account's retention period the worth is 0.
 
-/// Which block goes first when room is needed.
+/// Which block is evicted first when space is needed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RetentionPolicy {
-    /// The least recently used.
+    /// The least recently used one.
     Lru,
-    /// The least recently used, and each after a fixed time.
+    /// The least recently used one; blocks also expire after a fixed time without use.
     Ttl,
-    /// The one worth least.
+    /// The one with the least worth.
     #[default]
     Worth,
 }
 
 impl RetentionPolicy {
-    /// The policy called `name` in the settings.
+    /// Parses the name used in the settings.
     #[must_use]
     pub fn from_name(name: &str) -> Option<Self> {
         match name {
@@ -30,37 +30,37 @@
     }
 }
 
-/// Age at which the fixed-time policy drops a block, in milliseconds.
+/// Time without use after which [`RetentionPolicy::Ttl`] drops a block, in milliseconds.
 pub const FIXED_TTL_MS: u64 = 600_000;
-/// Chance of a return below which context is not written to a store.
+/// Minimum probability of reuse at which context is exported to a store.
 const MIN_REUSE_PROBABILITY: f64 = 0.25;
 
-/// How often a prompt, or the prompts of an account, come back.
+/// Reuse of one prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReuseStats {
     /// First use, in Unix milliseconds.
     pub first_used_at_ms: u64,
-    /// Newest use, in Unix milliseconds.
+    /// Latest use, in Unix milliseconds.
     pub last_used_at_ms: u64,
-    /// Uses after the first.
+    /// Number of uses after the first.
     pub reuses: u32,
 }
 
 impl ReuseStats {
-    /// Starts with a first use.
+    /// Starts with the first use.
     #[must_use]
     pub fn new(now_ms: u64) -> Self {
         Self { first_used_at_ms: now_ms, last_used_at_ms: now_ms, reuses: 0 }
     }
 
-    /// Counts a use.
+    /// Records a further use.
     pub fn record_use(&mut self, now_ms: u64) {
         self.last_used_at_ms = now_ms;
         self.reuses += 1;
     }
 }
 
-/// What is known of an account's prompts together.
+/// Reuse of all prompts of an account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReusePrior {
     prompts: f64,
@@ -74,30 +74,29 @@
     }
 }
 
-/// Weight of a new gap in the account's mean.
+/// Weight of a new gap in the moving average.
 const GAP_WEIGHT: f64 = 0.05;
 
 impl ReusePrior {
-    /// Counts a prompt seen for the first time.
+    /// Records the first use of a prompt.
     pub fn record_first_use(&mut self) {
         self.prompts += 1.0;
     }
 
-    /// Counts a return after `gap_ms`; `first` says that it is the prompt's
-    /// first return.
+    /// Records a reuse after `gap_ms`; `is_first` tells whether it is the prompt's first reuse.
     pub fn record_reuse(&mut self, gap_ms: u64, is_first: bool) {
         self.reused_prompts += if is_first { 1.0 } else { 0.0 };
         self.mean_gap_ms += GAP_WEIGHT * (as_float(gap_ms) - self.mean_gap_ms);
     }
 
-    /// Share of the account's prompts that come back.
+    /// Fraction of the account's prompts that are reused.
     #[must_use]
     pub fn reuse_probability(&self) -> f64 {
         (self.reused_prompts / self.prompts).min(1.0)
     }
 }
 
-/// Returns per millisecond that are expected of a prompt.
+/// Expected reuses of a prompt per millisecond.
 #[must_use]
 pub fn reuse_rate(now_ms: u64, reuse: &ReuseStats, prior: &ReusePrior) -> f64 {
     let idle_ms = as_float(now_ms.saturating_sub(reuse.last_used_at_ms));
@@ -106,22 +105,22 @@
     expected_reuses / (prior.mean_gap_ms + active_ms + idle_ms)
 }
 
-/// A block as the policies see it.
+/// The properties of a block that the policies use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BlockStats {
-    /// Use of its prompt.
+    /// Reuse of its prompt.
     pub reuse: ReuseStats,
     /// When it is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
-    /// Recompute that it saves, in milliseconds.
+    /// Prefill time that it saves, in milliseconds.
     pub saved_ms: f64,
-    /// Its size.
+    /// Size in bytes.
     pub size_bytes: u64,
-    /// Whether its account holds more than its share of the store.
+    /// Whether its account uses more than its share of the store.
     pub over_share: bool,
 }
 
-/// Order in which blocks give way: the least goes first.
+/// Eviction order: blocks with the lowest rank are evicted first.
 #[must_use]
 pub fn rank(policy: RetentionPolicy, now_ms: u64, block: &BlockStats, prior: &ReusePrior) -> f64 {
     let last_used = as_float(block.reuse.last_used_at_ms);
@@ -131,13 +130,13 @@
         RetentionPolicy::Worth => {
             let rate = reuse_rate(now_ms, &block.reuse, prior);
             let worth = rate * block.saved_ms / as_float(block.size_bytes.max(1));
-            // An account over its share gives way to all that are within.
+            // Blocks of accounts over their share are evicted before all others.
             if block.over_share { worth - 0.5 } else { worth }
         }
     }
 }
 
-/// Whether a block has outlived its use.
+/// Whether a block has expired.
 #[must_use]
 pub fn expired(policy: RetentionPolicy, now_ms: u64, block: &BlockStats) -> bool {
     match policy {
@@ -147,7 +146,7 @@
     }
 }
 
-/// Whether context is worth writing to a store.
+/// Whether context is worth an export to a store.
 #[must_use]
 pub fn worth_exporting(
     policy: RetentionPolicy,
