--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -108,8 +108,8 @@
         if now_ms >= expires_at_ms {
             return CallDecision::Expired;
         }
-        if let Some(line) = self.entries.get(key) {
-            return line.decide_repeat(fingerprint);
+        if let Some(entry) = self.entries.get(key) {
+            return entry.decide_repeat(fingerprint);
         }
         if self.closed {
             return CallDecision::Closed;
@@ -119,8 +119,8 @@
             return CallDecision::Full;
         }
         usage.keys += 1;
-        let line = LedgerEntry { fingerprint, expires_at_ms, state: KeyState::Running };
-        self.entries.insert(key.clone(), line);
+        let entry = LedgerEntry { fingerprint, expires_at_ms, state: KeyState::Running };
+        self.entries.insert(key.clone(), entry);
         CallDecision::Run
     }
 
@@ -129,21 +129,21 @@
     /// # Panics
     /// Panics when the call does not run: a key would be spent twice.
     pub fn record_outcome(&mut self, key: &CallKey, outcome: &Outcome) {
-        let line = self.entries.get_mut(key).expect("a running call has a line");
-        assert_eq!(line.state, KeyState::Running, "a call ends once");
+        let entry = self.entries.get_mut(key).expect("a running call has a ledger entry");
+        assert_eq!(entry.state, KeyState::Running, "a call has one outcome");
         let usage = self.usage.entry(key.account.clone()).or_default();
         match outcome {
             Outcome::NotRun => {
                 usage.keys -= 1;
                 self.entries.remove(key);
             }
-            Outcome::Unknown => line.state = KeyState::Unknown,
+            Outcome::Unknown => entry.state = KeyState::Unknown,
             Outcome::Answered(answer) => {
                 let bytes = answer.body.len();
-                let fits = usage.answer_bytes + bytes <= MAX_ANSWER_BYTES_PER_ACCOUNT;
-                usage.answer_bytes += if fits { bytes } else { 0 };
-                line.state =
-                    if fits { KeyState::Answered(answer.clone()) } else { KeyState::Unknown };
+                let is_stored = usage.answer_bytes + bytes <= MAX_ANSWER_BYTES_PER_ACCOUNT;
+                usage.answer_bytes += if is_stored { bytes } else { 0 };
+                entry.state =
+                    if is_stored { KeyState::Answered(answer.clone()) } else { KeyState::Unknown };
             }
         }
     }
@@ -151,13 +151,13 @@
     /// Forgets keys whose ticket has expired and that do not run.
     pub fn expire(&mut self, now_ms: u64) {
         let usage = &mut self.usage;
-        self.entries.retain(|key, line| {
-            let keep = line.state == KeyState::Running || line.expires_at_ms > now_ms;
-            if let Some(usage) = usage.get_mut(&key.account).filter(|_| !keep) {
+        self.entries.retain(|key, entry| {
+            let is_kept = entry.state == KeyState::Running || entry.expires_at_ms > now_ms;
+            if let Some(usage) = usage.get_mut(&key.account).filter(|_| !is_kept) {
                 usage.keys -= 1;
-                usage.answer_bytes -= line.answer_bytes();
+                usage.answer_bytes -= entry.answer_bytes();
             }
-            keep
+            is_kept
         });
         self.usage.retain(|_, usage| usage.keys > 0);
     }
@@ -170,7 +170,7 @@
     /// Whether a call still runs.
     #[must_use]
     pub fn has_running(&self) -> bool {
-        self.entries.values().any(|line| line.state == KeyState::Running)
+        self.entries.values().any(|entry| entry.state == KeyState::Running)
     }
 
     /// The ledger as another box keeps it after this one has stopped.
@@ -178,8 +178,8 @@
     pub fn handover_copy(&self) -> Self {
         let mut copy = self.clone();
         copy.closed = true;
-        for line in copy.entries.values_mut().filter(|line| line.state == KeyState::Running) {
-            line.state = KeyState::Unknown;
+        for entry in copy.entries.values_mut().filter(|entry| entry.state == KeyState::Running) {
+            entry.state = KeyState::Unknown;
         }
         copy
     }
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -55,12 +55,12 @@
     /// The prefix to give to `account`.
     #[must_use]
     pub fn sign(&self, key: &ClusterKey, account: &str) -> String {
-        let body = self.body();
-        let seal = mac(key, account, &body);
-        format!("{body}.{seal}")
+        let payload = self.payload();
+        let mac = mac(key, account, &payload);
+        format!("{payload}.{mac}")
     }
 
-    fn body(&self) -> String {
+    fn payload(&self) -> String {
         let BoxRef { name, incarnation } = &self.spender;
         format!("{name}.{incarnation:x}.{:x}.{:x}", self.expires_at_ms, self.serial)
     }
@@ -75,32 +75,32 @@
         idempotency_key: &str,
     ) -> Result<Self, TicketError> {
         let (prefix, _) = idempotency_key.split_once('/').ok_or(TicketError::NoPrefix)?;
-        let (body, given) = prefix.rsplit_once('.').ok_or(TicketError::Malformed)?;
-        let expected = mac(key, account, body);
-        if !bool::from(expected.as_bytes().ct_eq(given.as_bytes())) {
+        let (payload, received_mac) = prefix.rsplit_once('.').ok_or(TicketError::Malformed)?;
+        let expected_mac = mac(key, account, payload);
+        if !bool::from(expected_mac.as_bytes().ct_eq(received_mac.as_bytes())) {
             return Err(TicketError::WrongSeal);
         }
-        Self::read(body).ok_or(TicketError::Malformed)
+        Self::parse(payload).ok_or(TicketError::Malformed)
     }
 
-    fn read(body: &str) -> Option<Self> {
-        let mut parts = body.rsplitn(4, '.');
-        let serial = hex(parts.next()?)?;
-        let expires_at_ms = hex(parts.next()?)?;
-        let incarnation = hex(parts.next()?)?;
+    fn parse(payload: &str) -> Option<Self> {
+        let mut parts = payload.rsplitn(4, '.');
+        let serial = parse_hex(parts.next()?)?;
+        let expires_at_ms = parse_hex(parts.next()?)?;
+        let incarnation = parse_hex(parts.next()?)?;
         let name = parts.next()?.to_owned();
         Some(Self { spender: BoxRef { name, incarnation }, expires_at_ms, serial })
     }
 }
 
-fn hex(text: &str) -> Option<u64> {
+fn parse_hex(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
 
-fn mac(key: &ClusterKey, account: &str, body: &str) -> String {
+fn mac(key: &ClusterKey, account: &str, payload: &str) -> String {
     let mut hasher = blake3::Hasher::new_keyed(key);
     hasher.update(&(account.len() as u64).to_le_bytes());
     hasher.update(account.as_bytes());
-    hasher.update(body.as_bytes());
+    hasher.update(payload.as_bytes());
     hasher.finalize().to_hex()[..MAC_HEX_DIGITS].to_owned()
 }
