--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,49 +1,48 @@
-//! The ledger of calls that run at most once.
+//! Ledger of the idempotency keys of calls that run at most once.
 //!
-//! Only the incarnation that gave out a ticket spends it, here in memory and
-//! before a byte of the call leaves for an upstream. A key that was spent is
-//! never spent again: a call that comes again gets the answer of the first
-//! one, or waits for it, or learns that the outcome is unknown. Keys are kept
-//! until their ticket expires; after that they are refused, so that
-//! forgetting them is safe.
+//! Only the incarnation that issued a ticket spends its keys. It does so in memory, before a byte
+//! of the call is sent to an upstream. A spent key is never spent again: a repeated call gets the
+//! answer of the first one, waits for it, or is told that the outcome is unknown. Keys are kept
+//! until their ticket expires. Calls under an expired ticket are refused, so that it is safe to
+//! drop its keys.
 
 use std::collections::HashMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Most keys that one client account may hold.
+/// Maximum number of keys per client account.
 pub const MAX_KEYS_PER_ACCOUNT: usize = 20_000;
-/// Most bytes of answers that one client account may hold.
+/// Maximum total size of stored answers per client account, in bytes.
 pub const MAX_ANSWER_BYTES_PER_ACCOUNT: usize = 4 << 20;
 
-/// A call's key: client account and `Idempotency-Key`.
+/// Identifies a call by its client account and `Idempotency-Key`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CallKey {
     /// Client account that made the call.
     pub account: String,
-    /// Key under a ticket prefix.
+    /// The `Idempotency-Key`, which starts with a ticket prefix.
     pub key: String,
 }
 
-/// The answer of an upstream.
+/// Answer of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Media type, if one was given.
+    /// Media type, if the upstream sent one.
     pub content_type: Option<String>,
-    /// Body as it came.
+    /// Body as received.
     pub body: Vec<u8>,
 }
 
-/// How a spent call ended.
+/// Outcome of a call whose key was spent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran, and this is its answer.
+    /// The upstream has answered.
     Answered(Answer),
-    /// It may have run; nobody can tell.
+    /// The call may have run.
     Unknown,
-    /// No byte of it reached an upstream.
+    /// No byte of the call has reached an upstream.
     NotRun,
 }
 
@@ -61,24 +60,24 @@
     state: KeyState,
 }
 
-/// What to do with a call.
+/// How to proceed with a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallDecision {
-    /// Run it: the key is spent now.
+    /// Run it; its key is spent now.
     Run,
-    /// The first call with this key still runs: wait for it.
+    /// Wait for the first call with this key, which is still running.
     Wait,
-    /// It ran before: give this answer.
+    /// Return the answer of the first call.
     Replay(Answer),
-    /// It may have run before: say so.
+    /// Report that an earlier call may have run.
     Unknown,
-    /// The key was used for another call: refuse, not run.
+    /// Refuse it, not run: the key was used for a different call.
     Mismatch,
-    /// The ticket has expired: the outcome of an earlier call is forgotten.
+    /// Refuse it: the ticket has expired, and the outcome of an earlier call may have been dropped.
     Expired,
-    /// The account holds too many keys: refuse, not run.
+    /// Refuse it, not run: the account has reached its limit of keys.
     Full,
-    /// This process no longer spends: refuse, not run.
+    /// Refuse it, not run: this process no longer spends keys.
     Closed,
 }
 
@@ -97,7 +96,7 @@
 }
 
 impl Ledger {
-    /// Decides on a call, and spends its key when it is to run.
+    /// Decides how to proceed with a call, and spends its key if it is to run.
     pub fn begin(
         &mut self,
         now_ms: u64,
@@ -124,10 +123,10 @@
         CallDecision::Run
     }
 
-    /// Records how a call that was told to run has ended.
+    /// Records the outcome of a call for which [`CallDecision::Run`] was returned.
     ///
     /// # Panics
-    /// Panics when the call does not run: a key would be spent twice.
+    /// Panics if the call is not running, since its key could then be spent twice.
     pub fn record_outcome(&mut self, key: &CallKey, outcome: &Outcome) {
         let entry = self.entries.get_mut(key).expect("a running call has a ledger entry");
         assert_eq!(entry.state, KeyState::Running, "a call has one outcome");
@@ -148,7 +147,7 @@
         }
     }
 
-    /// Forgets keys whose ticket has expired and that do not run.
+    /// Drops keys with an expired ticket, except those of running calls.
     pub fn expire(&mut self, now_ms: u64) {
         let usage = &mut self.usage;
         self.entries.retain(|key, entry| {
@@ -162,18 +161,19 @@
         self.usage.retain(|_, usage| usage.keys > 0);
     }
 
-    /// Stops spending for good.
+    /// Stops spending keys, irrevocably.
     pub fn close(&mut self) {
         self.closed = true;
     }
 
-    /// Whether a call still runs.
+    /// Whether a call is running.
     #[must_use]
     pub fn has_running(&self) -> bool {
         self.entries.values().any(|entry| entry.state == KeyState::Running)
     }
 
-    /// The ledger as another box keeps it after this one has stopped.
+    /// The copy that another box keeps after this one has stopped: running calls have an unknown
+    /// outcome.
     #[must_use]
     pub fn handover_copy(&self) -> Self {
         let mut copy = self.clone();
@@ -184,13 +184,13 @@
         copy
     }
 
-    /// Number of keys held.
+    /// Number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is held.
+    /// Whether there are no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/src/owner.rs
+++ b/src/owner.rs
@@ -1,10 +1,10 @@
 //! Ownership by rendezvous hashing.
 //!
-//! Every box computes the same owner from the same list of names. Ownership
-//! is advisory: two boxes with different lists may both act as owner, which
-//! costs a worse decision and nothing else.
+//! Every box computes the same owner from the same list of names. Ownership is advisory: if boxes
+//! have different lists, two of them may act as owner. This makes decisions worse, but breaks no
+//! guarantee.
 
-/// The `count` best of `names` for `key`, best first.
+/// The `count` names with the highest scores for `key`, highest first.
 #[must_use]
 pub fn ranked<'a>(
     key: &str,
@@ -16,7 +16,7 @@
     scored.into_iter().take(count).map(|(_, name)| name).collect()
 }
 
-/// The best of `names` for `key`.
+/// The name with the highest score for `key`.
 #[must_use]
 pub fn owner<'a>(key: &str, names: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     names.into_iter().max_by_key(|name| (score(key, name), *name))
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -1,25 +1,24 @@
-//! Tickets for calls that may not be repeated.
+//! Tickets for calls that must not run twice.
 //!
-//! A ticket prefix names the one incarnation of one box that may spend it,
-//! the client account it was given to and when it expires, sealed with the
-//! cluster key. A caller makes its own keys below a prefix, so that a call
-//! costs no round trip more.
+//! A ticket prefix names the only incarnation of a box that may spend it, the client account that
+//! it was issued to and its expiry time, and carries a MAC under the cluster key. Callers append
+//! their own keys to a prefix, so that a call needs no extra round trip.
 
 use serde::{Deserialize, Serialize};
 use subtle::ConstantTimeEq;
 
-/// A key shared by all boxes.
+/// Secret shared by all boxes.
 pub type ClusterKey = [u8; 32];
 
-/// Hex digits of a seal.
+/// Length of a MAC, in hex digits.
 const MAC_HEX_DIGITS: usize = 32;
 
-/// One run of one box's process.
+/// One run of a box's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BoxRef {
     /// Name of the box.
     pub name: String,
-    /// Rises with each start of the box's process.
+    /// Increases with each start of the box's process.
     pub incarnation: u64,
 }
 
@@ -29,18 +28,18 @@
     }
 }
 
-/// What a ticket prefix says.
+/// Contents of a ticket prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The only process that may spend it.
     pub spender: BoxRef,
     /// When it expires, in Unix milliseconds.
     pub expires_at_ms: u64,
-    /// Tells apart the prefixes of one process.
+    /// Distinguishes the prefixes that one process has issued.
     pub serial: u64,
 }
 
-/// Why an `Idempotency-Key` was not accepted.
+/// Why an `Idempotency-Key` is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum TicketError {
     /// the key has no ticket prefix; fetch one by POST /v1/tickets
@@ -52,7 +51,7 @@
 }
 
 impl Ticket {
-    /// The prefix to give to `account`.
+    /// Returns the ticket prefix for `account`, with its MAC.
     #[must_use]
     pub fn sign(&self, key: &ClusterKey, account: &str) -> String {
         let payload = self.payload();
@@ -65,10 +64,10 @@
         format!("{name}.{incarnation:x}.{:x}.{:x}", self.expires_at_ms, self.serial)
     }
 
-    /// Reads the prefix of `idempotency_key` and checks its seal.
+    /// Parses the ticket prefix of `idempotency_key` and verifies its MAC.
     ///
     /// # Errors
-    /// Says what is wrong with the key; the call has not run.
+    /// Returns what is wrong with the key; the call has not run.
     pub fn verify(
         key: &ClusterKey,
         account: &str,
