--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -92,9 +92,9 @@
 
     /// Counts a crash; whether it was not known.
     fn record_crash(&mut self, crash: Crash) -> bool {
-        let is_over = self.answered_at_ms.is_some_and(|at_ms| crash.at_ms <= at_ms);
+        let is_cleared = self.answered_at_ms.is_some_and(|at_ms| crash.at_ms <= at_ms);
         let is_known = self.crashes.iter().any(|known| known.upstream == crash.upstream);
-        if is_over || is_known {
+        if is_cleared || is_known {
             return false;
         }
         if self.crashes.len() == CRASHES_TO_QUARANTINE {
@@ -140,7 +140,7 @@
     ) -> UpdateUrgency {
         let suspect = self.suspects.entry(request).or_default();
         let is_new = suspect.record_crash(Crash { upstream, at_ms });
-        let news = match suspect.crashes.len() {
+        let urgency = match suspect.crashes.len() {
             _ if !is_new => UpdateUrgency::None,
             1 => UpdateUrgency::FirstCrash,
             _ => UpdateUrgency::Urgent,
@@ -148,7 +148,7 @@
         if self.suspects.len() > MAX_SUSPECTS {
             self.evict(now_ms);
         }
-        news
+        urgency
     }
 
     /// Notes that an upstream has answered a request; whether it was a suspect.
@@ -165,9 +165,11 @@
 
     /// The requests that are quarantined, with the upstreams that crashed.
     pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (Fingerprint, Vec<u32>)> {
-        let held = self.suspects.iter().filter(move |(_, one)| now_ms < one.until_ms());
-        held.map(|(request, one)| {
-            let mut upstreams: Vec<u32> = one.crashes.iter().map(|crash| crash.upstream).collect();
+        let quarantined =
+            self.suspects.iter().filter(move |(_, suspect)| now_ms < suspect.until_ms());
+        quarantined.map(|(request, suspect)| {
+            let mut upstreams: Vec<u32> =
+                suspect.crashes.iter().map(|crash| crash.upstream).collect();
             upstreams.sort_unstable();
             (*request, upstreams)
         })
@@ -191,19 +193,20 @@
         crashes: &[CrashReport],
         answers: &[AnswerReport],
     ) -> UpdateUrgency {
-        let mut news = UpdateUrgency::None;
-        for told in answers {
-            let at_ms = now_ms.saturating_sub(told.age_ms.into());
+        let mut urgency = UpdateUrgency::None;
+        for report in answers {
+            let at_ms = now_ms.saturating_sub(report.age_ms.into());
             // It may be told of before the crash that it clears.
-            if self.suspects.entry(told.request).or_default().record_answer(at_ms) {
-                news = UpdateUrgency::Urgent;
+            if self.suspects.entry(report.request).or_default().record_answer(at_ms) {
+                urgency = UpdateUrgency::Urgent;
             }
         }
-        for told in crashes {
-            let at_ms = now_ms.saturating_sub(told.age_ms.into());
-            news = news.max(self.record_crash(now_ms, told.request, told.upstream, at_ms));
+        for report in crashes {
+            let at_ms = now_ms.saturating_sub(report.age_ms.into());
+            urgency =
+                urgency.max(self.record_crash(now_ms, report.request, report.upstream, at_ms));
         }
-        news
+        urgency
     }
 
     /// The crashes to tell other boxes of: the latest, those first that matter most, and all
@@ -211,9 +214,11 @@
     pub fn crashes_to_announce(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let mut recent: Vec<(usize, CrashReport)> = Vec::new();
         for (request, suspect) in &self.suspects {
-            let late = suspect.crashes.iter().filter(|crash| now_ms < crash.at_ms + ANNOUNCE_MS);
+            let recent_crashes =
+                suspect.crashes.iter().filter(|crash| now_ms < crash.at_ms + ANNOUNCE_MS);
             recent.extend(
-                late.map(|crash| (suspect.crashes.len(), crash_report(now_ms, *request, *crash))),
+                recent_crashes
+                    .map(|crash| (suspect.crashes.len(), crash_report(now_ms, *request, *crash))),
             );
         }
         recent.sort_unstable_by_key(|(crashes, _)| std::cmp::Reverse(*crashes));
@@ -223,16 +228,21 @@
     }
 
     fn quarantined_to_announce(&mut self, now_ms: u64) -> Vec<CrashReport> {
-        let mut held: Vec<Fingerprint> = self.quarantined(now_ms).map(|(one, _)| one).collect();
-        if held.is_empty() {
+        let mut quarantined: Vec<Fingerprint> =
+            self.quarantined(now_ms).map(|(request, _)| request).collect();
+        if quarantined.is_empty() {
             return Vec::new();
         }
-        held.sort_unstable();
-        let start = self.next_announced % held.len();
+        quarantined.sort_unstable();
+        let start = self.next_announced % quarantined.len();
         self.next_announced = self.next_announced.wrapping_add(MAX_ANNOUNCED_QUARANTINED);
-        let due = held.iter().cycle().skip(start).take(held.len().min(MAX_ANNOUNCED_QUARANTINED));
-        let all = due.filter_map(|request| Some((request, self.suspects.get(request)?)));
-        let crashes = all.flat_map(|(request, suspect)| {
+        let announced = quarantined
+            .iter()
+            .cycle()
+            .skip(start)
+            .take(quarantined.len().min(MAX_ANNOUNCED_QUARANTINED));
+        let suspects = announced.filter_map(|request| Some((request, self.suspects.get(request)?)));
+        let crashes = suspects.flat_map(|(request, suspect)| {
             suspect.crashes.iter().map(|crash| crash_report(now_ms, *request, *crash))
         });
         crashes.collect()
@@ -258,11 +268,12 @@
         let rank = |request: &Fingerprint, suspect: &Suspect| {
             (suspect.crashes.len(), suspect.last_at_ms(), *request)
         };
-        let mut ranks: Vec<_> = self.suspects.iter().map(|(one, two)| rank(one, two)).collect();
+        let mut ranks: Vec<_> =
+            self.suspects.iter().map(|(request, suspect)| rank(request, suspect)).collect();
         ranks.sort_unstable();
         // Half of the room, so that this is done seldom.
-        let least = ranks[ranks.len() - MAX_SUSPECTS / 2];
-        self.suspects.retain(|request, suspect| rank(request, suspect) >= least);
+        let lowest = ranks[ranks.len() - MAX_SUSPECTS / 2];
+        self.suspects.retain(|request, suspect| rank(request, suspect) >= lowest);
     }
 }
 
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -85,11 +85,11 @@
     #[must_use]
     pub fn name(self) -> String {
         let mut name = String::new();
-        for c in format!("{self:?}").chars() {
-            if c.is_ascii_uppercase() && !name.is_empty() {
+        for character in format!("{self:?}").chars() {
+            if character.is_ascii_uppercase() && !name.is_empty() {
                 name.push('_');
             }
-            name.push(c.to_ascii_lowercase());
+            name.push(character.to_ascii_lowercase());
         }
         name
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -9,34 +9,34 @@
 /// What a retry costs, in thousandths.
 const COST_MILLI: u64 = 1000;
 /// Most that may be saved up, in thousandths.
-const CAP_MILLI: u64 = 20 * COST_MILLI;
+const MAX_BALANCE_MILLI: u64 = 20 * COST_MILLI;
 /// What a new budget starts with, in thousandths.
-const START_MILLI: u64 = 5 * COST_MILLI;
+const INITIAL_BALANCE_MILLI: u64 = 5 * COST_MILLI;
 
 /// The budget of one box towards one pool of upstreams.
 #[derive(Debug)]
 pub struct RetryBudget {
-    saved_milli: u64,
+    balance_milli: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved_milli: START_MILLI }
+        Self { balance_milli: INITIAL_BALANCE_MILLI }
     }
 }
 
 impl RetryBudget {
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved_milli = (self.saved_milli + EARNED_MILLI).min(CAP_MILLI);
+        self.balance_milli = (self.balance_milli + EARNED_MILLI).min(MAX_BALANCE_MILLI);
     }
 
     /// Takes one retry; false when the budget is spent.
     pub fn spend(&mut self) -> bool {
-        let Some(rest) = self.saved_milli.checked_sub(COST_MILLI) else {
+        let Some(balance_milli) = self.balance_milli.checked_sub(COST_MILLI) else {
             return false;
         };
-        self.saved_milli = rest;
+        self.balance_milli = balance_milli;
         true
     }
 }
