--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,13 +1,13 @@
-//! Requests under which upstreams crash.
+//! Quarantine of requests that crash upstreams.
 //!
-//! Some requests crash whatever begins to run them, and come again under another id, at any
-//! box. Each crash also ends what else runs there, so that it says little of any one request:
-//! one under which [`CRASHES`] upstreams have crashed, and which none has run to an end since,
-//! is quarantined. Its next run after that decides: an answer clears it, a crash quarantines
-//! it again.
+//! Some requests crash every upstream that starts to run them, and are retried under another id at
+//! any box. A crash also ends everything else that runs on the upstream, so that one crash says
+//! little about any single request. A request is quarantined once [`CRASHES_TO_QUARANTINE`]
+//! upstreams have crashed while they ran it and none has completed it since. Its first run after
+//! the quarantine decides: an answer clears the request, a crash quarantines it again.
 //!
-//! Boxes tell each other of crashes for a while, and pass on what they hear; quarantined
-//! requests are kept in the platform's store as well.
+//! For a while, boxes announce crashes to each other and pass on what they receive. Quarantined
+//! requests are also kept in the platform's store.
 
 use std::collections::HashMap;
 
@@ -15,50 +15,50 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Upstreams that must crash under a request before it is quarantined: a bystander meets
-/// one with each of its tries at most.
+/// Upstreams that must crash while they run a request before it is quarantined. A bystander meets
+/// at most one crash with each of its attempts.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// Time for which a request is quarantined.
+/// Duration of a quarantine.
 pub const QUARANTINE_MS: u64 = 3_600_000;
-/// Time for which a request is suspect after a crash, quarantine included.
+/// Time for which a request remains suspect after a crash, including the quarantine.
 const SUSPECT_MS: u64 = 2 * QUARANTINE_MS;
-/// Time for which a crash is told to other boxes.
+/// Time for which a crash or an answer is announced to other boxes.
 const ANNOUNCE_MS: u64 = 3000;
-/// Crashes told in one message.
+/// Maximum number of recent crashes, or of answers, in one message.
 const MAX_ANNOUNCED_CRASHES: usize = 48;
-/// Quarantined requests told in one message, in turn.
+/// Maximum number of quarantined requests in one message; they take turns.
 const MAX_ANNOUNCED_QUARANTINED: usize = 8;
-/// Suspects remembered; a crash of a large upstream brings dozens.
+/// Maximum number of suspect requests; the crash of a large upstream adds dozens.
 const MAX_SUSPECTS: usize = 4096;
 
-/// What a message brought; later variants matter more.
+/// How quickly to announce what an update has changed; later variants are more urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum UpdateUrgency {
-    /// Nothing that was not known.
+    /// Nothing has changed.
     None,
-    /// The first crash under a request, which each bystander has.
+    /// The first crash under a request, which every bystander also gets.
     FirstCrash,
-    /// What others should know at once.
+    /// Announce the change immediately.
     Urgent,
 }
 
-/// An upstream that crashed while it had a request.
+/// A crash of an upstream that was running a request, as announced to other boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Number of the upstream's run.
+    /// Short id of the upstream's run.
     pub upstream: u32,
-    /// Time since, in milliseconds: clocks of boxes may differ.
+    /// Age in milliseconds, as the clocks of boxes may differ.
     pub age_ms: u32,
 }
 
-/// A suspect request that an upstream has answered.
+/// An answer to a suspect request, as announced to other boxes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Time since, in milliseconds.
+    /// Age in milliseconds.
     pub age_ms: u32,
 }
 
@@ -68,10 +68,10 @@
     at_ms: u64,
 }
 
-/// What is known of one request.
+/// Crashes and answers of one request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// Crashes since it was answered last, [`CRASHES`] at most.
+    /// Crashes since the latest answer, at most [`CRASHES_TO_QUARANTINE`].
     crashes: Vec<Crash>,
     answered_at_ms: Option<u64>,
 }
@@ -81,7 +81,7 @@
         self.crashes.iter().map(|crash| crash.at_ms).max().unwrap_or_default()
     }
 
-    /// Until when it is quarantined; 0 if it never was.
+    /// End of the quarantine; 0 if the request was never quarantined.
     fn until_ms(&self) -> u64 {
         if self.crashes.len() < CRASHES_TO_QUARANTINE {
             0
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Counts a crash; whether it was not known.
+    /// Records a crash; returns whether it is new.
     fn record_crash(&mut self, crash: Crash) -> bool {
         let is_cleared = self.answered_at_ms.is_some_and(|at_ms| crash.at_ms <= at_ms);
         let is_known = self.crashes.iter().any(|known| known.upstream == crash.upstream);
@@ -108,7 +108,7 @@
         true
     }
 
-    /// Notes an answer; whether it clears crashes.
+    /// Records an answer; returns whether it clears a crash.
     fn record_answer(&mut self, at_ms: u64) -> bool {
         let before = self.crashes.len();
         self.answered_at_ms = self.answered_at_ms.max(Some(at_ms));
@@ -122,7 +122,7 @@
     }
 }
 
-/// The requests under which upstreams crashed.
+/// All suspect and quarantined requests.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
@@ -130,7 +130,7 @@
 }
 
 impl Quarantine {
-    /// Counts an upstream that crashed while it had a request.
+    /// Records that an upstream has crashed while it ran a request.
     pub fn record_crash(
         &mut self,
         now_ms: u64,
@@ -151,19 +151,19 @@
         urgency
     }
 
-    /// Notes that an upstream has answered a request; whether it was a suspect.
+    /// Records that an upstream has answered a request; returns whether this clears a crash.
     pub fn record_answer(&mut self, request: Fingerprint, at_ms: u64) -> bool {
         self.suspects.get_mut(&request).is_some_and(|suspect| suspect.record_answer(at_ms))
     }
 
-    /// Until when a request is quarantined; `None` if it is not.
+    /// End of a request's quarantine; `None` if it is not quarantined.
     #[must_use]
     pub fn until_ms(&self, now_ms: u64, request: Fingerprint) -> Option<u64> {
         let until_ms = self.suspects.get(&request)?.until_ms();
         (now_ms < until_ms).then_some(until_ms)
     }
 
-    /// The requests that are quarantined, with the upstreams that crashed.
+    /// The quarantined requests, each with the upstreams that crashed.
     pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (Fingerprint, Vec<u32>)> {
         let quarantined =
             self.suspects.iter().filter(move |(_, suspect)| now_ms < suspect.until_ms());
@@ -175,7 +175,7 @@
         })
     }
 
-    /// Takes a quarantined request from a list that tells no times.
+    /// Merges a quarantined request from a list that has no timestamps.
     pub fn merge_listed(&mut self, now_ms: u64, request: Fingerprint, upstreams: &[u32]) {
         let suspect = self.suspects.entry(request).or_default();
         // The list may be older than the answer.
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Takes what another box told.
+    /// Merges reports from another box.
     pub fn merge_reports(
         &mut self,
         now_ms: u64,
@@ -196,7 +196,7 @@
         let mut urgency = UpdateUrgency::None;
         for report in answers {
             let at_ms = now_ms.saturating_sub(report.age_ms.into());
-            // It may be told of before the crash that it clears.
+            // The answer may be reported before the crash that it clears.
             if self.suspects.entry(report.request).or_default().record_answer(at_ms) {
                 urgency = UpdateUrgency::Urgent;
             }
@@ -209,8 +209,8 @@
         urgency
     }
 
-    /// The crashes to tell other boxes of: the latest, those first that matter most, and all
-    /// of some quarantined requests in turn.
+    /// The crashes to announce: recent ones, starting with the requests that have the most crashes,
+    /// and all crashes of some quarantined requests, which take turns.
     pub fn crashes_to_announce(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let mut recent: Vec<(usize, CrashReport)> = Vec::new();
         for (request, suspect) in &self.suspects {
@@ -248,7 +248,7 @@
         crashes.collect()
     }
 
-    /// The suspects that were answered lately, to tell other boxes of.
+    /// The recent answers to announce.
     #[must_use]
     pub fn answers_to_announce(&self, now_ms: u64) -> Vec<AnswerReport> {
         let answered = self.suspects.iter().filter_map(|(request, suspect)| {
@@ -258,20 +258,21 @@
         answered.take(MAX_ANNOUNCED_CRASHES).collect()
     }
 
-    /// Forgets what is long ago, and of the rest what has the fewest and oldest crashes.
+    /// Evicts requests without recent crashes or answers and, if there are still too many, those
+    /// with the fewest and oldest crashes.
     fn evict(&mut self, now_ms: u64) {
         self.suspects.retain(|_, suspect| suspect.is_recent(now_ms));
         if self.suspects.len() <= MAX_SUSPECTS {
             return;
         }
-        // The request tells those apart that are equal otherwise.
+        // The fingerprint breaks ties.
         let rank = |request: &Fingerprint, suspect: &Suspect| {
             (suspect.crashes.len(), suspect.last_at_ms(), *request)
         };
         let mut ranks: Vec<_> =
             self.suspects.iter().map(|(request, suspect)| rank(request, suspect)).collect();
         ranks.sort_unstable();
-        // Half of the room, so that this is done seldom.
+        // Keeps half of the limit, so that this happens rarely.
         let lowest = ranks[ranks.len() - MAX_SUSPECTS / 2];
         self.suspects.retain(|request, suspect| rank(request, suspect) >= lowest);
     }
--- a/src/refusal.rs
+++ b/src/refusal.rs
@@ -1,8 +1,8 @@
-//! Refusals, typed by what they say about the run.
+//! Refusals of calls, each with what is known about whether the call has run.
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about the run of a refused call.
+/// Whether a refused call has run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, displaydoc::Display)]
 pub enum Ran {
     /// not run
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Name used in answers and metrics.
+    /// Name in answers and metrics.
     #[must_use]
     pub fn name(self) -> String {
         let mut name = String::new();
@@ -98,28 +98,28 @@
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What is known about the run.
+    /// Whether the call has run.
     pub ran: Ran,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When to come back, in Unix milliseconds; none when it is of no use.
+    /// When to retry, in Unix milliseconds; `None` if a retry is pointless.
     pub retry_at_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a call that has not run.
+    /// Creates a refusal of a call that has not run.
     #[must_use]
     pub fn not_run(reason: Reason) -> Self {
         Self { ran: Ran::NotRun, reason, retry_at_ms: None }
     }
 
-    /// A refusal of a call that may have run.
+    /// Creates a refusal of a call that may have run.
     #[must_use]
     pub fn unknown(reason: Reason) -> Self {
         Self { ran: Ran::Unknown, reason, retry_at_ms: None }
     }
 
-    /// The same with a time to come back at.
+    /// Sets the time at which to retry.
     #[must_use]
     pub fn retry_at(self, retry_at_ms: u64) -> Self {
         Self { retry_at_ms: Some(retry_at_ms), ..self }
