--- a/src/membership.rs
+++ b/src/membership.rs
@@ -21,7 +21,7 @@
 /// Boxes asked to probe in one's place.
 const INDIRECT_PROBES: usize = 2;
 /// Every so many probes one goes to another hall.
-const FAR_PROBE_EVERY: u64 = 4;
+const OTHER_HALL_PROBE_EVERY: u64 = 4;
 /// Every so many probes one goes to a dead member, to notice a healed cut.
 const DEAD_PROBE_EVERY: u64 = 5;
 /// Shortest time between comparisons with peers whose view differs.
@@ -32,22 +32,22 @@
 const SEED_PROBE_EVERY: u64 = 10;
 /// Askings after which a box takes it that no older one is there to answer: with a
 /// seed in three down, all miss it once in 240 starts.
-const JOIN_TRIES: u32 = 5;
+const MAX_JOIN_REQUESTS: u32 = 5;
 /// Number of heartbeats, which no probe has.
 const HEARTBEAT_SEQ: u64 = 0;
 /// Peers asked at once who keeps a ledger.
-const HEIRS_ASKED: usize = 3;
+const HEIR_QUERY_PEERS: usize = 3;
 /// Members in one message of a table transfer.
 pub const MAX_TABLE_MEMBERS: usize = 64;
 
 struct Probe {
     name: String,
     sent_at_ms: u64,
-    relayed: bool,
+    is_indirect: bool,
 }
 
-struct Relay {
-    to: String,
+struct PeerProbe {
+    requester: String,
     seq: u64,
     expires_at_ms: u64,
 }
@@ -57,12 +57,12 @@
     view: View,
     seeds: Vec<String>,
     probes: HashMap<u64, Probe>,
-    relays: HashMap<u64, Relay>,
-    order: Vec<String>,
+    peer_probes: HashMap<u64, PeerProbe>,
+    probe_order: Vec<String>,
     /// Whether a peer has answered with its whole table. Only that tells of the
     /// heirs of boxes that were replaced before.
     joined: bool,
-    joins_sent: u32,
+    join_requests: u32,
     next_probe_at_ms: u64,
     next_sync_at_ms: u64,
     next_seq: u64,
@@ -79,10 +79,10 @@
             view: View::new(me),
             seeds,
             probes: HashMap::new(),
-            relays: HashMap::new(),
-            order: Vec::new(),
+            peer_probes: HashMap::new(),
+            probe_order: Vec::new(),
             joined: false,
-            joins_sent: 0,
+            join_requests: 0,
             next_probe_at_ms: 0,
             next_sync_at_ms: 0,
             next_seq: 1,
@@ -118,12 +118,12 @@
         let live = self.view.others().filter(|member| member.takes_work());
         let mut peers: Vec<_> = live.map(|member| member.address.clone()).collect();
         self.rng.shuffle(&mut peers);
-        peers.truncate(HEIRS_ASKED);
+        peers.truncate(HEIR_QUERY_PEERS);
         let gossip = Gossip::Heirs { of: of.clone() };
         peers.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
-    fn tell_heirs(&self, to: &str, of: &BoxRef) -> Vec<Outgoing> {
+    fn heirs_reply(&self, to: &str, of: &BoxRef) -> Vec<Outgoing> {
         let members: Vec<_> = self.view.heir_chain(of).into_iter().cloned().collect();
         if members.iter().all(|member| member.heir.is_none()) {
             return Vec::new();
@@ -139,13 +139,13 @@
 
     /// Does what is due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        let mut outgoing = self.relay_late_probes(now_ms);
+        let mut outgoing = self.indirect_probes(now_ms);
         self.suspect_unanswered(now_ms);
         self.view.expire_members(now_ms);
         if now_ms >= self.next_probe_at_ms {
             self.next_probe_at_ms = now_ms + PROBE_PERIOD_MS;
             outgoing.extend(self.probe_next(now_ms));
-            outgoing.extend(self.join_seed());
+            outgoing.extend(self.join_or_probe_seed());
         }
         outgoing
     }
@@ -156,23 +156,23 @@
             Gossip::Ping { seq, digest, updates } => {
                 self.view.merge_members(now_ms, updates);
                 let mut outgoing = vec![self.ack(from, seq)];
-                outgoing.extend(self.sync(now_ms, from, digest));
+                outgoing.extend(self.compare_views(now_ms, from, digest));
                 outgoing
             }
             Gossip::Ack { seq, digest, updates } => {
                 self.view.merge_members(now_ms, updates);
-                let mut outgoing = self.acknowledge(seq);
-                outgoing.extend(self.sync(now_ms, from, digest));
+                let mut outgoing = self.handle_ack(seq);
+                outgoing.extend(self.compare_views(now_ms, from, digest));
                 outgoing
             }
             Gossip::PingReq { seq, target, updates } => {
                 self.view.merge_members(now_ms, updates);
-                self.relay(now_ms, from, seq, &target)
+                self.probe_for_peer(now_ms, from, seq, &target)
             }
-            Gossip::Compare { digests } => self.differing(from, &digests),
+            Gossip::Compare { digests } => self.differing_reply(from, &digests),
             Gossip::Join { member } => {
                 self.view.merge(now_ms, member);
-                self.table(from)
+                self.table_reply(from)
             }
             Gossip::Joined { members } => {
                 self.joined = true;
@@ -183,24 +183,24 @@
                 self.view.merge_members(now_ms, members);
                 Vec::new()
             }
-            Gossip::Heirs { of } => self.tell_heirs(from, &of),
+            Gossip::Heirs { of } => self.heirs_reply(from, &of),
         }
     }
 
     fn probe_next(&mut self, now_ms: u64) -> Option<Outgoing> {
         self.probes_sent += 1;
         let name = if self.probes_sent.is_multiple_of(DEAD_PROBE_EVERY) {
-            self.pick(|_, member| member.health == Health::Dead)
-        } else if self.probes_sent.is_multiple_of(FAR_PROBE_EVERY) {
-            self.pick(|me, member| member.hall != me.hall && member.health != Health::Dead)
+            self.random_member(|_, member| member.health == Health::Dead)
+        } else if self.probes_sent.is_multiple_of(OTHER_HALL_PROBE_EVERY) {
+            self.random_member(|me, member| member.hall != me.hall && member.health != Health::Dead)
         } else {
             None
         };
-        let name = name.or_else(|| self.next_in_order())?;
+        let name = name.or_else(|| self.next_in_hall())?;
         let target = self.view.member(&name)?.clone();
         let to = target.address.clone();
-        let seq = self.take_seq();
-        self.probes.insert(seq, Probe { name, sent_at_ms: now_ms, relayed: false });
+        let seq = self.allocate_seq();
+        self.probes.insert(seq, Probe { name, sent_at_ms: now_ms, is_indirect: false });
         let mut updates = self.view.updates();
         // A box learns here that it is suspected, so that it can refute that.
         if target.health != Health::Alive {
@@ -210,17 +210,17 @@
         Some(Outgoing { to, gossip: Gossip::Ping { seq, digest, updates } })
     }
 
-    fn pick(&mut self, wanted: impl Fn(&Member, &Member) -> bool) -> Option<String> {
+    fn random_member(&mut self, wanted: impl Fn(&Member, &Member) -> bool) -> Option<String> {
         let others = self.view.others();
-        let fit: Vec<_> = others.filter(|member| wanted(self.view.me(), member)).collect();
-        let index = self.rng.usize(..fit.len().max(1));
-        fit.get(index).map(|member| member.id.name.clone())
+        let matching: Vec<_> = others.filter(|member| wanted(self.view.me(), member)).collect();
+        let index = self.rng.usize(..matching.len().max(1));
+        matching.get(index).map(|member| member.id.name.clone())
     }
 
     /// Walks through the hall in a random order, so that each member is
     /// probed within a bounded time.
-    fn next_in_order(&mut self) -> Option<String> {
-        while let Some(name) = self.order.pop() {
+    fn next_in_hall(&mut self) -> Option<String> {
+        while let Some(name) = self.probe_order.pop() {
             if self.view.member(&name).is_some_and(Member::takes_work) {
                 return Some(name);
             }
@@ -230,52 +230,54 @@
         let (near, far): (Vec<_>, Vec<_>) =
             live.partition(|member| member.hall == self.view.me().hall);
         let next = if near.is_empty() { far } else { near };
-        self.order = next.iter().map(|member| member.id.name.clone()).collect();
-        self.rng.shuffle(&mut self.order);
-        self.order.pop()
+        self.probe_order = next.iter().map(|member| member.id.name.clone()).collect();
+        self.rng.shuffle(&mut self.probe_order);
+        self.probe_order.pop()
     }
 
     /// Asks for the whole table while this box is alone or nobody has sent it: a
     /// box that is probed before it has asked knows others, but not all.
-    fn join_seed(&mut self) -> Option<Outgoing> {
+    fn join_or_probe_seed(&mut self) -> Option<Outgoing> {
         let live: Vec<_> = self.view.others().filter(|member| member.takes_work()).collect();
-        let alone = live.is_empty();
-        let to = if alone || self.joined {
+        let is_alone = live.is_empty();
+        let to = if is_alone || self.joined {
             self.seeds.get(self.rng.usize(..self.seeds.len().max(1)))?.clone()
         } else {
             live[self.rng.usize(..live.len())].address.clone()
         };
-        if alone || !self.joined {
-            self.joins_sent += 1;
-            self.joined = self.joins_sent >= JOIN_TRIES;
+        if is_alone || !self.joined {
+            self.join_requests += 1;
+            self.joined = self.join_requests >= MAX_JOIN_REQUESTS;
             let member = self.view.me().clone();
             return Some(Outgoing { to, gossip: Gossip::Join { member } });
         }
         let due = self.probes_sent.is_multiple_of(SEED_PROBE_EVERY);
         due.then(|| {
-            let (seq, digest, updates) = (self.take_seq(), self.view.digest(), self.view.updates());
+            let (seq, digest, updates) =
+                (self.allocate_seq(), self.view.digest(), self.view.updates());
             Outgoing { to, gossip: Gossip::Ping { seq, digest, updates } }
         })
     }
 
-    fn relay_late_probes(&mut self, now_ms: u64) -> Vec<Outgoing> {
-        let due =
-            |probe: &&mut Probe| !probe.relayed && now_ms >= probe.sent_at_ms + DIRECT_TIMEOUT_MS;
-        let mut late = Vec::new();
+    fn indirect_probes(&mut self, now_ms: u64) -> Vec<Outgoing> {
+        let due = |probe: &&mut Probe| {
+            !probe.is_indirect && now_ms >= probe.sent_at_ms + DIRECT_TIMEOUT_MS
+        };
+        let mut unanswered = Vec::new();
         for probe in self.probes.values_mut() {
             if due(&probe) {
-                probe.relayed = true;
-                late.push(probe.name.clone());
+                probe.is_indirect = true;
+                unanswered.push(probe.name.clone());
             }
         }
         let mut outgoing = Vec::new();
-        for name in late {
-            outgoing.extend(self.ask_others(&name));
+        for name in unanswered {
+            outgoing.extend(self.indirect_probes_of(&name));
         }
         outgoing
     }
 
-    fn ask_others(&mut self, name: &str) -> Vec<Outgoing> {
+    fn indirect_probes_of(&mut self, name: &str) -> Vec<Outgoing> {
         let Some(target) = self.view.member(name).map(|member| member.address.clone()) else {
             return Vec::new();
         };
@@ -293,10 +295,11 @@
         helpers.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
-    fn relay(&mut self, now_ms: u64, from: &str, seq: u64, target: &str) -> Vec<Outgoing> {
-        let own_seq = self.take_seq();
+    fn probe_for_peer(&mut self, now_ms: u64, from: &str, seq: u64, target: &str) -> Vec<Outgoing> {
+        let own_seq = self.allocate_seq();
         let expires_at_ms = now_ms + PROBE_TIMEOUT_MS;
-        self.relays.insert(own_seq, Relay { to: from.to_owned(), seq, expires_at_ms });
+        self.peer_probes
+            .insert(own_seq, PeerProbe { requester: from.to_owned(), seq, expires_at_ms });
         let updates = self.view.updates();
         let gossip = Gossip::Ping { seq: own_seq, digest: self.view.digest(), updates };
         vec![Outgoing { to: target.to_owned(), gossip }]
@@ -310,7 +313,7 @@
 
     /// Compares the table with a peer whose view differs, when no news under
     /// way explains that: views converge whatever was lost.
-    fn sync(&mut self, now_ms: u64, to: &str, digest: u64) -> Option<Outgoing> {
+    fn compare_views(&mut self, now_ms: u64, to: &str, digest: u64) -> Option<Outgoing> {
         if self.view.changed_recently(now_ms)
             || now_ms < self.next_sync_at_ms
             || digest == self.view.digest()
@@ -323,9 +326,11 @@
     }
 
     /// The members of some buckets in which a peer's view differs.
-    fn differing(&mut self, to: &str, digests: &[u64]) -> Vec<Outgoing> {
-        let own = self.view.bucket_digests();
-        let differ = |bucket: &usize| digests.get(*bucket).is_some_and(|one| *one != own[*bucket]);
+    fn differing_reply(&mut self, to: &str, digests: &[u64]) -> Vec<Outgoing> {
+        let own_digests = self.view.bucket_digests();
+        let differ = |bucket: &usize| {
+            digests.get(*bucket).is_some_and(|digest| *digest != own_digests[*bucket])
+        };
         let mut buckets: Vec<_> = (0..SYNC_BUCKETS).filter(differ).collect();
         self.rng.shuffle(&mut buckets);
         buckets.truncate(MAX_SYNCED_BUCKETS);
@@ -333,31 +338,31 @@
         vec![Outgoing { to: to.to_owned(), gossip: Gossip::Table { members } }]
     }
 
-    fn acknowledge(&mut self, seq: u64) -> Vec<Outgoing> {
-        if let Some(relay) = self.relays.remove(&seq) {
-            return vec![self.ack(&relay.to, relay.seq)];
+    fn handle_ack(&mut self, seq: u64) -> Vec<Outgoing> {
+        if let Some(peer_probe) = self.peer_probes.remove(&seq) {
+            return vec![self.ack(&peer_probe.requester, peer_probe.seq)];
         }
         self.probes.remove(&seq);
         Vec::new()
     }
 
     fn suspect_unanswered(&mut self, now_ms: u64) {
-        let mut lost = Vec::new();
+        let mut unanswered = Vec::new();
         self.probes.retain(|_, probe| {
-            let waits = now_ms < probe.sent_at_ms + PROBE_TIMEOUT_MS;
-            if !waits {
-                lost.push(probe.name.clone());
+            let is_pending = now_ms < probe.sent_at_ms + PROBE_TIMEOUT_MS;
+            if !is_pending {
+                unanswered.push(probe.name.clone());
             }
-            waits
+            is_pending
         });
-        for name in lost {
+        for name in unanswered {
             self.view.mark_suspect(now_ms, &name);
         }
-        self.relays.retain(|_, relay| relay.expires_at_ms > now_ms);
+        self.peer_probes.retain(|_, peer_probe| peer_probe.expires_at_ms > now_ms);
     }
 
     /// The whole table, as far as this box knows it.
-    fn table(&self, to: &str) -> Vec<Outgoing> {
+    fn table_reply(&self, to: &str) -> Vec<Outgoing> {
         let all: Vec<_> =
             self.view.members().chain(self.view.replaced_incarnations()).cloned().collect();
         let message = |members: Vec<Member>| {
@@ -369,7 +374,7 @@
             .collect()
     }
 
-    fn take_seq(&mut self) -> u64 {
+    fn allocate_seq(&mut self) -> u64 {
         self.next_seq += 1;
         self.next_seq
     }
