--- a/src/member.rs
+++ b/src/member.rs
@@ -1,49 +1,49 @@
-//! A box as the others know it, and what members say to each other.
+//! State of a member, and the messages between members.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ticket::BoxRef;
 
-/// How a member is.
+/// Health of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
     /// Answers probes.
     Alive,
-    /// Has not answered; may be dead.
+    /// Has not answered a probe; may be dead.
     Suspect,
-    /// Stops as planned and takes no new work.
+    /// Is stopping as planned and takes no new work.
     Leaving,
-    /// Has stopped or cannot be reached.
+    /// Has stopped or is unreachable.
     Dead,
 }
 
-/// A box as the others know it.
+/// State of a box as known to other boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The box and its incarnation.
     pub id: BoxRef,
     /// Data hall of the box.
     pub hall: String,
-    /// Region of the hall.
+    /// Region of the data hall.
     pub region: String,
-    /// Where the box listens for its peers.
+    /// Address on which the box listens for its peers.
     pub address: String,
-    /// Rises each time the box refutes a rumour about itself.
+    /// Increases each time the box refutes a wrong state that other boxes report of it.
     #[serde(rename = "beat")]
     pub refutations: u32,
-    /// How it is.
+    /// Health of the box.
     pub health: Health,
-    /// Who keeps its ledger after a planned stop.
+    /// The box that keeps its ledger after a planned stop.
     pub heir: Option<BoxRef>,
 }
 
 impl Member {
-    /// Order of what is said of one box: the greater is the newer.
+    /// Orders the states of one box from oldest to newest.
     pub(crate) fn rank(&self) -> (u64, u32, Health, bool) {
         (self.id.incarnation, self.refutations, self.health, self.heir.is_some())
     }
 
-    /// Hash of what is said of this box; a suspicion alone does not change it.
+    /// Hash of the state; it does not change when the box becomes suspect.
     pub(crate) fn digest(&self) -> u64 {
         let mut hasher = blake3::Hasher::new();
         hasher.update(self.id.name.as_bytes());
@@ -55,13 +55,13 @@
         u64::from_le_bytes(bytes)
     }
 
-    /// Bucket of the table that this box falls into.
+    /// Bucket of the box in comparisons of views.
     pub(crate) fn bucket(&self, buckets: usize) -> usize {
         let hash = blake3::hash(self.id.name.as_bytes());
         usize::from(hash.as_bytes()[0]) % buckets
     }
 
-    /// Whether new work may be sent there.
+    /// Whether new work may be sent to the box.
     #[must_use]
     pub fn takes_work(&self) -> bool {
         matches!(self.health, Health::Alive | Health::Suspect)
@@ -71,29 +71,29 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Gossip {
-    /// Asks for an [`Gossip::Ack`].
+    /// Requests an [`Gossip::Ack`].
     Ping { seq: u64, digest: u64, updates: Vec<Member> },
     /// Answers a [`Gossip::Ping`].
     Ack { seq: u64, digest: u64, updates: Vec<Member> },
-    /// Asks to probe `target` in the sender's place.
+    /// Requests that the receiver probes `target` on behalf of the sender.
     PingReq { seq: u64, target: String, updates: Vec<Member> },
-    /// Asks for the members in buckets whose digest differs.
+    /// Requests the members in the buckets whose digests differ.
     Compare { digests: Vec<u64> },
-    /// Asks for the whole table.
+    /// Requests the whole table.
     Join { member: Member },
     /// Answers a [`Gossip::Join`] with a part of the whole table.
     Joined { members: Vec<Member> },
-    /// Some members.
+    /// A part of the members.
     Table { members: Vec<Member> },
-    /// Asks who keeps the ledger of a box, and hears a [`Gossip::Table`].
+    /// Asks which box keeps the ledger of a box; answered by a [`Gossip::Table`].
     Heirs { of: BoxRef },
 }
 
 /// A message to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Peer address.
+    /// Address of the peer.
     pub to: String,
-    /// What to send.
+    /// The message.
     pub gossip: Gossip,
 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,10 +1,9 @@
-//! Who is alive: probes of constant cost, with news carried along.
+//! Failure detection by probes of constant cost, with gossip in their messages.
 //!
-//! Each period a box probes one other box, mostly of its own hall, and sends
-//! the newest member states along. A box that answers neither directly nor
-//! through others becomes suspect, and later dead. Membership only guides
-//! where to send; nothing that must hold rests on it. A box that was taken for
-//! dead and comes back refutes that with a higher beat.
+//! In each period, a box probes one other box, usually in its own hall, and appends the latest
+//! member states. A box that answers neither directly nor through other boxes becomes suspect, and
+//! later dead. Membership only decides where messages are sent; no guarantee depends on it. A box
+//! that was considered dead and returns refutes this with a higher refutation counter.
 
 use std::collections::HashMap;
 
@@ -12,32 +11,32 @@
 use crate::ticket::BoxRef;
 use crate::view::{SYNC_BUCKETS, View};
 
-/// Time between probes.
+/// Interval between probes.
 pub const PROBE_PERIOD_MS: u64 = 1000;
-/// Time until others are asked to probe.
+/// Time after which other boxes are asked to probe the target.
 const DIRECT_TIMEOUT_MS: u64 = 400;
-/// Time until an unanswered probe makes its target suspect.
+/// Time after which the target of an unanswered probe becomes suspect.
 const PROBE_TIMEOUT_MS: u64 = 900;
-/// Boxes asked to probe in one's place.
+/// Number of boxes that are asked to probe a target indirectly.
 const INDIRECT_PROBES: usize = 2;
-/// Every so many probes one goes to another hall.
+/// One in this many probes goes to another hall.
 const OTHER_HALL_PROBE_EVERY: u64 = 4;
-/// Every so many probes one goes to a dead member, to notice a healed cut.
+/// One in this many probes goes to a dead member, to detect that a network partition has ended.
 const DEAD_PROBE_EVERY: u64 = 5;
-/// Shortest time between comparisons with peers whose view differs.
+/// Minimum interval between comparisons with peers whose view differs.
 const SYNC_PERIOD_MS: u64 = 2000;
-/// Differing buckets answered in one message.
+/// Maximum number of differing buckets in one answer.
 const MAX_SYNCED_BUCKETS: usize = 4;
-/// Every so many probes one goes to a seed, so that islands meet.
+/// One in this many probes goes to a seed, so that separate clusters merge.
 const SEED_PROBE_EVERY: u64 = 10;
-/// Askings after which a box takes it that no older one is there to answer: with a
-/// seed in three down, all miss it once in 240 starts.
+/// Join requests after which a box assumes that no established member is there to answer. If one
+/// seed in three is down, all of them reach it once in 240 starts.
 const MAX_JOIN_REQUESTS: u32 = 5;
-/// Number of heartbeats, which no probe has.
+/// Sequence number of heartbeats, which no probe uses.
 const HEARTBEAT_SEQ: u64 = 0;
-/// Peers asked at once who keeps a ledger.
+/// Number of peers that are asked at once which box keeps a ledger.
 const HEIR_QUERY_PEERS: usize = 3;
-/// Members in one message of a table transfer.
+/// Maximum number of members in one message of a table transfer.
 pub const MAX_TABLE_MEMBERS: usize = 64;
 
 struct Probe {
@@ -52,15 +51,15 @@
     expires_at_ms: u64,
 }
 
-/// A box's view of all boxes, and the probes that keep it true.
+/// A box's view of all boxes, and the probes that keep it up to date.
 pub struct Membership {
     view: View,
     seeds: Vec<String>,
     probes: HashMap<u64, Probe>,
     peer_probes: HashMap<u64, PeerProbe>,
     probe_order: Vec<String>,
-    /// Whether a peer has answered with its whole table. Only that tells of the
-    /// heirs of boxes that were replaced before.
+    /// Whether a peer has sent its whole table. Only the whole table includes the heirs of
+    /// incarnations that were replaced earlier.
     joined: bool,
     join_requests: u32,
     next_probe_at_ms: u64,
@@ -71,7 +70,7 @@
 }
 
 impl Membership {
-    /// Starts with a view of `me` alone; `seeds` are asked for the others.
+    /// Creates a membership that knows only `me`; `seeds` are asked for the other members.
     #[must_use]
     pub fn new(me: Member, mut seeds: Vec<String>, seed: u64) -> Self {
         seeds.retain(|seed| *seed != me.address);
@@ -91,18 +90,18 @@
         }
     }
 
-    /// What this box knows.
+    /// The current view.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Takes what is said of a member.
+    /// Merges the state of a member.
     pub fn merge(&mut self, now_ms: u64, member: Member) {
         self.view.merge(now_ms, member);
     }
 
-    /// Announces a planned stop, and who answers for the ledger.
+    /// Announces a planned stop and the heir, which is the box that takes over this box's ledger.
     pub fn leave(&mut self, heir: Option<BoxRef>) {
         self.view.leave(heir);
     }
@@ -112,8 +111,8 @@
         self.view.record_inheritance(now_ms, leaver);
     }
 
-    /// Asks some peers who keeps the ledger of a box. Who was away when that was told
-    /// hears of it in no other way.
+    /// Asks some peers which box keeps the ledger of a box. A box that was unreachable when this
+    /// was announced cannot learn it in any other way.
     pub fn ask_heirs(&mut self, of: &BoxRef) -> Vec<Outgoing> {
         let live = self.view.others().filter(|member| member.takes_work());
         let mut peers: Vec<_> = live.map(|member| member.address.clone()).collect();
@@ -131,13 +130,13 @@
         vec![Outgoing { to: to.to_owned(), gossip: Gossip::Table { members } }]
     }
 
-    /// A message that is answered and says what this box knows, like a probe.
+    /// A message that carries a digest of this box's view and must be answered, like a probe.
     #[must_use]
     pub fn heartbeat(&self) -> Gossip {
         Gossip::Ping { seq: HEARTBEAT_SEQ, digest: self.view.digest(), updates: Vec::new() }
     }
 
-    /// Does what is due.
+    /// Sends the probes that are due, and updates members that have not answered in time.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Outgoing> {
         let mut outgoing = self.indirect_probes(now_ms);
         self.suspect_unanswered(now_ms);
@@ -150,7 +149,7 @@
         outgoing
     }
 
-    /// Takes a message from a peer that listens at `from`.
+    /// Processes a message from the peer that listens at `from`.
     pub fn receive(&mut self, now_ms: u64, from: &str, gossip: Gossip) -> Vec<Outgoing> {
         match gossip {
             Gossip::Ping { seq, digest, updates } => {
@@ -202,7 +201,7 @@
         let seq = self.allocate_seq();
         self.probes.insert(seq, Probe { name, sent_at_ms: now_ms, is_indirect: false });
         let mut updates = self.view.updates();
-        // A box learns here that it is suspected, so that it can refute that.
+        // Tells the target that it is suspected, so that it can refute this.
         if target.health != Health::Alive {
             updates.push(target);
         }
@@ -217,8 +216,8 @@
         matching.get(index).map(|member| member.id.name.clone())
     }
 
-    /// Walks through the hall in a random order, so that each member is
-    /// probed within a bounded time.
+    /// The next member in a random order of the hall, so that each member is probed within a
+    /// bounded time.
     fn next_in_hall(&mut self) -> Option<String> {
         while let Some(name) = self.probe_order.pop() {
             if self.view.member(&name).is_some_and(Member::takes_work) {
@@ -235,8 +234,8 @@
         self.probe_order.pop()
     }
 
-    /// Asks for the whole table while this box is alone or nobody has sent it: a
-    /// box that is probed before it has asked knows others, but not all.
+    /// Requests the whole table while this box knows no other box or nobody has sent the table: a
+    /// box that is probed before it has joined knows some other boxes, but not all.
     fn join_or_probe_seed(&mut self) -> Option<Outgoing> {
         let live: Vec<_> = self.view.others().filter(|member| member.takes_work()).collect();
         let is_alone = live.is_empty();
@@ -311,8 +310,8 @@
         Outgoing { to: to.to_owned(), gossip }
     }
 
-    /// Compares the table with a peer whose view differs, when no news under
-    /// way explains that: views converge whatever was lost.
+    /// Starts a comparison with a peer whose view differs, unless recent updates that are still
+    /// spreading explain the difference. It makes views converge even if messages are lost.
     fn compare_views(&mut self, now_ms: u64, to: &str, digest: u64) -> Option<Outgoing> {
         if self.view.changed_recently(now_ms)
             || now_ms < self.next_sync_at_ms
@@ -325,7 +324,7 @@
         Some(Outgoing { to: to.to_owned(), gossip })
     }
 
-    /// The members of some buckets in which a peer's view differs.
+    /// Replies with the members of some buckets in which a peer's view differs.
     fn differing_reply(&mut self, to: &str, digests: &[u64]) -> Vec<Outgoing> {
         let own_digests = self.view.bucket_digests();
         let differ = |bucket: &usize| {
@@ -361,7 +360,7 @@
         self.peer_probes.retain(|_, peer_probe| peer_probe.expires_at_ms > now_ms);
     }
 
-    /// The whole table, as far as this box knows it.
+    /// Replies with all members that this box knows, as the whole table if it has joined.
     fn table_reply(&self, to: &str) -> Vec<Outgoing> {
         let all: Vec<_> =
             self.view.members().chain(self.view.replaced_incarnations()).cloned().collect();
