--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -49,45 +49,45 @@
             Some(PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. }) => {}
             Some(PeerState::Confirmed { until_ms }) if now_ms < *until_ms => {}
             Some(PeerState::Confirmed { .. }) | None => {
-                let way = PeerState::AwaitingAnswer { heartbeat_at_ms: now_ms + ANSWER_WAIT_MS };
-                self.peers.insert(to.to_owned(), way);
+                let state = PeerState::AwaitingAnswer { heartbeat_at_ms: now_ms + ANSWER_WAIT_MS };
+                self.peers.insert(to.to_owned(), state);
             }
         }
     }
 
     /// Takes note of an answer of the peer at `from`.
     pub fn record_answer(&mut self, now_ms: u64, from: &str) {
-        if let Some(way) = self.peers.get_mut(from) {
-            *way = PeerState::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
+        if let Some(state) = self.peers.get_mut(from) {
+            *state = PeerState::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
         }
     }
 
     /// What is due. A peer that does not answer anew is left until the next message.
     pub fn tick(&mut self, now_ms: u64) -> Vec<HeartbeatAction> {
-        let mut steps = Vec::new();
-        self.peers.retain(|peer, way| match way {
+        let mut actions = Vec::new();
+        self.peers.retain(|peer, state| match state {
             PeerState::Confirmed { until_ms } => now_ms < *until_ms,
             PeerState::AwaitingAnswer { heartbeat_at_ms: beat_at_ms } if now_ms >= *beat_at_ms => {
-                steps.push(HeartbeatAction::SendHeartbeat(peer.clone()));
-                *way = PeerState::HeartbeatSent {
+                actions.push(HeartbeatAction::SendHeartbeat(peer.clone()));
+                *state = PeerState::HeartbeatSent {
                     deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
                     redialled: false,
                 };
                 true
             }
             PeerState::HeartbeatSent { deadline_ms, redialled } if now_ms >= *deadline_ms => {
-                let again = !*redialled;
-                if again {
-                    steps.push(HeartbeatAction::Redial(peer.clone()));
-                    *way = PeerState::HeartbeatSent {
+                let can_redial = !*redialled;
+                if can_redial {
+                    actions.push(HeartbeatAction::Redial(peer.clone()));
+                    *state = PeerState::HeartbeatSent {
                         deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
                         redialled: true,
                     };
                 }
-                again
+                can_redial
             }
             PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. } => true,
         });
-        steps
+        actions
     }
 }
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -74,20 +74,20 @@
 /// have left orders on their way.
 #[must_use]
 pub fn lease_status(
-    held: Option<LeaseRecord>,
+    record: Option<LeaseRecord>,
     me: &BoxRef,
-    own: Option<&str>,
+    own_session: Option<&str>,
     is_gone: impl FnOnce(&BoxRef) -> bool,
 ) -> LeaseStatus {
-    let Some(LeaseRecord { session, holder }) = held else {
+    let Some(LeaseRecord { session, holder }) = record else {
         return LeaseStatus::Free;
     };
-    if own == Some(session.as_str()) {
+    if own_session == Some(session.as_str()) {
         return LeaseStatus::HeldByThisBox;
     }
     // Taken by a call whose answer was lost, and whose session this box has given up.
-    let lost = holder.as_ref() == Some(me);
-    if lost || holder.as_ref().is_some_and(is_gone) {
+    let is_own_record = holder.as_ref() == Some(me);
+    if is_own_record || holder.as_ref().is_some_and(is_gone) {
         return LeaseStatus::Orphaned(session);
     }
     LeaseStatus::HeldByOtherBox
@@ -136,15 +136,15 @@
 
     /// Takes note that the order of `engine` was answered, or given up.
     pub fn end(&mut self, engine: &str) {
-        if let Some(ordered) = self.0.get_mut(engine) {
-            ordered.in_progress = false;
+        if let Some(order) = self.0.get_mut(engine) {
+            order.in_progress = false;
         }
     }
 
     /// Whether the order of `engine` has no end yet.
     #[must_use]
     pub fn is_in_progress(&self, engine: &str) -> bool {
-        self.0.get(engine).is_some_and(|ordered| ordered.in_progress)
+        self.0.get(engine).is_some_and(|order| order.in_progress)
     }
 
     /// The loads to order now. An engine that hangs takes a place for as long as loads
@@ -154,19 +154,19 @@
         &self,
         now_ms: u64,
         observed: &[ObservedEngine],
-        wanted: impl Fn(&str) -> Option<String>,
+        wanted_version: impl Fn(&str) -> Option<String>,
     ) -> Vec<WeightLoad> {
-        let ordered_at_ms = |engine: &str| self.0.get(engine).map_or(0, |ordered| ordered.at_ms);
-        let mut ready: Vec<_> = observed.iter().filter(|engine| !engine.loading).collect();
-        ready.sort_by_key(|engine| ordered_at_ms(&engine.name));
-        let differing = ready.into_iter().filter_map(|engine| {
-            let version = wanted(&engine.model).filter(|version| *version != engine.version)?;
+        let latest_order_ms = |engine: &str| self.0.get(engine).map_or(0, |order| order.at_ms);
+        let mut idle: Vec<_> = observed.iter().filter(|engine| !engine.loading).collect();
+        idle.sort_by_key(|engine| latest_order_ms(&engine.name));
+        let outdated = idle.into_iter().filter_map(|engine| {
+            let version =
+                wanted_version(&engine.model).filter(|version| *version != engine.version)?;
             let (engine, expect_version) = (engine.name.clone(), engine.version.clone());
             Some(WeightLoad { engine, expect_version, version })
         });
-        let loading =
-            |ordered: &&LoadOrder| ordered.in_progress && now_ms < ordered.at_ms + LOAD_SLOT_MS;
-        let places = MAX_LOADS.saturating_sub(self.0.values().filter(loading).count());
-        differing.take(places).collect()
+        let loading = |order: &&LoadOrder| order.in_progress && now_ms < order.at_ms + LOAD_SLOT_MS;
+        let free_loads = MAX_LOADS.saturating_sub(self.0.values().filter(loading).count());
+        outdated.take(free_loads).collect()
     }
 }
