--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -1,49 +1,50 @@
-//! Whether what is sent to peers arrives.
+//! Detection of dead connections to peers.
 //!
-//! The sockets between boxes carry messages one way each, so that one which has gone
-//! silent takes messages for ever and says nothing. Here each message to a peer must
-//! be followed by an answer of that peer to something; when none has come, a heartbeat
-//! asks for one, and when that is not answered either, the peer is dialled anew.
-//! Most messages are answered in any case, so that few heartbeats are sent.
+//! Sockets between boxes carry messages in one direction only, so that a socket whose connection
+//! has died still accepts messages and reports no error. Each message to a peer must therefore be
+//! followed by some answer of that peer. If there is none, a heartbeat requests an answer, and if
+//! the heartbeat is not answered either, the connection is redialled. Most messages are answered
+//! anyway, so that few heartbeats are needed.
 
 use std::collections::HashMap;
 
-/// Time in which a message's own answer is waited for.
+/// Time to wait for an answer before a heartbeat is sent.
 const ANSWER_WAIT_MS: u64 = 300;
-/// Time in which a heartbeat must be answered: that of a handover, which may be a
-/// long message before it.
+/// Time limit for the answer to a heartbeat. It equals that of a handover, since a long handover
+/// message may be ahead of the heartbeat.
 const HEARTBEAT_TIMEOUT_MS: u64 = 1500;
-/// Time after an answer in which more messages need none. A heartbeat's own answer is
-/// a message too: it falls into this time, so that two boxes do not go on for ever.
+/// Time after an answer in which further messages need no answer. An answer to a heartbeat is
+/// itself a message: it falls into this period, so that two boxes do not exchange heartbeats
+/// forever.
 const CONFIRMED_FOR_MS: u64 = 1500;
 
-/// What to do.
+/// What to do about a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeartbeatAction {
-    /// Ask the peer for an answer.
+    /// Send a heartbeat to the peer.
     SendHeartbeat(String),
-    /// Dial the peer anew, then ask it.
+    /// Redial the connection, then send a heartbeat.
     Redial(String),
 }
 
-/// What is known of the way to a peer.
+/// State of the connection to a peer.
 enum PeerState {
     /// The peer has answered.
     Confirmed { until_ms: u64 },
-    /// A message is not answered yet.
+    /// A message has not been answered yet.
     AwaitingAnswer { heartbeat_at_ms: u64 },
-    /// Nor is a heartbeat.
+    /// A heartbeat has not been answered yet.
     HeartbeatSent { deadline_ms: u64, redialled: bool },
 }
 
-/// The ways to all peers that were sent something of late.
+/// State of the connections to all peers to which messages were sent recently.
 #[derive(Default)]
 pub struct Heartbeats {
     peers: HashMap<String, PeerState>,
 }
 
 impl Heartbeats {
-    /// Takes note of a message to the peer at `to`.
+    /// Records a message to the peer at `to`.
     pub fn record_sent(&mut self, now_ms: u64, to: &str) {
         match self.peers.get(to) {
             Some(PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. }) => {}
@@ -55,14 +56,15 @@
         }
     }
 
-    /// Takes note of an answer of the peer at `from`.
+    /// Records an answer of the peer at `from`.
     pub fn record_answer(&mut self, now_ms: u64, from: &str) {
         if let Some(state) = self.peers.get_mut(from) {
             *state = PeerState::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
         }
     }
 
-    /// What is due. A peer that does not answer anew is left until the next message.
+    /// Returns the actions that are due. A peer that does not answer after a redial is dropped
+    /// until the next message to it.
     pub fn tick(&mut self, now_ms: u64) -> Vec<HeartbeatAction> {
         let mut actions = Vec::new();
         self.peers.retain(|peer, state| match state {
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -1,45 +1,45 @@
-//! A hall's lease, under which orders are given.
+//! Lease of a data hall, under which orders to its upstreams are sent.
 //!
-//! The holder counts its lease as over some time before the platform does,
-//! from the moment at which it sent the last renewal. Each order carries the
-//! lease's fencing token, so that engines which check it may get orders of a
-//! successor before the lease of a dead holder has lapsed.
+//! The holder considers its lease expired some time before the platform does, counting from the
+//! moment at which it sent the latest renewal. Each order carries the lease's fencing token.
+//! Engines that check the token can therefore get orders from a new holder before the lease of a
+//! dead one has expired.
 
 use std::collections::BTreeMap;
 
 use crate::ticket::BoxRef;
 
-/// Time to live of the lease at the platform, in seconds.
+/// Time to live of the lease on the platform, in seconds.
 pub const LEASE_TTL_S: u64 = 10;
-/// How often the lease is renewed, in milliseconds.
+/// Interval at which the holder renews the lease.
 pub const RENEW_PERIOD_MS: u64 = 3000;
-/// How often boxes that may take the lease look whether they can, in milliseconds.
+/// Interval at which candidates check whether they can take the lease.
 pub const CHECK_PERIOD_MS: u64 = 1000;
-/// Boxes of a hall that may take the lease: the others may be dead for some time
-/// before that is noticed.
+/// Number of boxes in a hall that are candidates for the lease. One is not enough: a candidate may
+/// be dead for some time before this is detected.
 pub const LEASE_CANDIDATES: usize = 3;
-/// Time that must be left for an order to an upstream that checks its orderer.
+/// Minimum time left for an order to an upstream that checks the fencing token.
 pub const FENCED_ORDER_MARGIN_MS: u64 = 1000;
-/// Time that must be left for an order to an upstream that does not.
+/// Minimum time left for an order to an upstream that does not check it.
 pub const UNFENCED_ORDER_MARGIN_MS: u64 = 4000;
-/// Weight loads at once.
+/// Maximum number of concurrent weight loads.
 pub const MAX_LOADS: usize = 3;
-/// Time for which a load takes a place, in milliseconds: most take under a second.
+/// Time for which a load counts against the limit; most loads take less than a second.
 pub const LOAD_SLOT_MS: u64 = 3000;
 
-/// A lease that this box believes it holds.
+/// A lease that this box believes to hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// Session at the platform.
+    /// Session on the platform.
     pub session: String,
     /// Fencing token.
     pub fence: u64,
-    /// When it is over, in Unix milliseconds.
+    /// When the lease expires, in Unix milliseconds.
     pub valid_until_ms: u64,
 }
 
 impl Lease {
-    /// Whether an order may be sent now.
+    /// Whether enough time is left to send an order.
     #[must_use]
     pub fn allows_order(&self, now_ms: u64, upstream_checks: bool) -> bool {
         let margin_ms =
@@ -48,30 +48,31 @@
     }
 }
 
-/// The lease as the platform has it.
+/// The lease as recorded by the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRecord {
-    /// Session that holds it.
+    /// Session that holds the lease.
     pub session: String,
-    /// Box that took it, if that can be read.
+    /// Box that took the lease, if the record is readable.
     pub holder: Option<BoxRef>,
 }
 
-/// Whose the lease is.
+/// Who holds the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStatus {
-    /// This box holds it.
+    /// This box.
     HeldByThisBox,
-    /// Another box holds it.
+    /// Another box.
     HeldByOtherBox,
-    /// Nobody does.
+    /// Nobody.
     Free,
-    /// It is held by this session for nobody: it may be released for it.
+    /// A box that is gone; the lease may be released on behalf of this session.
     Orphaned(String),
 }
 
-/// Whose the lease is, to box `me` with the session `own`. A holder that `is_gone` may
-/// have left orders on their way.
+/// Determines who holds the lease, for box `me` with the session `own_session`. `is_gone` tells
+/// whether the lease of a holder may be released early; the holder may have left orders on their
+/// way.
 #[must_use]
 pub fn lease_status(
     record: Option<LeaseRecord>,
@@ -85,7 +86,7 @@
     if own_session == Some(session.as_str()) {
         return LeaseStatus::HeldByThisBox;
     }
-    // Taken by a call whose answer was lost, and whose session this box has given up.
+    // Acquired by a call whose answer was lost and whose session this box has given up since.
     let is_own_record = holder.as_ref() == Some(me);
     if is_own_record || holder.as_ref().is_some_and(is_gone) {
         return LeaseStatus::Orphaned(session);
@@ -93,35 +94,35 @@
     LeaseStatus::HeldByOtherBox
 }
 
-/// An engine as the reconciliation sees it.
+/// State of an engine in the reconciliation of weight versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedEngine {
-    /// Name.
+    /// Name of the engine.
     pub name: String,
     /// Model that it serves.
     pub model: String,
-    /// Weight version that it reports.
+    /// Weight version in its report.
     pub version: String,
-    /// It loads weights.
+    /// It is loading weights.
     pub loading: bool,
 }
 
-/// A load of weights to order.
+/// An order to load weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightLoad {
-    /// Engine that loads.
+    /// Engine that loads the weights.
     pub engine: String,
-    /// Version that it replaces.
+    /// Version that is replaced.
     pub expect_version: String,
     /// Version to load.
     pub version: String,
 }
 
-/// Loads that this box has ordered, by engine.
+/// Latest load order of each engine, as sent by this box.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WeightLoads(BTreeMap<String, LoadOrder>);
 
-/// The newest order of an engine.
+/// Time and state of the latest order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct LoadOrder {
     at_ms: u64,
@@ -129,26 +130,27 @@
 }
 
 impl WeightLoads {
-    /// Takes note that `engine` is ordered.
+    /// Records that an order is sent to `engine`.
     pub fn begin(&mut self, now_ms: u64, engine: &str) {
         self.0.insert(engine.to_owned(), LoadOrder { at_ms: now_ms, in_progress: true });
     }
 
-    /// Takes note that the order of `engine` was answered, or given up.
+    /// Records that `engine` has answered its order, or that it was given up.
     pub fn end(&mut self, engine: &str) {
         if let Some(order) = self.0.get_mut(engine) {
             order.in_progress = false;
         }
     }
 
-    /// Whether the order of `engine` has no end yet.
+    /// Whether `engine` has not answered its order yet.
     #[must_use]
     pub fn is_in_progress(&self, engine: &str) -> bool {
         self.0.get(engine).is_some_and(|order| order.in_progress)
     }
 
-    /// The loads to order now. An engine that hangs takes a place for as long as loads
-    /// take, and one that refuses goes behind the others: neither holds them up.
+    /// The orders to send now. An engine that hangs counts against the limit of concurrent loads
+    /// for [`LOAD_SLOT_MS`] only, and one that refuses its order comes after the others, so that
+    /// neither blocks them.
     #[must_use]
     pub fn plan(
         &self,
