--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -78,8 +78,8 @@
 impl Blocks {
     /// Starts a write.
     pub fn begin_write(&mut self, id: &BlockId, block: Block) {
-        let old = self.by_id.insert(id.clone(), block);
-        check(Invariant::BlockIdUsedOnce, old.is_none(), || id.0.clone());
+        let previous = self.by_id.insert(id.clone(), block);
+        check(Invariant::BlockIdUsedOnce, previous.is_none(), || id.0.clone());
     }
 
     /// Takes a block over that a store lists as sealed.
@@ -104,8 +104,8 @@
     /// Pins a sealed block of `scope` until the deadline.
     pub fn pin(&mut self, id: &BlockId, scope: &Scope, until_ms: u64) -> Option<(&Block, &Seal)> {
         let block = self.by_id.get_mut(id)?;
-        let own = block.scope == *scope;
-        if !check(Invariant::ContextStaysInScope, own, || id.0.clone()) {
+        let is_in_scope = block.scope == *scope;
+        if !check(Invariant::ContextStaysInScope, is_in_scope, || id.0.clone()) {
             return None;
         }
         if matches!(block.phase, Phase::Sealed(_)) {
@@ -127,9 +127,9 @@
     /// Blocks that can be deleted now: freed, and past every pin.
     #[must_use]
     pub fn deletable(&self, now_ms: u64) -> Vec<BlockId> {
-        let unpinned = |block: &Block| now_ms >= block.pinned_until_ms + PIN_MARGIN_MS;
-        let freed = self.by_id.iter().filter(|(_, block)| block.phase == Phase::Freeing);
-        freed.filter(|(_, block)| unpinned(block)).map(|(id, _)| id.clone()).collect()
+        let is_unpinned = |block: &Block| now_ms >= block.pinned_until_ms + PIN_MARGIN_MS;
+        let freeing = self.by_id.iter().filter(|(_, block)| block.phase == Phase::Freeing);
+        freeing.filter(|(_, block)| is_unpinned(block)).map(|(id, _)| id.clone()).collect()
     }
 
     /// Gives up writes whose deadline has passed.
@@ -160,15 +160,15 @@
     /// Bytes in `store` of blocks that are not being freed.
     #[must_use]
     pub fn live_bytes(&self, store: &str) -> u64 {
-        let held = self.by_id.values().filter(|block| block.store == store);
-        let live = held.filter(|block| block.phase != Phase::Freeing);
+        let in_store = self.by_id.values().filter(|block| block.store == store);
+        let live = in_store.filter(|block| block.phase != Phase::Freeing);
         live.map(|block| block.size_bytes).sum()
     }
 
     /// Bytes in `store`, also of blocks being written or freed.
     #[must_use]
     pub fn used_bytes(&self, store: &str) -> u64 {
-        let held = self.by_id.values().filter(|block| block.store == store);
-        held.map(|block| block.size_bytes).sum()
+        let in_store = self.by_id.values().filter(|block| block.store == store);
+        in_store.map(|block| block.size_bytes).sum()
     }
 }
--- a/src/context.rs
+++ b/src/context.rs
@@ -58,18 +58,18 @@
         let stride = blocks.div_ceil(MAX_HASHES).next_power_of_two();
         let mut hasher = scope_hasher(scope);
         let mut root = 0;
-        let mut points = Vec::with_capacity(blocks / stride);
+        let mut prefix_hashes = Vec::with_capacity(blocks / stride);
         for (index, block) in prompt.as_bytes().chunks_exact(block_bytes).enumerate() {
             hasher.update(block);
             if index == 0 {
                 root = short_hash(&hasher);
             }
             if (index + 1).is_multiple_of(stride) {
-                points.push(short_hash(&hasher));
+                prefix_hashes.push(short_hash(&hasher));
             }
         }
         let stride_blocks = u32::try_from(stride).unwrap_or(u32::MAX);
-        Self { root, stride_blocks, hashes: points.into() }
+        Self { root, stride_blocks, hashes: prefix_hashes.into() }
     }
 
     /// Whether the prompt is too short to have context.
@@ -91,8 +91,8 @@
         self.tokens_at(self.hashes.len())
     }
 
-    fn tokens_at(&self, points: usize) -> u32 {
-        let blocks = u32::try_from(points).unwrap_or(u32::MAX).saturating_mul(self.stride_blocks);
+    fn tokens_at(&self, hashes: usize) -> u32 {
+        let blocks = u32::try_from(hashes).unwrap_or(u32::MAX).saturating_mul(self.stride_blocks);
         blocks.saturating_mul(u32::try_from(PREFIX_BLOCK_TOKENS).unwrap_or(u32::MAX))
     }
 
@@ -108,7 +108,7 @@
         // Strides are powers of two, so the coarser points are among the finer.
         let step = usize::try_from(step).unwrap_or(usize::MAX);
         let finer = self.hashes.iter().skip(step - 1).step_by(step);
-        let common = finer.zip(&other.hashes).take_while(|(own, other)| own == other).count();
+        let common = finer.zip(&other.hashes).take_while(|(left, right)| left == right).count();
         other.tokens_at(common)
     }
 
