--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -1,9 +1,8 @@
-//! Life of kept blocks in the stores.
+//! States of the blocks in stores.
 //!
-//! A block is being written, then sealed, then being freed. Its id names
-//! everything that its content depends on, and a nonce that is never used
-//! again, so that a freed block cannot be taken for another one. Only a sealed
-//! block can be pinned, and a block with a pin in force is not deleted.
+//! A block is written, then sealed, and finally deleted. Its id contains hashes of everything that
+//! its content depends on, and a nonce that is never reused, so that a deleted block cannot be
+//! mistaken for another one. Only sealed blocks can be pinned, and a pinned block is not deleted.
 
 use std::collections::HashMap;
 
@@ -12,15 +11,15 @@
 use crate::context::{PrefixHash, Scope};
 use crate::invariant::{Invariant, check};
 
-/// Time added to a pin before its block is deleted, for clocks that differ.
+/// Time after the end of a pin before the block is deleted, as clocks may differ.
 pub const PIN_MARGIN_MS: u64 = 2000;
 
-/// Name of a block in a store.
+/// Id of a block in a store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BlockId(pub String);
 
 impl BlockId {
-    /// A new id; `nonce` is never given twice by one `writer`.
+    /// Creates an id. A `writer` must never reuse a `nonce`.
     #[must_use]
     pub fn new(scope: &Scope, mark: PrefixHash, writer: &str, nonce: u64) -> Self {
         let scope = &crate::context::cache_salt(scope)[..16];
@@ -32,7 +31,7 @@
     }
 }
 
-/// What a sealed block's content must match.
+/// Length and checksum that the content of a sealed block must have.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seal {
     /// Length of the content.
@@ -41,55 +40,55 @@
     pub checksum: String,
 }
 
-/// Where a block is in its life.
+/// State of a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Being written; given up at the deadline.
+    /// Being written; the write fails at the deadline.
     Writing { deadline_ms: u64 },
     /// Complete and readable.
     Sealed(Seal),
-    /// No longer readable; deleted when its pins have run out.
+    /// Unreadable; deleted when its pins have expired.
     Freeing,
 }
 
-/// A kept block.
+/// A block in a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// Whose context it is.
+    /// Account, model and weight version of the context.
     pub scope: Scope,
-    /// Store that holds it.
+    /// Name of the store.
     pub store: String,
-    /// End of the context that it covers.
+    /// The prefix that the block covers.
     pub prefix_end: PrefixHash,
-    /// Size as the link and the store count it.
+    /// Size on the link and in the store.
     pub size_bytes: u64,
-    /// Where it is in its life.
+    /// State of the block.
     pub phase: Phase,
-    /// Until when readers may be at it, in Unix milliseconds.
+    /// End of the latest pin, in Unix milliseconds; readers may access the block until then.
     pub pinned_until_ms: u64,
 }
 
-/// All blocks that one dispatcher looks after.
+/// All blocks that one dispatcher manages.
 #[derive(Debug, Default)]
 pub struct Blocks {
     by_id: HashMap<BlockId, Block>,
 }
 
 impl Blocks {
-    /// Starts a write.
+    /// Adds a block whose write starts.
     pub fn begin_write(&mut self, id: &BlockId, block: Block) {
         let previous = self.by_id.insert(id.clone(), block);
         check(Invariant::BlockIdUsedOnce, previous.is_none(), || id.0.clone());
     }
 
-    /// Takes a block over that a store lists as sealed.
+    /// Adds a sealed block that a store lists.
     pub fn adopt(&mut self, id: &BlockId, block: Block) {
         if matches!(block.phase, Phase::Sealed(_)) {
             self.by_id.entry(id.clone()).or_insert(block);
         }
     }
 
-    /// Seals a block that is being written; false when its write was given up.
+    /// Seals a block after its write; returns false if the write has expired.
     pub fn seal(&mut self, id: &BlockId, seal: Seal, size_bytes: u64) -> bool {
         match self.by_id.get_mut(id) {
             Some(block) if matches!(block.phase, Phase::Writing { .. }) => {
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Pins a sealed block of `scope` until the deadline.
+    /// Pins a sealed block of `scope`.
     pub fn pin(&mut self, id: &BlockId, scope: &Scope, until_ms: u64) -> Option<(&Block, &Seal)> {
         let block = self.by_id.get_mut(id)?;
         let is_in_scope = block.scope == *scope;
@@ -117,14 +116,14 @@
         }
     }
 
-    /// Makes a block unreadable; it is deleted later.
+    /// Makes a block unreadable and marks it for deletion.
     pub fn free(&mut self, id: &BlockId) {
         if let Some(block) = self.by_id.get_mut(id) {
             block.phase = Phase::Freeing;
         }
     }
 
-    /// Blocks that can be deleted now: freed, and past every pin.
+    /// Blocks that can be deleted now: marked for deletion and not pinned.
     #[must_use]
     pub fn deletable(&self, now_ms: u64) -> Vec<BlockId> {
         let is_unpinned = |block: &Block| now_ms >= block.pinned_until_ms + PIN_MARGIN_MS;
@@ -132,7 +131,7 @@
         freeing.filter(|(_, block)| is_unpinned(block)).map(|(id, _)| id.clone()).collect()
     }
 
-    /// Gives up writes whose deadline has passed.
+    /// Marks blocks for deletion whose write has exceeded its deadline.
     pub fn expire_writes(&mut self, now_ms: u64) {
         for block in self.by_id.values_mut() {
             if matches!(block.phase, Phase::Writing { deadline_ms } if deadline_ms <= now_ms) {
@@ -141,23 +140,23 @@
         }
     }
 
-    /// Forgets a block that its store no longer holds.
+    /// Removes a block that its store no longer holds.
     pub fn remove(&mut self, id: &BlockId) {
         self.by_id.remove(id);
     }
 
-    /// The block called `id`.
+    /// The block with this id.
     #[must_use]
     pub fn get(&self, id: &BlockId) -> Option<&Block> {
         self.by_id.get(id)
     }
 
-    /// All blocks.
+    /// All blocks with their ids.
     pub fn iter(&self) -> impl Iterator<Item = (&BlockId, &Block)> {
         self.by_id.iter()
     }
 
-    /// Bytes in `store` of blocks that are not being freed.
+    /// Bytes of blocks in `store`, except those marked for deletion.
     #[must_use]
     pub fn live_bytes(&self, store: &str) -> u64 {
         let in_store = self.by_id.values().filter(|block| block.store == store);
@@ -165,7 +164,7 @@
         live.map(|block| block.size_bytes).sum()
     }
 
-    /// Bytes in `store`, also of blocks being written or freed.
+    /// Bytes of all blocks in `store`, including those being written or deleted.
     #[must_use]
     pub fn used_bytes(&self, store: &str) -> u64 {
         let in_store = self.by_id.values().filter(|block| block.store == store);
--- a/src/context.rs
+++ b/src/context.rs
@@ -1,20 +1,19 @@
 //! Identity of prompt context.
 //!
-//! A prompt is cut into blocks, and each block is named by a hash of itself
-//! and of everything before it. The chain is seeded with client account,
-//! model and weight version, so that equal text of two accounts, or under two
-//! versions, has nothing in common.
+//! A prompt is divided into prefix blocks, and each is identified by a hash of itself and
+//! everything before it. The hash chain is seeded with the client account, model and weight
+//! version, so that equal prompts of two accounts, or under two versions, have no hash in common.
 
 use serde::{Deserialize, Serialize};
 
-/// Prompt bytes that make a token, as the engines count.
+/// Bytes of a prompt per token, as counted by the engines.
 pub const BYTES_PER_TOKEN: usize = 4;
-/// Tokens in a block.
+/// Tokens in a prefix block.
 pub const PREFIX_BLOCK_TOKENS: usize = 256;
-/// Most hashes that describe a prompt; longer prompts get coarser courses.
+/// Maximum number of hashes in a prefix chain; chains of longer prompts have larger strides.
 const MAX_HASHES: usize = 32;
 
-/// Whose context it is, and for which weights.
+/// Account, model and weight version that context belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Scope {
     /// Client account that sent the prompt.
@@ -25,29 +24,29 @@
     pub version: String,
 }
 
-/// A point in a prompt, named by everything before it.
+/// Identifies a prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PrefixHash {
-    /// Tokens before this point.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
-    /// Hash of scope and of those tokens.
+    /// Hash of the scope and the prefix.
     pub hash: u64,
 }
 
-/// Points along a prompt, each named by everything before it.
+/// Hashes of a prompt's prefixes, at a constant stride.
 ///
-/// Courses of prompts that share a start share their hashes up to there.
+/// The chains of prompts with a common prefix have the same hashes up to the end of that prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixChain {
-    /// Hash of the first block; 0 for a prompt shorter than that.
+    /// Hash of the first prefix block; 0 if the prompt is shorter than one block.
     pub root: u64,
-    /// Blocks between two points.
+    /// Prefix blocks from one hash to the next.
     stride_blocks: u32,
     hashes: Box<[u64]>,
 }
 
 impl PrefixChain {
-    /// The course of a prompt.
+    /// Computes the prefix chain of a prompt.
     #[must_use]
     pub fn new(scope: &Scope, prompt: &str) -> Self {
         let block_bytes = PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN;
@@ -72,20 +71,20 @@
         Self { root, stride_blocks, hashes: prefix_hashes.into() }
     }
 
-    /// Whether the prompt is too short to have context.
+    /// Whether the prompt is too short for a prefix hash.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hashes.is_empty()
     }
 
-    /// The last point.
+    /// Hash of the longest prefix.
     #[must_use]
     pub fn last(&self) -> Option<PrefixHash> {
         let hash = *self.hashes.last()?;
         Some(PrefixHash { tokens: self.tokens_at(self.hashes.len()), hash })
     }
 
-    /// Tokens up to the last point.
+    /// Length of the longest prefix in tokens.
     #[must_use]
     pub fn tokens(&self) -> u32 {
         self.tokens_at(self.hashes.len())
@@ -96,7 +95,8 @@
         blocks.saturating_mul(u32::try_from(PREFIX_BLOCK_TOKENS).unwrap_or(u32::MAX))
     }
 
-    /// Tokens that two prompts have in common, by the points of both.
+    /// Length of the common prefix of two prompts in tokens, as far as both chains have hashes for
+    /// it.
     #[must_use]
     pub fn common_tokens(&self, other: &Self) -> u32 {
         if self.stride_blocks > other.stride_blocks {
@@ -105,14 +105,14 @@
         let Some(step) = other.stride_blocks.checked_div(self.stride_blocks) else {
             return 0;
         };
-        // Strides are powers of two, so the coarser points are among the finer.
+        // Strides are powers of two, so that all prefixes of the coarser chain are in the finer one.
         let step = usize::try_from(step).unwrap_or(usize::MAX);
         let finer = self.hashes.iter().skip(step - 1).step_by(step);
         let common = finer.zip(&other.hashes).take_while(|(left, right)| left == right).count();
         other.tokens_at(common)
     }
 
-    /// Whether one prompt continues the other, as far as their points tell.
+    /// Whether one prompt continues the other, as far as their hashes tell.
     #[must_use]
     pub fn continues(&self, other: &Self) -> bool {
         let coarser = if self.stride_blocks > other.stride_blocks { self } else { other };
@@ -121,13 +121,13 @@
     }
 }
 
-/// Tokens of a prompt of `len_bytes`.
+/// Number of tokens in a prompt of `len_bytes`.
 #[must_use]
 pub fn token_count(len_bytes: usize) -> u32 {
     u32::try_from(len_bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
 
-/// The salt that keeps an account's context apart in an engine's cache.
+/// Cache salt that separates the context of different scopes in an engine's cache.
 #[must_use]
 pub fn cache_salt(scope: &Scope) -> String {
     scope_hasher(scope).finalize().to_hex()[..32].to_owned()
