--- a/src/account.rs
+++ b/src/account.rs
@@ -53,24 +53,26 @@
     #[must_use]
     pub fn allows(&self, model: &str, version: &str) -> bool {
         let versions = self.models.get(model);
-        versions.is_some_and(|all| all.is_empty() || all.iter().any(|one| one == version))
+        versions.is_some_and(|versions| {
+            versions.is_empty() || versions.iter().any(|allowed| allowed == version)
+        })
     }
 
     /// Faults of these terms, one line each.
     #[must_use]
     pub fn validation_errors(&self) -> Vec<String> {
         let weights = [self.weights.first_token, self.weights.recompute, self.weights.link];
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         if !self.share.is_finite() || self.share < 0.0 {
-            faults.push(format!("share {} is not a number from 0 up", self.share));
+            errors.push(format!("share {} is not a finite number of at least 0", self.share));
         }
         if !(-2..=2).contains(&self.priority) {
-            faults.push(format!("priority {} is not between -2 and 2", self.priority));
+            errors.push(format!("priority {} is not between -2 and 2", self.priority));
         }
         if weights.iter().any(|weight| !weight.is_finite() || *weight < 0.0) {
-            faults.push("a weight is not a number from 0 up".to_owned());
+            errors.push("a weight is not a finite number of at least 0".to_owned());
         }
-        faults
+        errors
     }
 }
 
@@ -104,13 +106,13 @@
     /// The account's terms under its template.
     #[must_use]
     pub fn terms(&self, template: &Terms) -> Terms {
-        let own = &self.overrides;
+        let overrides = &self.overrides;
         Terms {
-            share: own.share.unwrap_or(template.share),
-            priority: own.priority.unwrap_or(template.priority),
-            keep_for_s: own.keep_for_s.unwrap_or(template.keep_for_s),
-            weights: own.weights.unwrap_or(template.weights),
-            models: own.models.clone().unwrap_or_else(|| template.models.clone()),
+            share: overrides.share.unwrap_or(template.share),
+            priority: overrides.priority.unwrap_or(template.priority),
+            keep_for_s: overrides.keep_for_s.unwrap_or(template.keep_for_s),
+            weights: overrides.weights.unwrap_or(template.weights),
+            models: overrides.models.clone().unwrap_or_else(|| template.models.clone()),
         }
     }
 }
--- a/src/assembler.rs
+++ b/src/assembler.rs
@@ -39,8 +39,8 @@
 #[derive(Debug, Default)]
 pub struct Assembler {
     attempt: u32,
-    next: u64,
-    held: BTreeMap<u64, Piece>,
+    next_seq: u64,
+    buffered: BTreeMap<u64, Piece>,
     finish: Option<String>,
 }
 
@@ -48,14 +48,14 @@
     /// Starts a new attempt, which goes on at the first missing piece.
     pub fn start_attempt(&mut self) -> u32 {
         self.attempt += 1;
-        self.held.clear();
+        self.buffered.clear();
         self.attempt
     }
 
     /// Place of the first missing piece.
     #[must_use]
     pub fn next_seq(&self) -> u64 {
-        self.next
+        self.next_seq
     }
 
     /// Why the answer ended, once every piece is there.
@@ -75,23 +75,23 @@
         if self.finish.is_some() {
             return Err(Dropped::AfterEnd);
         }
-        if piece.seq < self.next || self.held.contains_key(&piece.seq) {
+        if piece.seq < self.next_seq || self.buffered.contains_key(&piece.seq) {
             return Err(Dropped::Repeated);
         }
-        if self.held.len() >= MAX_HELD_PIECES {
+        if self.buffered.len() >= MAX_HELD_PIECES {
             return Err(Dropped::TooManyHeld);
         }
-        self.held.insert(piece.seq, piece);
-        Ok(self.release())
+        self.buffered.insert(piece.seq, piece);
+        Ok(self.take_ready())
     }
 
-    fn release(&mut self) -> Vec<Piece> {
+    fn take_ready(&mut self) -> Vec<Piece> {
         let mut ready = Vec::new();
         while self.finish.is_none() {
-            let Some(piece) = self.held.remove(&self.next) else {
+            let Some(piece) = self.buffered.remove(&self.next_seq) else {
                 break;
             };
-            self.next += 1;
+            self.next_seq += 1;
             self.finish.clone_from(&piece.finish);
             ready.push(piece);
         }
