--- a/src/account.rs
+++ b/src/account.rs
@@ -1,15 +1,15 @@
-//! Client accounts, and the templates they are made from.
+//! Client accounts and their templates.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How an account weighs the three measures when a request is placed.
+/// Weights of an account in the routing cost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Weights {
-    /// Weight of a millisecond before the first token.
+    /// Weight of a millisecond until the first token.
     pub first_token: f64,
-    /// Weight of a millisecond spent on recomputing context.
+    /// Weight of a millisecond of prefill.
     pub recompute: f64,
     /// Weight of a millisecond of link time.
     pub link: f64,
@@ -24,15 +24,15 @@
 /// What a client account is entitled to.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Terms {
-    /// Share of the fleet, relative to the other accounts; 0 shuts it out.
+    /// Share of the fleet, relative to other accounts; 0 excludes the account.
     pub share: f64,
-    /// Order of work, lower first; it never starves others.
+    /// Priority, the lowest first. It cannot starve other accounts.
     pub priority: i8,
-    /// How long context is worth keeping after its last use, in seconds.
+    /// How long context is worth keeping after its latest use, in seconds.
     pub keep_for_s: u64,
-    /// Weights of the three measures.
+    /// Weights in the routing cost.
     pub weights: Weights,
-    /// Weight versions allowed, by model; an empty list allows each version.
+    /// Allowed weight versions by model; an empty list allows all versions.
     pub models: BTreeMap<String, Vec<String>>,
 }
 
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Faults of these terms, one line each.
+    /// Validation errors of these terms, one per line.
     #[must_use]
     pub fn validation_errors(&self) -> Vec<String> {
         let weights = [self.weights.first_token, self.weights.recompute, self.weights.link];
@@ -76,7 +76,7 @@
     }
 }
 
-/// Terms of one account that differ from its template's.
+/// Terms in which an account differs from its template.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Overrides {
     /// See [`Terms::share`].
@@ -94,16 +94,16 @@
 /// A client account.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Account {
-    /// Template that the account is made from.
+    /// Name of the account's template.
     pub template: String,
-    /// What differs from the template.
+    /// Differences from the template.
     pub overrides: Overrides,
-    /// Hashes of the API keys in force, in hex.
+    /// Hashes of the valid API keys, in hex.
     pub key_hashes: Vec<String>,
 }
 
 impl Account {
-    /// The account's terms under its template.
+    /// The account's terms, given its template.
     #[must_use]
     pub fn terms(&self, template: &Terms) -> Terms {
         let overrides = &self.overrides;
@@ -117,7 +117,7 @@
     }
 }
 
-/// The hash under which an API key is stored.
+/// Hash under which an API key is stored.
 #[must_use]
 pub fn key_hash(api_key: &str) -> String {
     let hash = blake3::derive_key("coursestile api key", api_key.as_bytes());
--- a/src/assembler.rs
+++ b/src/assembler.rs
@@ -1,28 +1,28 @@
-//! Puts the pieces of an answer in order.
+//! Reorders the pieces of an answer.
 //!
-//! A piece names the attempt it belongs to and its place in the answer.
-//! Pieces of an older attempt are dropped, a repeated piece is dropped, and
-//! the answer counts as whole only when every place up to the last is filled.
+//! A piece has the number of its attempt and its position in the answer. Pieces of older attempts
+//! and repeated pieces are dropped. The answer is complete only when it has all pieces up to the
+//! last one.
 
 use std::collections::BTreeMap;
 
-/// Most pieces held back while an earlier one is missing.
+/// Maximum number of pieces buffered while an earlier one is missing.
 pub const MAX_HELD_PIECES: usize = 4096;
 
 /// A piece of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
-    /// Attempt that generated it.
+    /// Attempt that generated the piece.
     pub attempt: u32,
-    /// Place in the whole answer.
+    /// Position in the answer.
     pub seq: u64,
     /// Generated text.
     pub text: String,
-    /// Why the answer ends here, on the last piece.
+    /// Finish reason, on the last piece.
     pub finish: Option<String>,
 }
 
-/// Why a piece was not taken.
+/// Why a piece is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub enum Dropped {
     /// piece of an older attempt
@@ -35,7 +35,7 @@
     TooManyHeld,
 }
 
-/// The ordered pieces of one answer.
+/// Orders the pieces of one answer.
 #[derive(Debug, Default)]
 pub struct Assembler {
     attempt: u32,
@@ -45,29 +45,29 @@
 }
 
 impl Assembler {
-    /// Starts a new attempt, which goes on at the first missing piece.
+    /// Starts a new attempt, which continues at the first missing piece.
     pub fn start_attempt(&mut self) -> u32 {
         self.attempt += 1;
         self.buffered.clear();
         self.attempt
     }
 
-    /// Place of the first missing piece.
+    /// Position of the first missing piece.
     #[must_use]
     pub fn next_seq(&self) -> u64 {
         self.next_seq
     }
 
-    /// Why the answer ended, once every piece is there.
+    /// Finish reason, once all pieces are there.
     #[must_use]
     pub fn finish(&self) -> Option<&str> {
         self.finish.as_deref()
     }
 
-    /// Takes a piece; returns those that are now in order.
+    /// Adds a piece; returns the pieces that are now in order.
     ///
     /// # Errors
-    /// Says why the piece was dropped.
+    /// Returns why the piece is dropped.
     pub fn take(&mut self, piece: Piece) -> Result<Vec<Piece>, Dropped> {
         if piece.attempt != self.attempt {
             return Err(Dropped::OldAttempt);
--- a/src/fingerprint.rs
+++ b/src/fingerprint.rs
@@ -1,22 +1,22 @@
-//! What a request asks, in one number. A client that sends a request again gives it another
-//! id, so that only this relates the two.
+//! Fingerprints of requests. A client that repeats a request gives it another id, so that only the
+//! fingerprint shows that the two are the same.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Hash of a caller, what it asks for, and the body.
+/// Hash of the caller, the target and the body of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u64);
 
 impl Fingerprint {
-    /// The fingerprint of `body`, sent by `caller` to `target`, which is described by any
+    /// Computes the fingerprint of `body`, sent by `caller` to `target`, which consists of any
     /// number of words.
     #[must_use]
     pub fn new(caller: &str, target: &[&str], body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new();
         for word in std::iter::once(&caller).chain(target) {
-            // With its length, so that words cannot run into each other.
+            // The length prefix makes the concatenation of words unambiguous.
             hasher.update(&(word.len() as u64).to_le_bytes());
             hasher.update(word.as_bytes());
         }
