--- a/src/configlog.rs
+++ b/src/configlog.rs
@@ -142,9 +142,9 @@
             let expected_revision = proposal.expects_revision;
             return Err(Error::Conflict { object, expected_revision, found_revision });
         }
-        let faults = self.validation_errors(&proposal.change);
-        if !faults.is_empty() {
-            return Err(Error::BadChange(faults));
+        let errors = self.validation_errors(&proposal.change);
+        if !errors.is_empty() {
+            return Err(Error::BadChange(errors));
         }
         Ok(ConfigEntry { revision: self.revision + 1, proposal: proposal.clone() })
     }
@@ -152,9 +152,9 @@
     fn validation_errors(&self, change: &Change) -> Vec<String> {
         match change {
             Change::SetTemplate { name, terms } => {
-                let mut faults = name_errors(name);
-                faults.extend(terms.validation_errors());
-                faults
+                let mut errors = name_errors(name);
+                errors.extend(terms.validation_errors());
+                errors
             }
             Change::RemoveTemplate { name } => self.removal_errors(name),
             Change::SetAccount { name, account } => self.account_errors(name, account),
@@ -178,17 +178,19 @@
     }
 
     fn account_errors(&self, name: &str, account: &Account) -> Vec<String> {
-        let mut faults = name_errors(name);
+        let mut errors = name_errors(name);
         match self.templates.get(&account.template) {
-            None => faults.push(format!("no template '{}'", account.template)),
-            Some(template) => faults.extend(account.terms(template).validation_errors()),
+            None => errors.push(format!("no template '{}'", account.template)),
+            Some(template) => errors.extend(account.terms(template).validation_errors()),
         }
-        for (other, held) in self.accounts.iter().filter(|(other, _)| *other != name) {
-            if held.key_hashes.iter().any(|hash| account.key_hashes.contains(hash)) {
-                faults.push(format!("an API key belongs to account '{other}' already"));
+        for (other_name, other_account) in
+            self.accounts.iter().filter(|(other_name, _)| *other_name != name)
+        {
+            if other_account.key_hashes.iter().any(|hash| account.key_hashes.contains(hash)) {
+                errors.push(format!("an API key already belongs to account '{other_name}'"));
             }
         }
-        faults
+        errors
     }
 
     /// Applies the next entry.
@@ -196,7 +198,7 @@
     /// # Panics
     /// Panics when the entry is not the next one: a change would be lost.
     pub fn apply(&mut self, entry: &ConfigEntry) {
-        assert_eq!(entry.revision, self.revision + 1, "changes apply in order");
+        assert_eq!(entry.revision, self.revision + 1, "changes are applied in order");
         self.revision = entry.revision;
         self.changed_at.insert(entry.proposal.change.object().to_string(), entry.revision);
         self.applied.push_back((entry.proposal.id.clone(), entry.revision));
@@ -230,8 +232,10 @@
 }
 
 fn name_errors(name: &str) -> Vec<String> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.' | ':');
-    if !name.is_empty() && name.len() <= 64 && name.chars().all(plain) {
+    let is_allowed = |character: char| {
+        character.is_ascii_alphanumeric() || matches!(character, '-' | '_' | '.' | ':')
+    };
+    if !name.is_empty() && name.len() <= 64 && name.chars().all(is_allowed) {
         return Vec::new();
     }
     vec![format!("'{name}' is not a name: 1 to 64 letters, digits, '-', '_', '.' or ':'")]
