--- a/src/configlog.rs
+++ b/src/configlog.rs
@@ -1,11 +1,10 @@
 //! The operators' configuration as a log of changes.
 //!
-//! One head key in the platform's key-value service, taken by
-//! compare-and-swap, holds the revision and the last changes; an immutable
-//! base key holds the state before them. One write accepts a change. Each
-//! change has an id, so that a write whose answer was lost is settled by
-//! reading back, and names the revision of the object that it replaces, so
-//! that of two racing operators one learns that it lost.
+//! A head key in the platform's key-value service holds the revision and the latest changes and is
+//! updated by compare-and-swap; an immutable base key holds the state before them. A single write
+//! accepts a change. Each change has an id, so that the result of a write whose answer was lost can
+//! be determined by reading the head. It also has the expected revision of the object that it
+//! changes, so that if two operators change an object concurrently, one of them gets a conflict.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -16,14 +15,14 @@
 use crate::error::Error;
 use crate::object::Object;
 
-/// Changes that the head holds before they move into a base.
+/// Maximum number of changes in the head before they are moved into a base.
 pub const MAX_HEAD_ENTRIES: usize = 64;
-/// Change ids that a state remembers.
+/// Maximum number of change ids in a state.
 const MAX_APPLIED_IDS: usize = 512;
-/// Changes that a box keeps for its peers.
+/// Maximum number of changes that a box keeps for its peers.
 const MAX_RECENT_ENTRIES: usize = 256;
 
-/// What a change does.
+/// A change of the configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// Creates or replaces a template.
@@ -34,14 +33,14 @@
     SetAccount { name: String, account: Account },
     /// Removes a client account.
     RemoveAccount { name: String },
-    /// Marks an upstream as leaving, or takes the mark back.
+    /// Marks an upstream as leaving, or removes the mark.
     SetLeaving { upstream: String, leaving: bool },
-    /// Sets the weight version that new requests of a model use.
+    /// Sets the weight version for new requests of a model.
     SetModel { model: String, version: String },
 }
 
 impl Change {
-    /// The object that this change touches.
+    /// The object that the change modifies.
     #[must_use]
     pub fn object(&self) -> Object {
         match self {
@@ -57,41 +56,41 @@
     }
 }
 
-/// A change that an operator wants.
+/// A change that an operator has requested.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChangeProposal {
-    /// Names the change, also when it is sent again.
+    /// Id of the change, which remains the same when it is sent again.
     pub id: String,
-    /// Who wants it.
+    /// Operator who requested the change.
     pub operator: String,
-    /// When it was made, in Unix milliseconds.
+    /// When the change was requested, in Unix milliseconds.
     pub at_ms: u64,
-    /// Revision at which the object was last changed when the operator read it.
+    /// Revision of the object's latest change when the operator read it.
     pub expects_revision: u64,
-    /// What it does.
+    /// The change.
     pub change: Change,
 }
 
 /// An accepted change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// Place in the log, from 1 on.
+    /// Position in the log, starting at 1.
     pub revision: u64,
-    /// The change.
+    /// The change as proposed.
     pub proposal: ChangeProposal,
 }
 
-/// The head key's value.
+/// Value of the head key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// Revision of the base that the entries follow; 0 means none.
+    /// Revision of the base that precedes the entries; 0 if there is none.
     pub base_revision: u64,
     /// Accepted changes after the base.
     pub entries: Vec<ConfigEntry>,
 }
 
 impl ConfigHead {
-    /// Revision of the newest change.
+    /// Revision of the latest change.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.entries.last().map_or(self.base_revision, |entry| entry.revision)
@@ -101,30 +100,30 @@
 /// The configuration at one revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// Revision of the newest change applied.
+    /// Revision of the latest applied change.
     pub revision: u64,
     /// Templates by name.
     pub templates: BTreeMap<String, Terms>,
     /// Client accounts by name.
     pub accounts: BTreeMap<String, Account>,
-    /// Upstreams that are to get no new work.
+    /// Upstreams marked as leaving, which get no new work.
     pub leaving: BTreeSet<String>,
     /// Weight version of each model for new requests.
     pub models: BTreeMap<String, String>,
-    /// Revision at which each object was last changed.
+    /// Revision of the latest change of each object.
     pub changed_at: BTreeMap<String, u64>,
-    /// Ids of the newest changes, with their revisions.
+    /// Ids and revisions of the latest changes.
     pub applied: VecDeque<(String, u64)>,
 }
 
 impl ConfigState {
-    /// Revision at which `object` was last changed; 0 means never.
+    /// Revision of the latest change of `object`; 0 if it was never changed.
     #[must_use]
     pub fn object_revision(&self, object: &Object) -> u64 {
         self.changed_at.get(&object.to_string()).copied().unwrap_or(0)
     }
 
-    /// Revision that accepted the change `id`.
+    /// Revision of the change `id`, if it was accepted recently.
     #[must_use]
     pub fn accepted_at(&self, id: &str) -> Option<u64> {
         self.applied.iter().find(|(applied, _)| applied == id).map(|(_, revision)| *revision)
@@ -133,8 +132,8 @@
     /// Turns a proposal into the next entry.
     ///
     /// # Errors
-    /// Fails when the object was changed since the operator read it, or with
-    /// every fault of the change.
+    /// Fails if the object was changed after the operator had read it, or with all validation
+    /// errors of the change.
     pub fn accept(&self, proposal: &ChangeProposal) -> Result<ConfigEntry, Error> {
         let object = proposal.change.object();
         let found_revision = self.object_revision(&object);
@@ -196,7 +195,7 @@
     /// Applies the next entry.
     ///
     /// # Panics
-    /// Panics when the entry is not the next one: a change would be lost.
+    /// Panics if the entry is not the next one, since a change would be lost.
     pub fn apply(&mut self, entry: &ConfigEntry) {
         assert_eq!(entry.revision, self.revision + 1, "changes are applied in order");
         self.revision = entry.revision;
@@ -241,16 +240,16 @@
     vec![format!("'{name}' is not a name: 1 to 64 letters, digits, '-', '_', '.' or ':'")]
 }
 
-/// The configuration as a box serves it: a state and lookups in it.
+/// The configuration with the lookups that a box needs.
 #[derive(Debug, Default)]
 pub struct Config {
-    /// The state.
+    /// The configuration.
     pub state: ConfigState,
     account_by_key_hash: HashMap<String, String>,
 }
 
 impl Config {
-    /// Prepares a state for serving.
+    /// Builds the lookups for a state.
     #[must_use]
     pub fn new(state: ConfigState) -> Self {
         let mut by_key = HashMap::new();
@@ -260,10 +259,9 @@
         Self { state, account_by_key_hash: by_key }
     }
 
-    /// The account that an API key belongs to.
+    /// The account of an API key.
     ///
-    /// Keys are found by their hash, so that the time taken tells nothing
-    /// about a key.
+    /// Keys are looked up by their hash, so that the response time reveals nothing about a key.
     #[must_use]
     pub fn account_of(&self, api_key: &str) -> Option<&str> {
         self.account_by_key_hash.get(&key_hash(api_key)).map(String::as_str)
@@ -278,18 +276,18 @@
     }
 }
 
-/// What came of news about the configuration.
+/// Result of an update of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
-    /// It was newer and is in force.
+    /// The update was newer and was applied.
     Applied,
-    /// It was known.
+    /// The update was already applied.
     AlreadyKnown,
-    /// Changes before it are missing.
+    /// Changes before the update are missing.
     Gap,
 }
 
-/// A box's copy of the log. Its revision only rises.
+/// A box's copy of the log. Its revision only increases.
 #[derive(Debug, Default)]
 pub struct ConfigLog {
     state: ConfigState,
@@ -297,25 +295,25 @@
 }
 
 impl ConfigLog {
-    /// Revision in force.
+    /// Revision in use.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.state.revision
     }
 
-    /// State in force.
+    /// State in use.
     #[must_use]
     pub fn state(&self) -> &ConfigState {
         &self.state
     }
 
-    /// The state prepared for serving.
+    /// The state in use with its lookups.
     #[must_use]
     pub fn config(&self) -> Arc<Config> {
         Arc::new(Config::new(self.state.clone()))
     }
 
-    /// Takes changes, oldest first.
+    /// Applies changes, the oldest first.
     pub fn adopt_entries(&mut self, entries: &[ConfigEntry]) -> AdoptOutcome {
         let mut adopted = AdoptOutcome::AlreadyKnown;
         for entry in entries {
@@ -335,7 +333,7 @@
         adopted
     }
 
-    /// Takes a whole state, if it is newer.
+    /// Replaces the state if the new one is newer.
     pub fn adopt_state(&mut self, state: ConfigState) -> AdoptOutcome {
         if state.revision <= self.state.revision {
             return AdoptOutcome::AlreadyKnown;
@@ -345,7 +343,7 @@
         AdoptOutcome::Applied
     }
 
-    /// The changes after `revision`, when all of them are still here.
+    /// The changes after `revision`, if this box still has all of them.
     #[must_use]
     pub fn entries_after(&self, revision: u64) -> Option<Vec<ConfigEntry>> {
         if revision >= self.state.revision {
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,6 +1,6 @@
-//! Numbers that stand for names in messages between boxes.
+//! Short ids that replace names in messages between boxes.
 
-/// The number that stands for a name in messages between boxes.
+/// Short id of a name: the first 32 bits of its hash.
 #[must_use]
 pub fn short_id(name: &str) -> u32 {
     let mut bytes = [0; 4];
