--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -120,7 +120,7 @@
         });
         assert!(granted, "the fleet has places free");
         let first = SlotReport::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
-        dispatcher.report(now_ms, &first);
+        dispatcher.record_slot_report(now_ms, &first);
         open.push_back(id);
         if open.len() > HALL_ENGINES * 8 * 7 / 10 {
             let id = open.pop_front().expect("it is not empty");
@@ -131,7 +131,7 @@
                 generated_tokens: 200,
                 end: SlotEnd::Finished,
             };
-            dispatcher.report(now_ms, &done);
+            dispatcher.record_slot_report(now_ms, &done);
         }
     };
     for source in &asks {
--- a/src/context_manager/eviction.rs
+++ b/src/context_manager/eviction.rs
@@ -29,7 +29,7 @@
         let mut candidates = self.eviction_candidates(name, capacity_bytes);
         candidates.sort_by(|left, right| {
             let rank = |candidate: &EvictionCandidate| {
-                retention::rank(
+                retention::eviction_rank(
                     self.policy,
                     now_ms,
                     &candidate.block_stats,
@@ -39,7 +39,7 @@
             rank(left).total_cmp(&rank(right))
         });
         for candidate in candidates {
-            let is_expired = retention::expired(self.policy, now_ms, &candidate.block_stats);
+            let is_expired = retention::is_expired(self.policy, now_ms, &candidate.block_stats);
             if is_expired || used_bytes > target_bytes {
                 used_bytes -= candidate.block_stats.size_bytes;
                 self.drop_block(&candidate.id, candidate.root);
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -62,8 +62,9 @@
 
 /// Passes a report on a slot to the model's dispatcher.
 fn handle_report(kernel: &Arc<Kernel>, model: &str, report: &SlotReport) {
-    let actions =
-        with_dispatcher(kernel, model, |active| active.dispatcher.report(now_ms(), report));
+    let actions = with_dispatcher(kernel, model, |active| {
+        active.dispatcher.record_slot_report(now_ms(), report)
+    });
     execute_actions(kernel, model, actions);
 }
 
@@ -193,7 +194,7 @@
         tokio::spawn(async move {
             let report = kernel.upstreams.report(&url).await;
             with_dispatcher(&kernel, &model, |active| {
-                active.dispatcher.engine_report(now_ms(), &name, report.as_ref());
+                active.dispatcher.record_engine_report(now_ms(), &name, report.as_ref());
             });
         });
     }
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -74,9 +74,9 @@
     }
 
     /// Processes an engine's status report, `None` when it did not answer.
-    pub fn engine_report(&mut self, now_ms: u64, name: &str, report: Option<&EngineReport>) {
+    pub fn record_engine_report(&mut self, now_ms: u64, name: &str, report: Option<&EngineReport>) {
         // An engine's cached context is lost when it loads another version.
-        if let Some(engine) = self.fleet.engine_report(now_ms, name, report) {
+        if let Some(engine) = self.fleet.record_engine_report(now_ms, name, report) {
             self.context.directory.forget_engine(engine_index(engine));
         }
     }
@@ -138,7 +138,7 @@
     }
 
     /// Processes a report on a granted slot.
-    pub fn report(&mut self, now_ms: u64, report: &SlotReport) -> Vec<Action> {
+    pub fn record_slot_report(&mut self, now_ms: u64, report: &SlotReport) -> Vec<Action> {
         match report {
             SlotReport::Imported { id, imported } => self.record_import(now_ms, id, imported),
             SlotReport::FirstToken { id, cached_tokens, took_ms } => {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -51,7 +51,13 @@
 impl Engine {
     /// Creates an engine that has not reported yet.
     #[must_use]
-    pub fn new(name: &str, url: &str, slots: u32, cache_tokens: u64, token_ms: f64) -> Self {
+    pub fn new(
+        name: &str,
+        url: &str,
+        slots: u32,
+        cache_tokens: u64,
+        prefill_ms_per_token: f64,
+    ) -> Self {
         Self {
             name: name.to_owned(),
             url: url.to_owned(),
@@ -63,7 +69,7 @@
             marked_leaving: false,
             outstanding: 0,
             pending_tokens: 0,
-            prefill_ms_per_token: token_ms,
+            prefill_ms_per_token,
             cooldown_until_ms: 0,
             failures: 0,
         }
@@ -100,14 +106,8 @@
     pub fn candidate(&self, engine: usize, cached_tokens: u32) -> EngineCandidate {
         #[expect(clippy::cast_precision_loss, reason = "token counts stay far below 2^52")]
         let wait_ms = self.pending_tokens as f64 * self.prefill_ms_per_token;
-        let (outstanding, token_ms) = (self.outstanding, self.prefill_ms_per_token);
-        EngineCandidate {
-            engine,
-            outstanding,
-            wait_ms,
-            prefill_ms_per_token: token_ms,
-            cached_tokens,
-        }
+        let (outstanding, prefill_ms_per_token) = (self.outstanding, self.prefill_ms_per_token);
+        EngineCandidate { engine, outstanding, wait_ms, prefill_ms_per_token, cached_tokens }
     }
 
     /// Records a failure, which starts a cooldown.
@@ -161,7 +161,7 @@
 
     /// Processes an engine's status report, `None` when it did not answer. Returns the engine's
     /// index if its version has changed.
-    pub fn engine_report(
+    pub fn record_engine_report(
         &mut self,
         now_ms: u64,
         name: &str,
--- a/src/retention.rs
+++ b/src/retention.rs
@@ -122,7 +122,12 @@
 
 /// Eviction order: blocks with the lowest rank are evicted first.
 #[must_use]
-pub fn rank(policy: RetentionPolicy, now_ms: u64, block: &BlockStats, prior: &ReusePrior) -> f64 {
+pub fn eviction_rank(
+    policy: RetentionPolicy,
+    now_ms: u64,
+    block: &BlockStats,
+    prior: &ReusePrior,
+) -> f64 {
     let last_used = as_float(block.reuse.last_used_at_ms);
     match policy {
         RetentionPolicy::Lru | RetentionPolicy::Ttl => last_used,
@@ -138,7 +143,7 @@
 
 /// Whether a block has expired.
 #[must_use]
-pub fn expired(policy: RetentionPolicy, now_ms: u64, block: &BlockStats) -> bool {
+pub fn is_expired(policy: RetentionPolicy, now_ms: u64, block: &BlockStats) -> bool {
     match policy {
         RetentionPolicy::Lru => false,
         RetentionPolicy::Ttl => now_ms >= block.reuse.last_used_at_ms + FIXED_TTL_MS,
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -72,14 +72,14 @@
     let request = "r".to_owned();
     let done =
         SlotReport::Done { id, request_id: request, generated_tokens: 5, end: SlotEnd::Finished };
-    dispatcher.report(NOW_MS, &done);
+    dispatcher.record_slot_report(NOW_MS, &done);
     grant.engine.clone()
 }
 
 fn report(dispatcher: &mut Dispatcher, version: &str) {
     for name in ["e1", "e2"] {
         let report = EngineReport { version: version.to_owned(), leaving: false, loading: false };
-        dispatcher.engine_report(NOW_MS, name, Some(&report));
+        dispatcher.record_engine_report(NOW_MS, name, Some(&report));
     }
 }
 
