--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -159,7 +159,7 @@
                 let store = self.stores.get(&block.store)?;
                 let is_usable =
                     matches!(block.phase, Phase::Sealed(_)) && now_ms >= store.cooldown_until_ms;
-                is_usable.then(|| (id.clone(), store.import_offer(now_ms, block, common)))
+                is_usable.then(|| (id.clone(), store.estimate_import(now_ms, block, common)))
             });
         estimates.max_by_key(|(_, estimate)| estimate.tokens)
     }
--- a/src/external.rs
+++ b/src/external.rs
@@ -115,7 +115,7 @@
     Refused,
     /// not run: the engine could not be reached
     Unreachable,
-    /// the engine's response broke off: {0}
+    /// the engine's response failed or broke off: {0}
     Broken(String),
 }
 
--- a/src/port.rs
+++ b/src/port.rs
@@ -12,7 +12,8 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time within which a process that exits closes all of its sockets.
 const SETTLE_TIME: Duration = Duration::from_millis(50);
-/// Maximum number of attempts, while each connection is accepted and closed at once.
+/// Maximum number of connection attempts; another one follows only if the last connection
+/// was closed at once.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Result of a connection attempt.
--- a/src/store.rs
+++ b/src/store.rs
@@ -48,10 +48,15 @@
         (self.busy_until_ms - to_f64(now_ms)).max(0.0)
     }
 
-    /// Estimated cost of importing a block that has `common_tokens` tokens in common with
+    /// Estimated time to import a block that has `common_tokens` tokens in common with
     /// the prompt.
     #[must_use]
-    pub fn import_offer(&self, now_ms: u64, block: &Block, common_tokens: u32) -> ImportEstimate {
+    pub fn estimate_import(
+        &self,
+        now_ms: u64,
+        block: &Block,
+        common_tokens: u32,
+    ) -> ImportEstimate {
         let transfer_ms = to_f64(block.size_bytes) / self.bytes_per_ms;
         let link_ms = self.backlog_ms(now_ms) + transfer_ms;
         ImportEstimate { tokens: common_tokens.min(block.prefix_end.tokens), link_ms, transfer_ms }
--- a/src/streams.rs
+++ b/src/streams.rs
@@ -161,7 +161,7 @@
         content.end.as_ref().map(|_| content.ended_at_ms)
     }
 
-    fn has_no_readers(&self, now_ms: u64) -> bool {
+    fn is_unread_too_long(&self, now_ms: u64) -> bool {
         let unread_since_ms = self.content().unread_since_ms;
         self.readers.load(Ordering::Acquire) == 0 && now_ms >= unread_since_ms + UNREAD_TIMEOUT_MS
     }
@@ -222,7 +222,7 @@
         let over_limit_ms = ended.get(MAX_ENDED).copied().unwrap_or(0);
         let remove_before_ms = over_limit_ms.max(now_ms.saturating_sub(RETENTION_MS));
         by_id.retain(|_, stream| stream.ended_at_ms().is_none_or(|at_ms| at_ms > remove_before_ms));
-        for stream in by_id.values().filter(|stream| stream.has_no_readers(now_ms)) {
+        for stream in by_id.values().filter(|stream| stream.is_unread_too_long(now_ms)) {
             stream.cancel();
         }
     }
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -96,15 +96,15 @@
     cached_tokens: u32,
 }
 
-fn broken_stream(error: impl std::fmt::Display) -> EngineError {
+fn failed_response(error: impl std::fmt::Display) -> EngineError {
     EngineError::Broken(error.to_string())
 }
 
 /// Decodes a chunk of a stream.
 fn read_chunk(data: &str, attempt: u32, first_seq: u64) -> Result<EnginePiece, EngineError> {
-    let chunk: Chunk = serde_json::from_str(data).map_err(broken_stream)?;
+    let chunk: Chunk = serde_json::from_str(data).map_err(failed_response)?;
     let choice =
-        chunk.choices.into_iter().next().ok_or_else(|| broken_stream("chunk without choices"))?;
+        chunk.choices.into_iter().next().ok_or_else(|| failed_response("chunk without choices"))?;
     let details = chunk.usage.and_then(|usage| usage.prompt_tokens_details);
     let seq = first_seq + chunk.seq;
     let piece = Piece { attempt, seq, text: choice.text, finish: choice.finish_reason };
@@ -129,10 +129,10 @@
         match tokio::time::timeout(PIECE_TIMEOUT, events.next()).await {
             Err(_) => {
                 client.report_silent();
-                Some((Err(broken_stream("no piece within the time-out")), None))
+                Some((Err(failed_response("no piece within the time-out")), None))
             }
             Ok(None) => None,
-            Ok(Some(Err(error))) => Some((Err(broken_stream(error)), None)),
+            Ok(Some(Err(error))) => Some((Err(failed_response(error)), None)),
             Ok(Some(Ok(event))) if event.data == END_MARK => {
                 // A connection is reused only after its response was read to the end.
                 let _ = tokio::time::timeout(END_TIMEOUT, events.next()).await;
@@ -171,12 +171,12 @@
             Err(EngineError::OtherVersion)
         }
         Ok(ErrorBody { error }) if error.not_run => Err(EngineError::Refused),
-        Ok(_) | Err(_) => Err(broken_stream(status)),
+        Ok(_) | Err(_) => Err(failed_response(status)),
     }
 }
 
 fn send_error(error: &reqwest::Error) -> EngineError {
-    if error.is_connect() { EngineError::Unreachable } else { broken_stream(error) }
+    if error.is_connect() { EngineError::Unreachable } else { failed_response(error) }
 }
 
 /// Sends a request for a run and waits for the response head.
@@ -187,7 +187,7 @@
 ) -> Result<Response, EngineError> {
     let Ok(response) = tokio::time::timeout(timeout, call.send()).await else {
         client.report_silent();
-        return Err(broken_stream("no response within the time-out"));
+        return Err(failed_response("no response within the time-out"));
     };
     check_accepted(response.map_err(|error| send_error(&error))?).await
 }
