--- a/src/completion.rs
+++ b/src/completion.rs
@@ -36,7 +36,7 @@
 const FINGERPRINT_KIND: &str = "completion";
 /// Time after which the caller may retry when an upstream failed.
 const FAILED_RETRY_MS: u64 = 1000;
-/// How often finished and abandoned answer streams are removed.
+/// How often finished answers are removed and unread ones cancelled.
 const CLEANUP_PERIOD: Duration = Duration::from_secs(1);
 
 inventory::submit! {
@@ -258,8 +258,8 @@
         ended
     }
 
-    /// Runs the request on one engine, and resumes once if the stream breaks after the first
-    /// piece.
+    /// Runs the request on one engine. If the stream breaks after output has arrived, it is
+    /// resumed there once.
     async fn generate(&mut self, slot: &HeldSlot, run_id: &str, first_seq: u64) -> AttemptEnd {
         let started_at_ms = now_ms();
         let (scope, prompt) = (self.scope(), self.prompt());
--- a/src/crashes.rs
+++ b/src/crashes.rs
@@ -73,8 +73,8 @@
 
 fn receive(kernel: &Arc<Kernel>, envelope: Envelope) {
     let Message::CrashReport { crashes, answers } = envelope.message else { return };
-    let news = locked(&kernel.quarantine).merge_reports(now_ms(), &crashes, &answers);
-    if news != UpdateUrgency::None {
+    let urgency = locked(&kernel.quarantine).merge_reports(now_ms(), &crashes, &answers);
+    if urgency != UpdateUrgency::None {
         notify_peers(kernel);
     }
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -8,7 +8,7 @@
 
 /// Time before a request from which on other lines of its boxes are shown, in ms.
 const LOOKBACK_MS: i64 = 15_000;
-/// Events that concern a whole box, not only one upstream.
+/// Events that concern a box as a whole rather than one upstream.
 const BOX_EVENTS: [&str; 8] = [
     "dependency_lost",
     "dependency_regained",
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -56,13 +56,13 @@
 /// would not hear of the heir by gossip any more.
 async fn announce_heir(kernel: &Arc<Kernel>) {
     for _ in 0..HEIR_ANNOUNCEMENTS {
-        let (me, others): (Member, Vec<String>) = {
+        let (me, addresses): (Member, Vec<String>) = {
             let membership = kernel.membership();
             let view = membership.view();
-            let others = view.others().filter(|member| member.health != Health::Dead);
-            (view.me().clone(), others.map(|member| member.address.clone()).collect())
+            let live = view.others().filter(|member| member.health != Health::Dead);
+            (view.me().clone(), live.map(|member| member.address.clone()).collect())
         };
-        for address in &others {
+        for address in &addresses {
             let gossip = Gossip::Table { members: vec![me.clone()] };
             kernel.send(address, Message::Gossip(gossip));
         }
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -128,7 +128,7 @@
         }
     }
     let value = kernel.platform.read(&lease_key(kernel)).await?;
-    match lease_standing(kernel, lease_state, &value) {
+    match current_lease_status(kernel, lease_state, &value) {
         LeaseStatus::HeldByThisBox => {
             lease_state.fence = Some(value.fence);
             extend_session(lease_state.session.as_mut().filter(|_| is_holder), now_ms);
@@ -154,8 +154,12 @@
     }
 }
 
-fn lease_standing(kernel: &Kernel, lease_state: &LeaseState, value: &KeyValueEntry) -> LeaseStatus {
-    let held = value.session.clone().map(|session| {
+fn current_lease_status(
+    kernel: &Kernel,
+    lease_state: &LeaseState,
+    value: &KeyValueEntry,
+) -> LeaseStatus {
+    let record = value.session.clone().map(|session| {
         let holder = serde_json::from_slice(&value.bytes).ok();
         LeaseRecord { session, holder }
     });
@@ -163,7 +167,7 @@
     // Only engines that check the fencing token refuse a late order of a holder that is gone.
     let all_check_orders = engines(kernel).all(|(_, engine)| engine.checks_orders);
     let is_gone = |holder: &BoxRef| all_check_orders && kernel.membership().view().is_gone(holder);
-    lease_status(held, &kernel.box_id, own, is_gone)
+    lease_status(record, &kernel.box_id, own, is_gone)
 }
 
 /// Releases the lease, so that the next holder need not wait until it expires.
--- a/src/view.rs
+++ b/src/view.rs
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Raises the beat of this box if another box wrongly considers it suspect, leaving or dead.
+    /// Raises this box's count of refutations if another box has a newer state of this
+    /// incarnation, such as a suspicion. The raised count makes this box's own state the newest.
     fn refute(&mut self, reported: &Member) {
         let is_own_incarnation = reported.id.incarnation == self.me.id.incarnation;
         if is_own_incarnation && reported.rank() > self.me.rank() {
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -111,13 +111,13 @@
         all.into_iter().partition(|(name, _)| unavailable_until_ms(name).is_some());
     let is_available =
         |name: &String| cooldowns.get(name).is_none_or(|until_ms| *until_ms <= now_ms);
-    let (mut ready, cooling): (Vec<_>, Vec<_>) =
+    let (mut ready, on_cooldown): (Vec<_>, Vec<_>) =
         all.into_iter().partition(|(name, _)| is_available(name));
     if !ready.is_empty() {
         let turn = kernel.calls.workers.round_robin.fetch_add(1, Ordering::Relaxed) % ready.len();
         ready.rotate_left(turn);
     }
-    ready.extend(cooling);
+    ready.extend(on_cooldown);
     let retry_at_ms = skipped.iter().filter_map(|(name, _)| unavailable_until_ms(name)).min();
     WorkerCandidates { ready, retry_at_ms }
 }
