--- a/tests/gateway_listings.rs
+++ b/tests/gateway_listings.rs
@@ -35,7 +35,7 @@
 }
 
 /// Waits for a line of the log.
-async fn logged(gateway: &Gateway, line: &str, count: usize) {
+async fn wait_logged(gateway: &Gateway, line: &str, count: usize) {
     eventually(line, async || gateway.logged().matches(line).count() >= count).await;
 }
 
@@ -53,8 +53,8 @@
     store.keep(SCOPE, "aa", 100);
     store.list_also(item);
     let fleet = fleet(&store).await;
-    logged(&fleet.gateway, "parts=1 ", 1).await;
-    logged(&fleet.gateway, "event=items_unreadable", 1).await;
+    wait_logged(&fleet.gateway, "parts=1 ", 1).await;
+    wait_logged(&fleet.gateway, "event=items_unreadable", 1).await;
 }
 
 #[rstest]
@@ -66,10 +66,10 @@
     let store = Engine::start().await;
     let fleet = fleet(&store).await;
     let listed = "event=holder_listed";
-    logged(&fleet.gateway, listed, 1).await;
+    wait_logged(&fleet.gateway, listed, 1).await;
     // What it said is not known, so all must be listed again.
     store.tell_also(change);
-    logged(&fleet.gateway, listed, 2).await;
+    wait_logged(&fleet.gateway, listed, 2).await;
 }
 
 #[rstest]
@@ -81,7 +81,7 @@
     let store = Engine::start().await;
     store.show_clock(clock_ms);
     let fleet = fleet(&store).await;
-    logged(&fleet.gateway, "event=clock_unreadable", 1).await;
+    wait_logged(&fleet.gateway, "event=clock_unreadable", 1).await;
     assert_eq!(prompt(&fleet.gateway, "p-1").await, 200);
     assert!(!fleet.gateway.logged().contains("panicked"), "{}", fleet.gateway.logged());
 }
