--- a/tests/gateway_namings.rs
+++ b/tests/gateway_namings.rs
@@ -4,11 +4,11 @@
 
 use coursestile::gateway::decisions::weights::{NamedVersion, NamedVersions, UNKNOWN_TIME_MS};
 
-fn naming(version: u64, replaced: u64, at_ms: u64) -> NamedVersion {
-    NamedVersion { version, previous: replaced, named_at_ms: at_ms }
+fn named_version(version: u64, previous: u64, named_at_ms: u64) -> NamedVersion {
+    NamedVersion { version, previous, named_at_ms }
 }
 
-fn told(weights: &NamedVersions) -> Vec<NamedVersion> {
+fn shared_versions(weights: &NamedVersions) -> Vec<NamedVersion> {
     weights.named_after(0).collect()
 }
 
@@ -18,11 +18,11 @@
     weights.add_named_after(UNKNOWN_TIME_MS, 3);
     assert_eq!(weights.behind_since_ms(2), Some(UNKNOWN_TIME_MS));
     assert_eq!(weights.behind_since_ms(3), None);
-    assert!(told(&weights).is_empty(), "it knows nothing to tell");
-    weights.merge(naming(3, 2, 8000));
+    assert!(shared_versions(&weights).is_empty(), "it knows nothing to tell");
+    weights.merge(named_version(3, 2, 8000));
     assert_eq!(weights.behind_since_ms(2), Some(8000));
     assert_eq!(weights.behind_since_ms(1), Some(UNKNOWN_TIME_MS), "when 2 was named is not told");
-    weights.merge(naming(2, 1, 5000));
+    weights.merge(named_version(2, 1, 5000));
     assert_eq!(weights.behind_since_ms(1), Some(5000));
 }
 
@@ -37,8 +37,8 @@
 fn earliest_counts() {
     let mut weights = NamedVersions::default();
     assert!(weights.add_named_at(1000, 2) && weights.add_named_at(9000, 3));
-    weights.merge(naming(3, 2, 8000));
-    weights.merge(naming(3, 2, 8500));
+    weights.merge(named_version(3, 2, 8000));
+    weights.merge(named_version(3, 2, 8500));
     assert_eq!(weights.behind_since_ms(2), Some(8000));
 }
 
@@ -46,13 +46,13 @@
 /// Told to others, that made all engines overdue at once.
 #[test]
 fn estimate_stays() {
-    let mut away = NamedVersions::default();
-    away.add_named_at(1000, 2);
-    away.add_named_after(85_000, 3);
-    assert_eq!(away.behind_since_ms(2), Some(85_000));
-    assert!(told(&away).iter().all(|one| one.version != 3));
-    away.merge(naming(3, 2, 100_000));
-    assert_eq!(away.behind_since_ms(2), Some(100_000), "a box that was there knows better");
+    let mut absent_box = NamedVersions::default();
+    absent_box.add_named_at(1000, 2);
+    absent_box.add_named_after(85_000, 3);
+    assert_eq!(absent_box.behind_since_ms(2), Some(85_000));
+    assert!(shared_versions(&absent_box).iter().all(|named| named.version != 3));
+    absent_box.merge(named_version(3, 2, 100_000));
+    assert_eq!(absent_box.behind_since_ms(2), Some(100_000), "a box that was there knows better");
 }
 
 /// Of two boxes, one may have missed a version between two others.
@@ -60,8 +60,8 @@
 fn missed_between() {
     let mut weights = NamedVersions::default();
     weights.add_named_after(UNKNOWN_TIME_MS, 3);
-    weights.merge(naming(3, 1, 30_000));
-    weights.merge(naming(3, 2, 30_010));
+    weights.merge(named_version(3, 1, 30_000));
+    weights.merge(named_version(3, 2, 30_010));
     assert_eq!(weights.behind_since_ms(1), Some(UNKNOWN_TIME_MS));
     assert_eq!(weights.behind_since_ms(2), Some(30_000));
 }
