--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -19,9 +19,9 @@
 use serde_json::json;
 
 /// Time for which an upstream wants no request.
-const REST: Duration = Duration::from_secs(3);
+const BACKOFF: Duration = Duration::from_secs(3);
 /// Time by which that must be heeded.
-const REST_BEGINS: Duration = Duration::from_millis(500);
+const BACKOFF_APPLY: Duration = Duration::from_millis(500);
 
 async fn scene(servers: usize) -> Scene {
     scene_at(Site::start().await, servers).await
@@ -33,7 +33,7 @@
 }
 
 /// The upstream that a box chooses while nothing speaks for another.
-async fn favourite<'a>(scene: &'a Scene, gateway: &Gateway, path: &str) -> &'a Server {
+async fn preferred_upstream<'a>(scene: &'a Scene, gateway: &Gateway, path: &str) -> &'a Server {
     let before: Vec<usize> = scene.servers.iter().map(|server| server.arrived().len()).collect();
     send(gateway, path, &format!("{path}-favourite-{before:?}")).await;
     let mut servers = scene.servers.iter().zip(before);
@@ -42,12 +42,12 @@
 }
 
 /// Waits until a line has been logged so often.
-async fn logged(gateway: &Gateway, line: &str, times: usize) {
+async fn wait_logged(gateway: &Gateway, line: &str, times: usize) {
     eventually(line, async || gateway.logged().matches(line).count() >= times).await;
 }
 
 /// Sends some requests; how many come to an upstream.
-async fn come_to(scene: &Scene, gateway: &Gateway, path: &str, server: &Server) -> usize {
+async fn count_reaching(scene: &Scene, gateway: &Gateway, path: &str, server: &Server) -> usize {
     let before = server.arrived().len();
     for number in 0..20 {
         let answer = send(gateway, path, &format!("{path}-{before}-{number}")).await;
@@ -62,31 +62,41 @@
 #[tokio::test]
 async fn leaving_heeded(#[case] path: &str) {
     let scene = scene(2).await;
-    let leaver = favourite(&scene, &scene.gateway, path).await;
-    leaver.then(&[Act::Leaving]);
+    let leaving_upstream = preferred_upstream(&scene, &scene.gateway, path).await;
+    leaving_upstream.then(&[Act::Leaving]);
     send(&scene.gateway, path, "told").await;
-    assert_eq!(come_to(&scene, &scene.gateway, path, leaver).await, 0);
+    assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
     // Its heartbeat says nothing of it, and its entry may lapse and come back.
-    let mut written = entry("plain", &leaver.address, "ready");
-    written["seq"] = json!(9);
-    scene.site.enter(&leaver.id, &written);
-    scene.site.leave(&leaver.id);
-    logged(&scene.gateway, &format!("event=upstream_gone upstream={}", leaver.id), 1).await;
-    scene.site.enter(&leaver.id, &written);
-    logged(&scene.gateway, &format!("event=upstream_seen upstream={}", leaver.id), 2).await;
-    assert_eq!(come_to(&scene, &scene.gateway, path, leaver).await, 0);
+    let mut same_entry = entry("plain", &leaving_upstream.address, "ready");
+    same_entry["seq"] = json!(9);
+    scene.site.enter(&leaving_upstream.id, &same_entry);
+    scene.site.leave(&leaving_upstream.id);
+    wait_logged(
+        &scene.gateway,
+        &format!("event=upstream_gone upstream={}", leaving_upstream.id),
+        1,
+    )
+    .await;
+    scene.site.enter(&leaving_upstream.id, &same_entry);
+    wait_logged(
+        &scene.gateway,
+        &format!("event=upstream_seen upstream={}", leaving_upstream.id),
+        2,
+    )
+    .await;
+    assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
 }
 
 /// The other boxes hear of it, too.
 #[tokio::test]
 async fn leaving_told() {
     let mut scene = scene(1).await;
-    let other = scene.site.gateway("north", &[&scene.gateway]);
-    wait_ready(&other).await;
+    let peer = scene.site.gateway("north", &[&scene.gateway]);
+    wait_ready(&peer).await;
     scene.servers[0].then(&[Act::Leaving]);
     send(&scene.gateway, "/safe/", "told").await;
     eventually("the other box heeds it", async || {
-        send(&other, "/safe/", "r-1").await.status() == 503
+        send(&peer, "/safe/", "r-1").await.status() == 503
     })
     .await;
 }
@@ -99,9 +109,9 @@
     server.then(&[Act::Leaving]);
     send(&scene.gateway, "/safe/", "told").await;
     assert_eq!(send(&scene.gateway, "/safe/", "r-1").await.status(), 503);
-    let mut reborn = entry("plain", &server.address, "ready");
-    reborn["born"] = json!(1_800_000_000_000_u64);
-    scene.site.enter(&server.id, &reborn);
+    let mut restarted = entry("plain", &server.address, "ready");
+    restarted["born"] = json!(1_800_000_000_000_u64);
+    scene.site.enter(&server.id, &restarted);
     eventually("it serves again", async || {
         send(&scene.gateway, "/safe/", "r-2").await.status() == 200
     })
@@ -114,16 +124,16 @@
 #[tokio::test]
 async fn rest_heeded(#[case] path: &str) {
     let scene = scene(2).await;
-    let resting = favourite(&scene, &scene.gateway, path).await;
-    resting.then(&[Act::Rest(REST)]);
+    let backing_off = preferred_upstream(&scene, &scene.gateway, path).await;
+    backing_off.then(&[Act::Rest(BACKOFF)]);
     send(&scene.gateway, path, "told").await;
     let since = Instant::now();
-    while since.elapsed() < REST.saturating_sub(REST_BEGINS) {
-        assert_eq!(come_to(&scene, &scene.gateway, path, resting).await, 0);
+    while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
+        assert_eq!(count_reaching(&scene, &scene.gateway, path, backing_off).await, 0);
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     eventually("it gets requests again", async || {
-        come_to(&scene, &scene.gateway, path, resting).await > 0
+        count_reaching(&scene, &scene.gateway, path, backing_off).await > 0
     })
     .await;
 }
@@ -133,7 +143,7 @@
 async fn all_rest() {
     let scene = scene(2).await;
     for server in &scene.servers {
-        server.then(&[Act::Rest(REST)]);
+        server.then(&[Act::Rest(BACKOFF)]);
     }
     // A route of two attempts: the second upstream gets what the first has turned away.
     send(&scene.gateway, "/once/", "told").await;
@@ -141,26 +151,29 @@
     let since = Instant::now();
     let before: usize = scene.servers.iter().map(|server| server.arrived().len()).sum();
     let mut sent = 0;
-    while since.elapsed() < REST.saturating_sub(REST_BEGINS) {
+    while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
         sent += 1;
         let answer = send(&scene.gateway, "/once/", &format!("r-{sent}")).await;
         assert_eq!(answer.status(), 503);
         let after_s: f64 = answer.header("retry-after").expect("a time").parse().expect("a number");
-        let rest_left = REST.saturating_sub(since.elapsed()).as_secs_f64();
-        assert!(after_s >= rest_left - 0.5, "{after_s} s, {rest_left} s left");
+        let backoff_left = BACKOFF.saturating_sub(since.elapsed()).as_secs_f64();
+        assert!(after_s >= backoff_left - 0.5, "{after_s} s, {backoff_left} s left");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     let arrived: usize = scene.servers.iter().map(|server| server.arrived().len()).sum();
     assert_eq!(arrived, before);
     let log = scene.gateway.logged();
-    let held = log
+    let held_ms = log
         .lines()
         .filter(|line| line.contains("event=refused"))
         .filter_map(|line| line.rsplit_once("held_ms=")?.1.trim().parse::<u64>().ok());
-    let mut held: Vec<u64> = held.collect();
-    held.sort_unstable();
-    assert!(held[held.len() / 2] < 50, "not held for the quarter of the objective: {held:?}");
-    tokio::time::sleep(REST_BEGINS * 2).await;
+    let mut held_ms: Vec<u64> = held_ms.collect();
+    held_ms.sort_unstable();
+    assert!(
+        held_ms[held_ms.len() / 2] < 50,
+        "not held for the quarter of the objective: {held_ms:?}"
+    );
+    tokio::time::sleep(BACKOFF_APPLY * 2).await;
     assert_eq!(send(&scene.gateway, "/once/", "last").await.status(), 200);
 }
 
@@ -168,19 +181,21 @@
 #[tokio::test]
 async fn rest_told() {
     let mut scene = scene(2).await;
-    let other = scene.site.gateway("north", &[&scene.gateway]);
-    wait_ready(&other).await;
-    let resting = favourite(&scene, &other, "/safe/").await;
-    let spare = scene.servers.iter().find(|server| server.id != resting.id).expect("two");
+    let peer = scene.site.gateway("north", &[&scene.gateway]);
+    wait_ready(&peer).await;
+    let backing_off = preferred_upstream(&scene, &peer, "/safe/").await;
+    let other_upstream =
+        scene.servers.iter().find(|server| server.id != backing_off.id).expect("two");
     // The first box has no other choice.
-    scene.site.leave(&spare.id);
-    logged(&scene.gateway, &format!("event=upstream_gone upstream={}", spare.id), 1).await;
-    resting.then(&[Act::Rest(Duration::from_secs(20))]);
+    scene.site.leave(&other_upstream.id);
+    wait_logged(&scene.gateway, &format!("event=upstream_gone upstream={}", other_upstream.id), 1)
+        .await;
+    backing_off.then(&[Act::Rest(Duration::from_secs(20))]);
     send(&scene.gateway, "/safe/", "told").await;
-    scene.site.enter(&spare.id, &entry("plain", &spare.address, "ready"));
-    logged(&other, &format!("event=upstream_seen upstream={}", spare.id), 2).await;
+    scene.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
+    wait_logged(&peer, &format!("event=upstream_seen upstream={}", other_upstream.id), 2).await;
     eventually("the other box heeds it", async || {
-        come_to(&scene, &other, "/safe/", resting).await == 0
+        count_reaching(&scene, &peer, "/safe/", backing_off).await == 0
     })
     .await;
 }
@@ -190,13 +205,13 @@
 #[tokio::test]
 async fn turned_away() {
     let scene = scene(2).await;
-    let full = favourite(&scene, &scene.gateway, "/once/").await;
-    full.then(&vec![Act::NotRun; 40]);
-    let tried = come_to(&scene, &scene.gateway, "/once/", full).await;
+    let refusing = preferred_upstream(&scene, &scene.gateway, "/once/").await;
+    refusing.then(&vec![Act::NotRun; 40]);
+    let tried = count_reaching(&scene, &scene.gateway, "/once/", refusing).await;
     assert!((1..=4).contains(&tried), "{tried} of 20");
-    full.then_nothing();
+    refusing.then_nothing();
     eventually("it gets requests again", async || {
-        come_to(&scene, &scene.gateway, "/once/", full).await > 0
+        count_reaching(&scene, &scene.gateway, "/once/", refusing).await > 0
     })
     .await;
 }
@@ -214,17 +229,17 @@
 fn times_read(#[case] text: &str, #[case] backoff_ms: Option<u64>) {
     let mut head = HeaderMap::new();
     head.insert("retry-after", text.parse().unwrap());
-    let told = answer_head(StatusCode::SERVICE_UNAVAILABLE, &head);
-    assert_eq!(told.notice, Notice { leaving: false, backoff_ms });
-    let other = answer_head(StatusCode::INTERNAL_SERVER_ERROR, &head);
-    assert!(other.notice.is_empty(), "it speaks of the request alone");
+    let unavailable = answer_head(StatusCode::SERVICE_UNAVAILABLE, &head);
+    assert_eq!(unavailable.notice, Notice { leaving: false, backoff_ms });
+    let server_error = answer_head(StatusCode::INTERNAL_SERVER_ERROR, &head);
+    assert!(server_error.notice.is_empty(), "it speaks of the request alone");
 }
 
 #[test]
 fn longest_rest() {
-    let asked =
+    let long_backoff =
         NoticeState::from_notice(1000, Notice { leaving: false, backoff_ms: Some(u64::MAX) });
-    assert_eq!(asked.backoff_until_ms, 601_000);
-    let nothing = NoticeState::from_notice(1000, Notice { leaving: false, backoff_ms: Some(0) });
-    assert_eq!(nothing, NoticeState::default());
+    assert_eq!(long_backoff.backoff_until_ms, 601_000);
+    let no_backoff = NoticeState::from_notice(1000, Notice { leaving: false, backoff_ms: Some(0) });
+    assert_eq!(no_backoff, NoticeState::default());
 }
