--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -49,13 +49,13 @@
 #[tokio::test]
 async fn again_when_misdirected() {
     let mut scene = scene(1).await;
-    let server = Server::start("a-old").await;
-    server.then(&vec![Act::OtherIncarnation; 100]);
+    let other_incarnation = Server::start("a-old").await;
+    other_incarnation.then(&vec![Act::OtherIncarnation; 100]);
     // The nearer one is chosen first: the other is in another hall.
-    let mut far = entry("plain", &scene.servers[0].address, "ready");
-    far["zone"] = json!("south");
-    scene.site.enter(&scene.servers[0].id, &far);
-    scene.site.enter("a-old", &entry("plain", &server.address, "ready"));
+    let mut remote_entry = entry("plain", &scene.servers[0].address, "ready");
+    remote_entry["zone"] = json!("south");
+    scene.site.enter(&scene.servers[0].id, &remote_entry);
+    scene.site.enter("a-old", &entry("plain", &other_incarnation.address, "ready"));
     let peer = scene.site.gateway("north", &[&scene.gateway]);
     wait_ready(&peer).await;
     let known = async || {
@@ -68,13 +68,13 @@
         let answer = scene.send("POST", ONE_ATTEMPT, &id).await;
         assert_eq!((answer.status(), scene.count(&id)), (200, 1));
     }
-    assert_eq!(server.arrived().len(), 1, "one answer says enough");
+    assert_eq!(other_incarnation.arrived().len(), 1, "one answer says enough");
     eventually("peers are told", async || {
-        let before = server.arrived().len();
+        let before = other_incarnation.arrived().len();
         for number in 0..4 {
             once(&peer.clients, "POST", ONE_ATTEMPT, &format!("p-{number}")).await.unwrap();
         }
-        server.arrived().len() == before
+        other_incarnation.arrived().len() == before
     })
     .await;
 }
@@ -109,9 +109,9 @@
     let scene = scene(1).await;
     scene.servers[0].then(&[Act::After(std::time::Duration::from_secs(20))]);
     let bytes = coursestile_standins::site::client::request("POST", "/once/", "r-1", "", "");
-    let hurried =
+    let short_deadline =
         String::from_utf8(bytes).unwrap().replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 300");
-    let answer = scene.raw(hurried.as_bytes()).await.unwrap();
+    let answer = scene.raw(short_deadline.as_bytes()).await.unwrap();
     assert_eq!(answer.status(), 504);
 }
 
