--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -25,26 +25,26 @@
 #[test]
 fn all_must_know() {
     let boxes = boxes(3);
-    let mut naming = ContextRelease::new("m", 2, 40, &boxes);
-    naming.note_informed(100, |one| one != address(3));
-    assert!(!naming.is_safe(1_000_000), "one says nothing, and may read on");
-    naming.note_informed(5000, |one| one == address(3));
-    let over_at_ms = 5000 + OLD_CONTEXT_READ_MS + MAX_TRANSFER_MS;
-    assert!(!naming.is_safe(over_at_ms - 1));
-    assert!(naming.is_safe(over_at_ms));
+    let mut release = ContextRelease::new("m", 2, 40, &boxes);
+    release.note_informed(100, |ip| ip != address(3));
+    assert!(!release.is_safe(1_000_000), "one says nothing, and may read on");
+    release.note_informed(5000, |ip| ip == address(3));
+    let safe_at_ms = 5000 + OLD_CONTEXT_READ_MS + MAX_TRANSFER_MS;
+    assert!(!release.is_safe(safe_at_ms - 1));
+    assert!(release.is_safe(safe_at_ms));
 }
 
 #[test]
 fn vanished_box_counts() {
     let mut boxes = boxes(2);
     boxes.note(60_000, [address(1)]);
-    let mut naming = ContextRelease::new("m", 2, 40, &boxes);
-    naming.note_informed(61_000, |one| one == address(1));
-    assert!(!naming.is_safe(1_000_000), "it was heard a minute before");
+    let mut release = ContextRelease::new("m", 2, 40, &boxes);
+    release.note_informed(61_000, |ip| ip == address(1));
+    assert!(!release.is_safe(1_000_000), "it was heard a minute before");
     boxes.note(700_000, [address(1)]);
-    let mut naming = ContextRelease::new("m", 3, 41, &boxes);
-    naming.note_informed(701_000, |one| one == address(1));
-    assert!(naming.is_safe(710_000), "it was not heard for ten minutes");
+    let mut release = ContextRelease::new("m", 3, 41, &boxes);
+    release.note_informed(701_000, |ip| ip == address(1));
+    assert!(release.is_safe(710_000), "it was not heard for ten minutes");
 }
 
 /// One engine takes no order: it keeps its weights, and what was kept under them kept the
