--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -136,7 +136,7 @@
 
     /// Sends a request and returns the time to its first token in milliseconds.
     fn send(&mut self, now_ms: u64, box_index: usize, engine: usize, tokens: u32) -> f64 {
-        #[expect(clippy::cast_precision_loss, reason = "a few thousand milliseconds")]
+        #[expect(clippy::cast_precision_loss, reason = "some thousand milliseconds")]
         let now = now_ms as f64;
         let prefill_starts_at_ms = self.idle_at_ms[engine].max(now);
         let prefilled_at_ms = prefill_starts_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -17,16 +17,26 @@
 /// How an entry differs from what an upstream writes of itself.
 #[derive(Clone, Copy, Debug)]
 enum Flaw {
-    NotUtf8,
-    NotAnObject,
+    /// The value is not UTF-8.
+    NoText,
+    /// The value is not a JSON object.
+    NoEntry,
+    /// A field is missing.
     Missing(&'static str),
-    WrongType(&'static str),
+    /// A field has a value of another type.
+    OtherType(&'static str),
+    /// A field has a number that is too large.
     TooLarge(&'static str),
-    UnknownState,
-    DuplicateField,
-    StartAsText,
-    NegativeStart,
-    InvalidEncoding,
+    /// The state is an unknown one.
+    OtherState,
+    /// A field is there twice.
+    Twice,
+    /// The start time is a string.
+    BornAsText,
+    /// The start time is negative.
+    NegativeBorn,
+    /// The store returns a value that is not valid Base64.
+    Spoiled,
 }
 
 /// Writes a flawed entry under the id of an upstream.
@@ -36,21 +46,21 @@
     let mut entry = entry("plain", &server.address, "ready");
     let metadata = &scene.site.metadata;
     match flaw {
-        Flaw::NotUtf8 => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
-        Flaw::NotAnObject => return metadata.put(&key, b"[1, 2]", 0),
-        Flaw::InvalidEncoding => return metadata.put_spoiled(&key),
-        Flaw::DuplicateField => {
+        Flaw::NoText => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
+        Flaw::NoEntry => return metadata.put(&key, b"[1, 2]", 0),
+        Flaw::Spoiled => return metadata.put_spoiled(&key),
+        Flaw::Twice => {
             let text = entry.to_string().replacen('{', "{\"slots\":9,", 1);
             return metadata.put(&key, text.as_bytes(), 0);
         }
         Flaw::Missing(field) => {
             entry.as_object_mut().unwrap().remove(field);
         }
-        Flaw::WrongType(field) => entry[field] = json!({ "of": "another type" }),
+        Flaw::OtherType(field) => entry[field] = json!({ "of": "another type" }),
         Flaw::TooLarge(field) => entry[field] = json!(1_u64 << 40),
-        Flaw::UnknownState => entry["state"] = json!("asleep"),
-        Flaw::StartAsText => entry["born"] = json!("1790000000000"),
-        Flaw::NegativeStart => entry["born"] = json!(-1),
+        Flaw::OtherState => entry["state"] = json!("asleep"),
+        Flaw::BornAsText => entry["born"] = json!("1790000000000"),
+        Flaw::NegativeBorn => entry["born"] = json!(-1),
     }
     metadata.put(&key, entry.to_string().as_bytes(), 0);
 }
@@ -66,23 +76,23 @@
 }
 
 #[rstest]
-#[case(Flaw::NotUtf8)]
-#[case(Flaw::NotAnObject)]
+#[case(Flaw::NoText)]
+#[case(Flaw::NoEntry)]
 #[case(Flaw::Missing("service"))]
 #[case(Flaw::Missing("addr"))]
 #[case(Flaw::Missing("slots"))]
 #[case(Flaw::Missing("state"))]
 #[case(Flaw::Missing("seq"))]
-#[case(Flaw::WrongType("zone"))]
-#[case(Flaw::WrongType("version"))]
-#[case(Flaw::WrongType("cold_left_ms"))]
-#[case(Flaw::WrongType("models"))]
+#[case(Flaw::OtherType("zone"))]
+#[case(Flaw::OtherType("version"))]
+#[case(Flaw::OtherType("cold_left_ms"))]
+#[case(Flaw::OtherType("models"))]
 #[case(Flaw::TooLarge("slots"))]
-#[case(Flaw::UnknownState)]
-#[case(Flaw::DuplicateField)]
-#[case(Flaw::StartAsText)]
-#[case(Flaw::NegativeStart)]
-#[case(Flaw::InvalidEncoding)]
+#[case(Flaw::OtherState)]
+#[case(Flaw::Twice)]
+#[case(Flaw::BornAsText)]
+#[case(Flaw::NegativeBorn)]
+#[case(Flaw::Spoiled)]
 #[tokio::test]
 async fn taken_out(#[case] flaw: Flaw) {
     let scene = scene(2).await;
@@ -96,8 +106,8 @@
 }
 
 #[rstest]
-#[case(Flaw::NotUtf8)]
-#[case(Flaw::InvalidEncoding)]
+#[case(Flaw::NoText)]
+#[case(Flaw::Spoiled)]
 #[tokio::test]
 async fn listed_beside_others(#[case] flaw: Flaw) {
     let mut scene = scene(2).await;
@@ -111,7 +121,7 @@
 #[tokio::test]
 async fn back_when_readable() {
     let scene = scene(1).await;
-    write_flawed(&scene, 0, Flaw::NotUtf8);
+    write_flawed(&scene, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
         scene.gateway.logged().contains("upstream_unreadable")
     })
@@ -128,12 +138,12 @@
 #[tokio::test]
 async fn said_once() {
     let scene = scene(2).await;
-    write_flawed(&scene, 0, Flaw::NotUtf8);
+    write_flawed(&scene, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
         scene.gateway.logged().contains("upstream_unreadable")
     })
     .await;
-    write_flawed(&scene, 0, Flaw::NotUtf8);
+    write_flawed(&scene, 0, Flaw::NoText);
     let leaving: Value = entry("plain", &scene.servers[1].address, "draining");
     scene.site.enter("s-1", &leaving);
     eventually("a later change is known", async || scene.gateway.logged().contains("leaving=true"))
--- a/tests/gateway_listings.rs
+++ b/tests/gateway_listings.rs
@@ -1,5 +1,5 @@
-//! What a store of context tells is read item by item: one that cannot be read spoils no
-//! other, and no figure stops a box.
+//! Listings and changes of a context store are read item by item: an unreadable item affects no
+//! other, and no number stops a box.
 
 #[path = "common/site.rs"]
 mod common;
@@ -10,10 +10,10 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// Scope of a sound part.
+/// Scope of the valid parts.
 const SCOPE: &str = "1.model-a";
 
-/// A box, engines, and a store that was prepared.
+/// A box and engines that use a prepared context store.
 struct Fleet {
     gateway: Gateway,
     _engines: Vec<Engine>,
@@ -34,7 +34,7 @@
     Fleet { gateway, _engines: engines, _site: site }
 }
 
-/// Waits for a line of the log.
+/// Waits until `line` has been logged `count` times.
 async fn wait_logged(gateway: &Gateway, line: &str, count: usize) {
     eventually(line, async || gateway.logged().matches(line).count() >= count).await;
 }
@@ -67,7 +67,7 @@
     let fleet = fleet(&store).await;
     let listed = "event=holder_listed";
     wait_logged(&fleet.gateway, listed, 1).await;
-    // What it said is not known, so all must be listed again.
+    // The content of the unreadable change is unknown, so everything must be listed again.
     store.tell_also(change);
     wait_logged(&fleet.gateway, listed, 2).await;
 }
--- a/tests/gateway_members.rs
+++ b/tests/gateway_members.rs
@@ -1,4 +1,4 @@
-//! How boxes find each other through the list in the metadata store.
+//! How boxes discover each other through the list of members in the metadata store.
 
 #[path = "common/site.rs"]
 mod common;
@@ -17,7 +17,11 @@
 #[test]
 fn list_kept() {
     let listed = members(&[1, 2, 3]);
-    assert_eq!(next_list(&listed, &members(&[1, 2]), false), None, "3 may not have been heard yet");
+    assert_eq!(
+        next_list(&listed, &members(&[1, 2]), false),
+        None,
+        "gossip of 3 may not have arrived yet"
+    );
     assert_eq!(next_list(&listed, &members(&[1, 4]), false), Some(members(&[1, 2, 3, 4])));
     assert_eq!(next_list(&listed, &members(&[1, 2]), true), Some(members(&[1, 2])));
     assert_eq!(next_list(&listed, &listed, true), None);
@@ -27,7 +31,7 @@
 async fn unreadable_replaced() {
     let scene = scene(1).await;
     scene.site.metadata.put("coursestile/members", &[0xff; 3], 0);
-    eventually("it is written anew", async || {
+    eventually("the list is rewritten", async || {
         let value = scene.site.metadata.value("coursestile/members").unwrap();
         postcard::from_bytes::<Members>(&value).is_ok_and(|members| members.len() == 1)
     })
@@ -44,12 +48,12 @@
         let value = scene.site.metadata.value("coursestile/members");
         value.map(|value| postcard::from_bytes(&value).unwrap()).unwrap_or_default()
     };
-    eventually("two are listed", async || listed().len() == 2).await;
+    eventually("two boxes are listed", async || listed().len() == 2).await;
     let unseeded = scene.site.gateway("west", &[]);
     wait_ready(&unseeded).await;
     let listed = || -> BTreeSet<IpAddr> {
         let value = scene.site.metadata.value("coursestile/members").unwrap();
         postcard::from_bytes(&value).unwrap()
     };
-    eventually("it was heard", async || listed().len() == 3).await;
+    eventually("the third box is listed", async || listed().len() == 3).await;
 }
--- a/tests/gateway_namings.rs
+++ b/tests/gateway_namings.rs
@@ -1,6 +1,6 @@
-//! Since when a version of weights is named. A box that started again found the newest version
-//! in the metadata store and took that time for the time of its naming: it sent to engines
-//! whose weights should have been gone for 14 s.
+//! When a version of the weights was named. A restarted box found the newest version in the
+//! metadata store and took the time at which it read it for the time at which it was named: it sent
+//! requests to engines whose weights should have been gone for 14 s.
 
 use coursestile::gateway::decisions::weights::{NamedVersion, NamedVersions, UNKNOWN_TIME_MS};
 
@@ -18,10 +18,14 @@
     weights.add_named_after(UNKNOWN_TIME_MS, 3);
     assert_eq!(weights.behind_since_ms(2), Some(UNKNOWN_TIME_MS));
     assert_eq!(weights.behind_since_ms(3), None);
-    assert!(shared_versions(&weights).is_empty(), "it knows nothing to tell");
+    assert!(shared_versions(&weights).is_empty(), "an unknown time is not shared");
     weights.merge(named_version(3, 2, 8000));
     assert_eq!(weights.behind_since_ms(2), Some(8000));
-    assert_eq!(weights.behind_since_ms(1), Some(UNKNOWN_TIME_MS), "when 2 was named is not told");
+    assert_eq!(
+        weights.behind_since_ms(1),
+        Some(UNKNOWN_TIME_MS),
+        "the time at which 2 was named is unknown"
+    );
     weights.merge(named_version(2, 1, 5000));
     assert_eq!(weights.behind_since_ms(1), Some(5000));
 }
@@ -30,7 +34,7 @@
 fn first_of_model() {
     let mut weights = NamedVersions::default();
     weights.add_named_at(9000, 2);
-    assert_eq!(weights.behind_since_ms(1), Some(9000), "nothing was named before");
+    assert_eq!(weights.behind_since_ms(1), Some(9000), "no version was named before");
 }
 
 #[test]
@@ -42,8 +46,8 @@
     assert_eq!(weights.behind_since_ms(2), Some(8000));
 }
 
-/// A box that was away for long knows only that the version was not named before it went.
-/// Told to others, that made all engines overdue at once.
+/// A box that was away for long knows only that the version was not named before it went away. When
+/// it told its peers that time, all engines were overdue at once.
 #[test]
 fn estimate_stays() {
     let mut absent_box = NamedVersions::default();
@@ -52,10 +56,14 @@
     assert_eq!(absent_box.behind_since_ms(2), Some(85_000));
     assert!(shared_versions(&absent_box).iter().all(|named| named.version != 3));
     absent_box.merge(named_version(3, 2, 100_000));
-    assert_eq!(absent_box.behind_since_ms(2), Some(100_000), "a box that was there knows better");
+    assert_eq!(
+        absent_box.behind_since_ms(2),
+        Some(100_000),
+        "a peer that saw the naming knows the time"
+    );
 }
 
-/// Of two boxes, one may have missed a version between two others.
+/// One of two boxes may have missed a version between two others.
 #[test]
 fn missed_between() {
     let mut weights = NamedVersions::default();
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -1,6 +1,7 @@
-//! An upstream said in its answers that it leaves, and got seven more requests from the same
-//! box, for the platform's store was silent; another turned requests away, wanted none for
-//! three seconds, and got 23 in that time, as it looked the least loaded.
+//! Notices in the answers of upstreams are followed at once. An upstream announced in its answers
+//! that it was leaving, and got seven more requests from the same box, because the metadata store
+//! was silent. Another rejected requests and asked for none for three seconds, but got 23 in that
+//! time, because it looked least loaded.
 
 #[path = "common/site.rs"]
 mod common;
@@ -18,9 +19,9 @@
 use rstest::rstest;
 use serde_json::json;
 
-/// Time for which an upstream wants no request.
+/// Time for which an upstream asks for no requests.
 const BACKOFF: Duration = Duration::from_secs(3);
-/// Time by which that must be heeded.
+/// Time within which boxes must stop sending to it.
 const BACKOFF_APPLY: Duration = Duration::from_millis(500);
 
 async fn scene(servers: usize) -> Scene {
@@ -32,21 +33,21 @@
     Client::connect(&gateway.clients).await.send(&bytes).await.expect("an answer")
 }
 
-/// The upstream that a box chooses while nothing speaks for another.
+/// The upstream that a box chooses while the upstreams are alike.
 async fn preferred_upstream<'a>(scene: &'a Scene, gateway: &Gateway, path: &str) -> &'a Server {
     let before: Vec<usize> = scene.servers.iter().map(|server| server.arrived().len()).collect();
     send(gateway, path, &format!("{path}-favourite-{before:?}")).await;
     let mut servers = scene.servers.iter().zip(before);
     let found = servers.find(|(server, before)| server.arrived().len() > *before);
-    found.expect("one got the request").0
+    found.expect("an upstream got the request").0
 }
 
-/// Waits until a line has been logged so often.
+/// Waits until `line` has been logged `times` times.
 async fn wait_logged(gateway: &Gateway, line: &str, times: usize) {
     eventually(line, async || gateway.logged().matches(line).count() >= times).await;
 }
 
-/// Sends some requests; how many come to an upstream.
+/// Sends 20 requests, which must succeed, and returns how many of them reach `server`.
 async fn count_reaching(scene: &Scene, gateway: &Gateway, path: &str, server: &Server) -> usize {
     let before = server.arrived().len();
     for number in 0..20 {
@@ -66,7 +67,7 @@
     leaving_upstream.then(&[Act::Leaving]);
     send(&scene.gateway, path, "told").await;
     assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
-    // Its heartbeat says nothing of it, and its entry may lapse and come back.
+    // Its heartbeats do not announce that it leaves, and its entry may expire and come back.
     let mut same_entry = entry("plain", &leaving_upstream.address, "ready");
     same_entry["seq"] = json!(9);
     scene.site.enter(&leaving_upstream.id, &same_entry);
@@ -87,7 +88,7 @@
     assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
 }
 
-/// The other boxes hear of it, too.
+/// Peers learn that an upstream leaves.
 #[tokio::test]
 async fn leaving_told() {
     let mut scene = scene(1).await;
@@ -95,13 +96,14 @@
     wait_ready(&peer).await;
     scene.servers[0].then(&[Act::Leaving]);
     send(&scene.gateway, "/safe/", "told").await;
-    eventually("the other box heeds it", async || {
+    eventually("the peer avoids the upstream", async || {
         send(&peer, "/safe/", "r-1").await.status() == 503
     })
     .await;
 }
 
-/// One that starts again under its id is another.
+/// An upstream that restarts under the same id is another incarnation, for which earlier notices do
+/// not count.
 #[tokio::test]
 async fn notices_end() {
     let scene = scene(1).await;
@@ -112,7 +114,7 @@
     let mut restarted = entry("plain", &server.address, "ready");
     restarted["born"] = json!(1_800_000_000_000_u64);
     scene.site.enter(&server.id, &restarted);
-    eventually("it serves again", async || {
+    eventually("the upstream serves again", async || {
         send(&scene.gateway, "/safe/", "r-2").await.status() == 200
     })
     .await;
@@ -132,20 +134,21 @@
         assert_eq!(count_reaching(&scene, &scene.gateway, path, backing_off).await, 0);
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
-    eventually("it gets requests again", async || {
+    eventually("the upstream gets requests again", async || {
         count_reaching(&scene, &scene.gateway, path, backing_off).await > 0
     })
     .await;
 }
 
-/// While all rest, requests are refused at once, with when to come back.
+/// While all upstreams ask for no requests, requests are refused at once, with the time after which
+/// to retry.
 #[tokio::test]
 async fn all_rest() {
     let scene = scene(2).await;
     for server in &scene.servers {
         server.then(&[Act::Rest(BACKOFF)]);
     }
-    // A route of two attempts: the second upstream gets what the first has turned away.
+    // The route allows two attempts: the second upstream gets what the first one has rejected.
     send(&scene.gateway, "/once/", "told").await;
     assert!(scene.servers.iter().all(|server| !server.arrived().is_empty()));
     let since = Instant::now();
@@ -155,7 +158,11 @@
         sent += 1;
         let answer = send(&scene.gateway, "/once/", &format!("r-{sent}")).await;
         assert_eq!(answer.status(), 503);
-        let after_s: f64 = answer.header("retry-after").expect("a time").parse().expect("a number");
+        let after_s: f64 = answer
+            .header("retry-after")
+            .expect("a Retry-After header")
+            .parse()
+            .expect("a number of seconds");
         let backoff_left = BACKOFF.saturating_sub(since.elapsed()).as_secs_f64();
         assert!(after_s >= backoff_left - 0.5, "{after_s} s, {backoff_left} s left");
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -171,13 +178,13 @@
     held_ms.sort_unstable();
     assert!(
         held_ms[held_ms.len() / 2] < 50,
-        "not held for the quarter of the objective: {held_ms:?}"
+        "requests must not be held for a quarter of the objective: {held_ms:?}"
     );
     tokio::time::sleep(BACKOFF_APPLY * 2).await;
     assert_eq!(send(&scene.gateway, "/once/", "last").await.status(), 200);
 }
 
-/// Other boxes leave one that rests alone as long as others serve.
+/// Peers, too, avoid an upstream that asks for no requests as long as others serve.
 #[tokio::test]
 async fn rest_told() {
     let mut scene = scene(2).await;
@@ -185,8 +192,8 @@
     wait_ready(&peer).await;
     let backing_off = preferred_upstream(&scene, &peer, "/safe/").await;
     let other_upstream =
-        scene.servers.iter().find(|server| server.id != backing_off.id).expect("two");
-    // The first box has no other choice.
+        scene.servers.iter().find(|server| server.id != backing_off.id).expect("a second upstream");
+    // Without this entry, the first box can only send to `backing_off`.
     scene.site.leave(&other_upstream.id);
     wait_logged(&scene.gateway, &format!("event=upstream_gone upstream={}", other_upstream.id), 1)
         .await;
@@ -194,14 +201,14 @@
     send(&scene.gateway, "/safe/", "told").await;
     scene.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
     wait_logged(&peer, &format!("event=upstream_seen upstream={}", other_upstream.id), 2).await;
-    eventually("the other box heeds it", async || {
+    eventually("the peer avoids the upstream", async || {
         count_reaching(&scene, &peer, "/safe/", backing_off).await == 0
     })
     .await;
 }
 
-/// One that turns all away and names no time has the least load of all, and is tried seldom
-/// all the same.
+/// An upstream that rejects all requests without a `Retry-After` has the lowest load, and must
+/// still be tried seldom.
 #[tokio::test]
 async fn turned_away() {
     let scene = scene(2).await;
@@ -210,13 +217,13 @@
     let tried = count_reaching(&scene, &scene.gateway, "/once/", refusing).await;
     assert!((1..=4).contains(&tried), "{tried} of 20");
     refusing.then_nothing();
-    eventually("it gets requests again", async || {
+    eventually("the upstream gets requests again", async || {
         count_reaching(&scene, &scene.gateway, "/once/", refusing).await > 0
     })
     .await;
 }
 
-/// Times that are none ask for nothing, and the longest rest is bounded.
+/// Invalid times are ignored, and the longest backoff is bounded.
 #[rstest]
 #[case("0.25", Some(250))]
 #[case(" 3 ", Some(3000))]
@@ -232,7 +239,10 @@
     let unavailable = answer_head(StatusCode::SERVICE_UNAVAILABLE, &head);
     assert_eq!(unavailable.notice, Notice { leaving: false, backoff_ms });
     let server_error = answer_head(StatusCode::INTERNAL_SERVER_ERROR, &head);
-    assert!(server_error.notice.is_empty(), "it speaks of the request alone");
+    assert!(
+        server_error.notice.is_empty(),
+        "the header of a 500 answer says nothing about other requests"
+    );
 }
 
 #[test]
--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -1,5 +1,5 @@
-//! A request that may not be repeated runs at most once, and what is said of
-//! it is true.
+//! A request that may not be repeated runs at most once, and its client is never told falsely that
+//! it has or has not run.
 
 #[path = "common/site.rs"]
 mod common;
@@ -23,7 +23,7 @@
         server.then(std::slice::from_ref(&act));
     }
     let answer = scene.send("POST", "/once/", "r-1").await;
-    // Neither "not run" nor an answer that is not the upstream's.
+    // The client must get neither "not run" nor an answer that is not the upstream's.
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.header("x-server-seal"), None);
     assert_eq!(scene.count("r-1"), 1);
@@ -35,7 +35,7 @@
     for server in &scene.servers {
         server.then(&[Act::NotRun]);
     }
-    // Two attempts are allowed, and both are turned away: not run, truly.
+    // Two attempts are allowed, and both are rejected: the request has certainly not run.
     let answer = scene.send("POST", "/once/", "r-1").await;
     assert_eq!((answer.status(), scene.count("r-1")), (503, 2));
     assert!(answer.header("retry-after").is_some());
@@ -43,7 +43,7 @@
     assert_eq!((answer.status(), scene.count("r-2")), (200, 1));
 }
 
-/// The path of a route that allows one attempt.
+/// Path of a route that allows one attempt.
 const ONE_ATTEMPT: &str = "/stream/";
 
 #[tokio::test]
@@ -51,7 +51,7 @@
     let mut scene = scene(1).await;
     let other_incarnation = Server::start("a-old").await;
     other_incarnation.then(&vec![Act::OtherIncarnation; 100]);
-    // The nearer one is chosen first: the other is in another hall.
+    // The box prefers an upstream of its own hall, so the other one is in another hall.
     let mut remote_entry = entry("plain", &scene.servers[0].address, "ready");
     remote_entry["zone"] = json!("south");
     scene.site.enter(&scene.servers[0].id, &remote_entry);
@@ -61,15 +61,16 @@
     let known = async || {
         [&scene.gateway, &peer].iter().all(|gateway| gateway.logged().contains("upstream=a-old"))
     };
-    eventually("it is known", known).await;
-    // It got the request of somebody else; the one that was meant is gone.
+    eventually("both boxes know the upstream", known).await;
+    // Another incarnation, which has its address now, got the request; the one that was meant no
+    // longer exists.
     for number in 0..8 {
         let id = format!("r-{number}");
         let answer = scene.send("POST", ONE_ATTEMPT, &id).await;
         assert_eq!((answer.status(), scene.count(&id)), (200, 1));
     }
-    assert_eq!(other_incarnation.arrived().len(), 1, "one answer says enough");
-    eventually("peers are told", async || {
+    assert_eq!(other_incarnation.arrived().len(), 1, "one such answer is enough");
+    eventually("the peer avoids the upstream", async || {
         let before = other_incarnation.arrived().len();
         for number in 0..4 {
             once(&peer.clients, "POST", ONE_ATTEMPT, &format!("p-{number}")).await.unwrap();
@@ -82,9 +83,10 @@
 #[tokio::test]
 async fn again_when_unsent() {
     let scene = scene(1).await;
-    // Nobody listens there.
+    // Nothing listens at this address.
     scene.site.enter("s-gone", &entry("plain", "127.0.0.1:9", "ready"));
-    eventually("it is known", async || scene.gateway.logged().contains("s-gone")).await;
+    eventually("the box knows the upstream", async || scene.gateway.logged().contains("s-gone"))
+        .await;
     for number in 0..6 {
         let id = format!("r-{number}");
         let answer = scene.send("POST", "/once/", &id).await;
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -1,4 +1,5 @@
-//! Who tells whom, who follows the metadata store, and how the others learn.
+//! Which boxes gossip with which, which ones follow the metadata store, and how the others catch
+//! up.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -23,14 +24,14 @@
     IpAddr::from([10, 0, u8::try_from(hall).unwrap(), host])
 }
 
-/// Whom a box tells that is neither a bridge nor leads, in full or in brief.
+/// Targets, for full and abridged gossip, of a box that is neither a bridge nor the leader.
 fn gossip_targets(peers: &mut Peers, now_ms: u64, audience: Audience) -> Vec<SocketAddr> {
     let targets = peers.next_targets(now_ms, audience, GossipScope::OwnHall);
     assert_eq!((targets.bridges.len(), targets.own_hall.len()), (0, 0));
     targets.full.into_iter().chain(targets.abridged).collect()
 }
 
-/// Has `count` peers of a hall heard at `now_ms`.
+/// Receives gossip from `count` peers of a hall at `now_ms`.
 fn receive_from_hall(
     peers: &mut Peers,
     now_ms: u64,
@@ -71,13 +72,13 @@
     assert_eq!(
         peers.catch_up_source(1100, known, status),
         None,
-        "the store's own news may be on its way"
+        "the change may still arrive from the store itself"
     );
     assert_eq!(peers.catch_up_source(1400, known, status), Some(SocketAddr::new(peer, 7000)));
     assert_eq!(
         peers.catch_up_source(9000, known, MetadataStoreStatus::Failing),
         None,
-        "it is silent"
+        "the peer has expired"
     );
 }
 
@@ -92,8 +93,8 @@
         assert_eq!(targets.iter().filter(|target| is_in_hall(target, HALL)).count(), 20);
         reached.extend(targets.into_iter().filter(|target| is_in_hall(target, OTHER_HALL)));
     }
-    assert_eq!(reached.len(), 20, "others in turn");
-    // Those in turn are heard of more seldom, and count for longer.
+    assert_eq!(reached.len(), 20, "boxes of other halls, in rotation");
+    // Boxes of other halls gossip with this one less often, and expire later.
     assert_eq!(peers.live_boxes(3000), 21);
 }
 
@@ -103,24 +104,32 @@
     let named_peers = (2..40).map(|host| address(OTHER_HALL, host)).collect();
     let gossip = Gossip { incarnation: 1, hall: HALL, peers: named_peers, ..Gossip::default() };
     assert!(peers.receive_gossip(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
-    assert_eq!(gossip_targets(&mut peers, 0, Audience::OwnHall).len(), 39, "all at once");
+    assert_eq!(
+        gossip_targets(&mut peers, 0, Audience::OwnHall).len(),
+        39,
+        "newcomers are all told at once"
+    );
     assert!(!peers.receive_gossip(0, address(HALL, 1), gossip.clone(), ViewDigest::default()));
-    assert_eq!(gossip_targets(&mut peers, 0, Audience::All).len(), 5, "the others in turn");
+    assert_eq!(
+        gossip_targets(&mut peers, 0, Audience::All).len(),
+        5,
+        "boxes of the other hall, in rotation"
+    );
     let restarted = Gossip { incarnation: 2, ..gossip };
     assert!(
         peers.receive_gossip(0, address(HALL, 1), restarted, ViewDigest::default()),
-        "it knows nothing"
+        "a restarted peer knows no other boxes"
     );
 }
 
 #[test]
 fn fleet_unknown() {
     let mut peers = Peers::new(local_box(), &[address(HALL, 1)]);
-    assert!(!peers.is_fleet_known(60_000), "the seed has said nothing");
+    assert!(!peers.is_fleet_known(60_000), "the seed has sent no gossip yet");
     receive_from_hall(&mut peers, 60_000, HALL, 1, 120, MetadataStoreStatus::Available);
-    assert!(!peers.is_fleet_known(60_100), "those that it names may follow");
+    assert!(!peers.is_fleet_known(60_100), "boxes that the seed names may still answer");
     assert!(peers.is_fleet_known(60_200));
-    assert!(Peers::new(local_box(), &[]).is_fleet_known(0), "it is alone");
+    assert!(Peers::new(local_box(), &[]).is_fleet_known(0), "a box without seeds is alone");
 }
 
 fn is_in_hall(address: &SocketAddr, hall: u32) -> bool {
@@ -130,25 +139,25 @@
 #[test]
 fn few_followers() {
     let mut peers = Peers::new(local_box(), &[]);
-    assert!(peers.is_follower(0), "nobody else is known");
+    assert!(peers.is_follower(0), "no other box is known");
     receive_from_hall(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::NotUsed);
-    assert!(peers.is_follower(0), "the others have not begun to");
+    assert!(peers.is_follower(0), "no other box follows the store yet");
     receive_from_hall(&mut peers, 0, HALL, 2, 500, MetadataStoreStatus::Available);
     assert!(!peers.is_follower(0));
     receive_from_hall(&mut peers, 0, HALL, 1, 500, MetadataStoreStatus::Failing);
     receive_from_hall(&mut peers, 0, OTHER_HALL, 9, 500, MetadataStoreStatus::Available);
-    assert!(!peers.is_follower(0), "a weaker one goes before by its address");
-    assert!(peers.is_follower(9000), "all are silent");
+    assert!(!peers.is_follower(0), "a box of the same strength ranks higher by its address");
+    assert!(peers.is_follower(9000), "all peers have expired");
 }
 
 #[test]
 fn caches_without_store() {
     let mut peers = Peers::new(local_box(), &[]);
     receive_from_hall(&mut peers, 0, HALL, 20, 120, MetadataStoreStatus::Failing);
-    assert!(peers.is_follower(0), "somebody must find out when the store is back");
+    assert!(peers.is_follower(0), "a box must find out when the store is back");
     receive_from_hall(&mut peers, 0, HALL, 2, 500, MetadataStoreStatus::Failing);
-    assert!(!peers.is_cache_follower(0), "the two strongest still follow the stores of context");
-    assert_eq!(peers.cache_publisher(0), None, "nobody has said so");
+    assert!(!peers.is_cache_follower(0), "the two strongest boxes still follow the context stores");
+    assert_eq!(peers.cache_publisher(0), None, "no gossip has said so yet");
     let follows_caches = true;
     let gossip = Gossip { incarnation: 1, hall: HALL, follows_caches, ..Gossip::default() };
     peers.receive_gossip(0, address(HALL, 1), gossip, ViewDigest::default());
@@ -200,7 +209,7 @@
     follower.note_store_failure();
     follower.remove(1000, "u", 2, true);
     lagging.apply_catch_up(1000, follower.catch_up(lagging.digest()), |_| true);
-    assert!(lagging.contains_key("u"), "its removal is in doubt");
+    assert!(lagging.contains_key("u"), "the removal is not certain yet");
     follower.note_store_answer(2000);
     assert_eq!(follower.apply_due_removals(9000).len(), 1);
     assert_ne!(lagging.digest(), follower.digest());
@@ -236,7 +245,7 @@
     assert_eq!(
         peers.catch_up_source(2000, known, MetadataStoreStatus::NotUsed),
         None,
-        "the publisher does not"
+        "the publisher reports no other digest"
     );
     peers.receive_gossip(1000, publisher, follower_gossip, known);
     let found =
@@ -244,7 +253,8 @@
     assert_eq!(found, Some(publisher));
 }
 
-/// Long prompts have the own hall told at once, several times in a period.
+/// Long prompts trigger gossip to the own hall several times in a period; gossip to other halls
+/// must keep its period.
 #[test]
 fn other_halls_in_time() {
     let mut peers = Peers::new(local_box(), &[]);
@@ -259,8 +269,8 @@
     assert_eq!(told_at_ms, [270, 540, 810, 1080, 1350, 1620]);
 }
 
-/// A peer of the own hall took connections and never answered; its gossip arrived,
-/// and no other was asked.
+/// A peer of the own hall accepted connections and never answered. Its gossip still arrived, so
+/// that no other peer was asked.
 #[test]
 fn unanswered_last() {
     let mut peers = Peers::new(local_box(), &[]);
@@ -280,13 +290,17 @@
     peers.note_unanswered(1000, address(HALL, 1));
     assert_eq!(source(&peers, 1000), Some(address(OTHER_HALL, 1)));
     peers.note_unanswered(1000, address(OTHER_HALL, 1));
-    assert_eq!(source(&peers, 1000), Some(address(HALL, 1)), "one is asked in any case");
-    assert_eq!(source(&peers, 3000), None, "both are silent by now");
+    assert_eq!(
+        source(&peers, 1000),
+        Some(address(HALL, 1)),
+        "with all unanswered, the first is asked again"
+    );
+    assert_eq!(source(&peers, 3000), None, "both peers have expired");
 }
 
-/// A box kept to the follower that it believes of equal revisions, also when that did not
-/// answer once: another still held in doubt an upstream that was gone, and would have
-/// brought it back.
+/// Among followers with equal revisions, a box keeps to the one that it trusts, even after a query
+/// to it went unanswered: another follower had not yet applied the removal of an upstream, and
+/// would have brought that upstream back.
 #[test]
 fn publisher_kept() {
     let mut peers = Peers::new(local_box(), &[]);
@@ -296,7 +310,7 @@
             Gossip { incarnation: 1, hall: HALL, metadata_store: status, ..Gossip::default() };
         peers.receive_gossip(1000, address(HALL, number), gossip, ViewDigest::default());
     }
-    let publisher = peers.publisher(1000).expect("some follow");
+    let publisher = peers.publisher(1000).expect("a follower is known");
     peers.note_unanswered(1000, publisher.ip());
     assert_eq!(peers.publisher(1100), Some(publisher));
 }
--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -1,5 +1,5 @@
-//! The context of old weights is freed from stores as soon as nobody can read it, though
-//! engines may still have those weights; and not before.
+//! The context of old weights is freed from stores as soon as no box can have it read any more,
+//! even if engines still have those weights, and not before.
 
 #[path = "common/site.rs"]
 mod common;
@@ -27,7 +27,10 @@
     let boxes = boxes(3);
     let mut release = ContextRelease::new("m", 2, 40, &boxes);
     release.note_informed(100, |ip| ip != address(3));
-    assert!(!release.is_safe(1_000_000), "one says nothing, and may read on");
+    assert!(
+        !release.is_safe(1_000_000),
+        "a box that has not confirmed the version may still have old context read"
+    );
     release.note_informed(5000, |ip| ip == address(3));
     let safe_at_ms = 5000 + OLD_CONTEXT_READ_MS + MAX_TRANSFER_MS;
     assert!(!release.is_safe(safe_at_ms - 1));
@@ -40,15 +43,15 @@
     boxes.note(60_000, [address(1)]);
     let mut release = ContextRelease::new("m", 2, 40, &boxes);
     release.note_informed(61_000, |ip| ip == address(1));
-    assert!(!release.is_safe(1_000_000), "it was heard a minute before");
+    assert!(!release.is_safe(1_000_000), "the box was known a minute before");
     boxes.note(700_000, [address(1)]);
     let mut release = ContextRelease::new("m", 3, 41, &boxes);
     release.note_informed(701_000, |ip| ip == address(1));
-    assert!(release.is_safe(710_000), "it was not heard for ten minutes");
+    assert!(release.is_safe(710_000), "the box has been silent for ten minutes");
 }
 
-/// One engine takes no order: it keeps its weights, and what was kept under them kept the
-/// stores full.
+/// One engine takes no orders and keeps its old weights. The context of these weights was not freed
+/// then, and kept the stores full.
 #[tokio::test]
 async fn freed_beside_old_engine() {
     let mut site = Site::start().await;
