--- a/tests/gateway_removals.rs
+++ b/tests/gateway_removals.rs
@@ -3,7 +3,7 @@
 use coursestile::gateway::decisions::view::{CatchUp, MetadataView, Snapshot, VersionedValue};
 use proptest::prelude::*;
 
-fn written(revision: u64) -> VersionedValue {
+fn value_of_revision(revision: u64) -> VersionedValue {
     VersionedValue { revision, value: revision.to_string().into_bytes() }
 }
 
@@ -11,14 +11,14 @@
 fn removal_in_doubt() {
     let mut view = MetadataView::default();
     view.note_store_answer(0);
-    view.put("u".to_owned(), written(1));
-    view.put("v".to_owned(), written(2));
+    view.put("u".to_owned(), value_of_revision(1));
+    view.put("v".to_owned(), value_of_revision(2));
     view.note_store_failure();
     assert_eq!(view.remove(1000, "u", 3, true), None);
     assert_eq!(view.remove(1000, "v", 4, true), None);
     assert!(view.apply_due_removals(60_000).is_empty(), "nothing goes while the store is away");
     view.note_store_answer(60_000);
-    view.put("v".to_owned(), written(5));
+    view.put("v".to_owned(), value_of_revision(5));
     assert!(view.apply_due_removals(61_000).is_empty());
     assert_eq!(view.apply_due_removals(62_100).len(), 1);
     assert!(view.contains_key("v") && !view.contains_key("u"));
@@ -29,8 +29,8 @@
 fn removal_after_reset() {
     let mut view = MetadataView::new(2400);
     view.note_store_answer(0);
-    view.put("u".to_owned(), written(1));
-    view.put("v".to_owned(), written(2));
+    view.put("u".to_owned(), value_of_revision(1));
+    view.put("v".to_owned(), value_of_revision(2));
     view.note_store_failure();
     view.note_store_answer(2399);
     assert!(view.remove(2400, "u", 3, true).is_some(), "nothing lapses in so short a time");
@@ -39,7 +39,7 @@
     assert_eq!(view.remove(4800, "v", 4, true), None);
     let mut view = MetadataView::new(2400);
     view.note_store_answer(0);
-    view.put("u".to_owned(), written(1));
+    view.put("u".to_owned(), value_of_revision(1));
     view.note_store_unavailable();
     view.note_store_failure();
     view.note_store_answer(100);
@@ -62,11 +62,11 @@
             if kind == 2 {
                 let at_revision = view.last_change_revision() + 1;
                 let mut items = view.snapshot().items;
-                items.insert(key.clone(), written(revision));
+                items.insert(key.clone(), value_of_revision(revision));
                 let snapshot = Snapshot { at_revision, last_change_revision: at_revision, items };
                 view.apply_snapshot(0, snapshot, |_| true, |_| false);
             } else {
-                view.put(key.clone(), written(revision));
+                view.put(key.clone(), value_of_revision(revision));
             }
             newest.insert(key, before.max(revision));
         }
@@ -81,8 +81,8 @@
 /// for all that it knew, and its watch never told it of the first.
 #[test]
 fn listing_in_pages() {
-    let written = VersionedValue { revision: 12, value: b"page read later".to_vec() };
-    let items = [("own/b".to_owned(), written)].into();
+    let later_item = VersionedValue { revision: 12, value: b"page read later".to_vec() };
+    let items = [("own/b".to_owned(), later_item)].into();
     let mut view = MetadataView::new(1000);
     view.note_store_answer(0);
     // The first page was read as of revision 10, and a change of revision 11 belongs to it.
@@ -97,9 +97,9 @@
 fn since_is_complete() {
     let mut view = MetadataView::new(1000);
     view.note_store_answer(0);
-    view.put("own/a".to_owned(), written(10));
-    let items = [("own/b".to_owned(), written(14))].into();
-    let told = Snapshot { at_revision: 12, last_change_revision: 14, items };
-    view.apply_catch_up(0, CatchUp::Delta { changed: told, removed: Vec::new() }, |_| true);
+    view.put("own/a".to_owned(), value_of_revision(10));
+    let items = [("own/b".to_owned(), value_of_revision(14))].into();
+    let snapshot = Snapshot { at_revision: 12, last_change_revision: 14, items };
+    view.apply_catch_up(0, CatchUp::Delta { changed: snapshot, removed: Vec::new() }, |_| true);
     assert_eq!(view.at_revision(), 12, "the watch goes on from here");
 }
