--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -29,7 +29,7 @@
 }
 
 /// The entry of an engine's present run.
-fn entry_of(engine: &Engine, version: u64) -> Value {
+fn current_entry(engine: &Engine, version: u64) -> Value {
     let mut entry = engine_entry("llm", &engine.address, MODEL, version);
     entry["born"] = json!(engine.born());
     entry
@@ -40,7 +40,7 @@
     let mut started = Vec::new();
     for number in 0..engines {
         let engine = Engine::start().await;
-        site.enter(&format!("e-{number}"), &entry_of(&engine, 1));
+        site.enter(&format!("e-{number}"), &current_entry(&engine, 1));
         started.push(engine);
     }
     let mut config = document(7);
@@ -71,7 +71,7 @@
     }
 
     /// Prompt tokens that the last attempt of a request was expected to have read.
-    fn read_tokens(&self, id: &str) -> Option<u32> {
+    fn expected_prefill_tokens(&self, id: &str) -> Option<u32> {
         let logged = self.gateway.logged();
         let line = logged.lines().rfind(|line| line.contains(&format!("routed request={id} ")))?;
         let rest = line.split(" read_tokens=").nth(1)?;
@@ -79,18 +79,18 @@
     }
 
     /// Asks until a prompt's shared parts are known to be kept by the only engine.
-    async fn wait_kept(&self) {
+    async fn wait_cached(&self) {
         let mut number = 0;
         eventually("the parts are known to be kept", async || {
             number += 1;
             let id = format!("warm-{number}");
             assert_eq!(self.prompt(&id).await, 200);
-            self.read_tokens(&id) == Some(200)
+            self.expected_prefill_tokens(&id) == Some(200)
         })
         .await;
     }
 
-    fn keep_parts(&self) {
+    fn cache_parts(&self) {
         self.engines[0].keep(SCOPE, "aa", 100);
         self.engines[0].keep(SCOPE, "bb", 400);
     }
@@ -104,7 +104,7 @@
     fleet.wait_version(2).await;
     fleet.wait_logged("upstream=e-0 model=model-a version=2 end=\"done\"").await;
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &entry_of(&fleet.engines[0], 1));
+    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.wait_version(2).await;
     assert_eq!(fleet.prompt("r-1").await, 200);
 }
@@ -135,54 +135,54 @@
     fleet.site.name_weights(MODEL, 2);
     eventually("an order has come", async || !fleet.engines[0].orders().is_empty()).await;
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &entry_of(&fleet.engines[0], 1));
+    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &entry_of(&fleet.engines[0], 1));
+    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.wait_version(2).await;
 }
 
 #[tokio::test]
 async fn context_forgotten() {
     let fleet = fleet(1).await;
-    fleet.keep_parts();
-    fleet.wait_kept().await;
+    fleet.cache_parts();
+    fleet.wait_cached().await;
     fleet.engines[0].restart(1);
-    let mut restarted = entry_of(&fleet.engines[0], 1);
+    let mut restarted = current_entry(&fleet.engines[0], 1);
     // The entry alone is to tell: events would do so a moment later.
     restarted["seq"] = json!(0);
     fleet.site.enter("e-0", &restarted);
     fleet.wait_logged("event=upstream_restarted upstream=e-0").await;
     assert_eq!(fleet.prompt("r-1").await, 200);
-    assert_ne!(fleet.read_tokens("r-1"), Some(200));
+    assert_ne!(fleet.expected_prefill_tokens("r-1"), Some(200));
 }
 
 #[tokio::test]
 async fn events_tell_first() {
     let fleet = fleet(1).await;
-    fleet.keep_parts();
-    fleet.wait_kept().await;
-    let mut before = entry_of(&fleet.engines[0], 1);
+    fleet.cache_parts();
+    fleet.wait_cached().await;
+    let mut old_entry = current_entry(&fleet.engines[0], 1);
     fleet.engines[0].restart(1);
     fleet.wait_logged("event=upstream_restarted upstream=e-0").await;
-    fleet.keep_parts();
-    fleet.wait_kept().await;
+    fleet.cache_parts();
+    fleet.wait_cached().await;
     // The store tells of the run of before once more.
-    before["seq"] = json!(9);
-    fleet.site.enter("e-0", &before);
+    old_entry["seq"] = json!(9);
+    fleet.site.enter("e-0", &old_entry);
     fleet.wait_logged("event=upstream_outdated upstream=e-0").await;
-    fleet.wait_kept().await;
+    fleet.wait_cached().await;
 }
 
 #[tokio::test]
 async fn never_twice() {
     let mut site = Site::start().await;
     let server = Server::start("s-0").await;
-    let run = |born: u64| {
+    let entry_of_run = |born: u64| {
         let mut entry = entry("plain", &server.address, "ready");
         entry["born"] = json!(born);
         entry
     };
-    site.enter("s-0", &run(1));
+    site.enter("s-0", &entry_of_run(1));
     site.configure(&document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
@@ -191,14 +191,14 @@
         let bytes = request("POST", "/once/x", id, "", "");
         Client::connect(&gateway.clients).await.send(&bytes).await.expect("an answer").status()
     };
-    let (first, ()) = tokio::join!(send("r-1"), async { site.enter("s-0", &run(2)) });
+    let (first, ()) = tokio::join!(send("r-1"), async { site.enter("s-0", &entry_of_run(2)) });
     assert_eq!(first, 502, "whether it ran is not known");
     assert_eq!(server.count("r-1"), 1);
     assert_eq!(send("r-2").await, 200);
 }
 
 /// An entry of an engine that has older weights.
-fn told(started_at_ms: Option<u64>) -> UpstreamEntry {
+fn outdated_entry(started_at_ms: Option<u64>) -> UpstreamEntry {
     UpstreamEntry {
         service: "llm".to_owned(),
         address: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -214,8 +214,8 @@
 /// tells it in each or in none.
 #[test]
 fn entry_begins_to_tell() {
-    let (mut upstreams, _) = with_past(None);
-    assert_eq!(upstreams.upsert(30, "e", told(Some(5))), ReportedIncarnation::Restarted);
+    let (mut upstreams, _) = with_history(None);
+    assert_eq!(upstreams.upsert(30, "e", outdated_entry(Some(5))), ReportedIncarnation::Restarted);
     let engine = upstreams.get("e").unwrap();
     assert_eq!(engine.weight_version("m"), 1, "it lost its weights");
     assert_eq!(engine.contents.total_tokens(), 0);
@@ -223,50 +223,53 @@
 }
 
 /// Upstreams with one of which much is known.
-fn with_past(started_at_ms: Option<u64>) -> (Upstreams, Incarnation) {
+fn with_history(started_at_ms: Option<u64>) -> (Upstreams, Incarnation) {
     let mut upstreams = Upstreams::default();
-    assert_eq!(upstreams.upsert(10, "e", told(started_at_ms)), ReportedIncarnation::Current);
+    assert_eq!(
+        upstreams.upsert(10, "e", outdated_entry(started_at_ms)),
+        ReportedIncarnation::Current
+    );
     let engine = upstreams.get_mut("e").unwrap();
     engine.record_sent(20, 500, 900);
     engine.record_weight_version("m", 3);
     engine.contents.set_tokens(PartKey::new("3.m", "aa"), 100);
     engine.mark_superseded();
-    let run = engine.incarnation();
-    (upstreams, run)
+    let incarnation = engine.incarnation();
+    (upstreams, incarnation)
 }
 
 /// Whether nothing of before is known, and what ends late changes nothing.
-fn is_new(upstreams: &mut Upstreams, before: &Incarnation) -> bool {
-    assert!(upstreams.get_incarnation(before).is_none());
+fn is_reset(upstreams: &mut Upstreams, old_incarnation: &Incarnation) -> bool {
+    assert!(upstreams.get_incarnation(old_incarnation).is_none());
     let engine = upstreams.get("e").unwrap();
     engine.total_load().requests == 0
         && engine.weight_version("m") == 1
         && !engine.is_superseded()
         && engine.contents.total_tokens() == 0
-        && engine.number != before.number()
+        && engine.number != old_incarnation.number()
 }
 
 #[test]
 fn entry_tells() {
-    let (mut upstreams, before) = with_past(Some(5));
+    let (mut upstreams, old_incarnation) = with_history(Some(5));
     assert_eq!(
-        upstreams.upsert(30, "e", told(Some(4))),
+        upstreams.upsert(30, "e", outdated_entry(Some(4))),
         ReportedIncarnation::Restarted,
         "clocks may be off"
     );
-    assert!(is_new(&mut upstreams, &before));
+    assert!(is_reset(&mut upstreams, &old_incarnation));
 }
 
 #[test]
 fn answer_tells() {
-    let (mut upstreams, before) = with_past(Some(5));
+    let (mut upstreams, old_incarnation) = with_history(Some(5));
     assert_eq!(
         upstreams.record_answering_incarnation(40, "e", Some(6), 30),
         ReportedIncarnation::Restarted
     );
-    assert!(is_new(&mut upstreams, &before));
+    assert!(is_reset(&mut upstreams, &old_incarnation));
     assert_eq!(
-        upstreams.upsert(50, "e", told(Some(5))),
+        upstreams.upsert(50, "e", outdated_entry(Some(5))),
         ReportedIncarnation::Outdated,
         "its entry comes late"
     );
@@ -275,15 +278,15 @@
         ReportedIncarnation::Outdated,
         "so does an answer"
     );
-    assert_eq!(upstreams.upsert(70, "e", told(Some(6))), ReportedIncarnation::Current);
-    assert_eq!(upstreams.upsert(80, "e", told(Some(7))), ReportedIncarnation::Restarted);
+    assert_eq!(upstreams.upsert(70, "e", outdated_entry(Some(6))), ReportedIncarnation::Current);
+    assert_eq!(upstreams.upsert(80, "e", outdated_entry(Some(7))), ReportedIncarnation::Restarted);
 }
 
 #[test]
 fn start_unknown() {
-    let (mut upstreams, before) = with_past(None);
+    let (mut upstreams, old_incarnation) = with_history(None);
     assert_eq!(
-        upstreams.upsert(30, "e", told(None)),
+        upstreams.upsert(30, "e", outdated_entry(None)),
         ReportedIncarnation::Current,
         "as without it"
     );
@@ -296,6 +299,6 @@
         ReportedIncarnation::Current,
         "told late"
     );
-    assert_eq!(upstreams.get_incarnation(&before).unwrap().total_load().requests, 1);
-    assert_eq!(upstreams.upsert(50, "e", told(Some(6))), ReportedIncarnation::Restarted);
+    assert_eq!(upstreams.get_incarnation(&old_incarnation).unwrap().total_load().requests, 1);
+    assert_eq!(upstreams.upsert(50, "e", outdated_entry(Some(6))), ReportedIncarnation::Restarted);
 }
