--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -20,19 +20,19 @@
         requests,
         unhealthy: false,
     };
-    let all = [candidate("a", 2, 0), candidate("b", 1, 9), candidate("c", 3, 0)];
-    assert_eq!(next_engines(&all, 3), ["b", "a"]);
-    assert_eq!(max_concurrent_loads(&behind(18, 10_000), 2), 3);
-    assert_eq!(max_concurrent_loads(&behind(18, 3000), 2), 9, "a hurry, up to half of them");
-    assert_eq!(max_concurrent_loads(&behind(60, 10_000), 2), 12);
+    let candidates = [candidate("a", 2, 0), candidate("b", 1, 9), candidate("c", 3, 0)];
+    assert_eq!(next_engines(&candidates, 3), ["b", "a"]);
+    assert_eq!(max_concurrent_loads(&outdated(18, 10_000), 2), 3);
+    assert_eq!(max_concurrent_loads(&outdated(18, 3000), 2), 9, "a hurry, up to half of them");
+    assert_eq!(max_concurrent_loads(&outdated(60, 10_000), 2), 12);
 }
 
 /// Engines with version 1 that must have a newer one in `left_ms`.
-fn behind(count: usize, left_ms: u64) -> Vec<RolloutCandidate> {
+fn outdated(count: usize, remaining_ms: u64) -> Vec<RolloutCandidate> {
     let engine = |number| RolloutCandidate {
         id: format!("e-{number}"),
         version: 1,
-        time_left_ms: left_ms,
+        time_left_ms: remaining_ms,
         is_loading: false,
         may_be_ordered: true,
         failed_orders: 0,
@@ -44,45 +44,46 @@
 
 #[test]
 fn hurry_for_oldest() {
-    let mut engines = behind(6, 4400);
-    let mut newer = behind(12, 8400);
-    for one in &mut newer {
-        one.version = 2;
+    let mut engines = outdated(6, 4400);
+    let mut newer = outdated(12, 8400);
+    for engine in &mut newer {
+        engine.version = 2;
     }
     engines.extend(newer);
     // Six have three rounds, all have six.
     assert_eq!(max_concurrent_loads(&engines, 3), 3);
-    let dark = behind(9, 0).into_iter().map(|one| RolloutCandidate { unhealthy: true, ..one });
-    engines.extend(dark);
+    let unhealthy_engines =
+        outdated(9, 0).into_iter().map(|engine| RolloutCandidate { unhealthy: true, ..engine });
+    engines.extend(unhealthy_engines);
     assert_eq!(max_concurrent_loads(&engines, 3), 5, "27 / 5; the dark ones hurry nobody");
 }
 
 #[test]
 fn small_pool_serves() {
     for (count, expected) in [(1, 1), (2, 1), (3, 2), (4, 3), (6, 3), (9, 3), (18, 4)] {
-        assert_eq!(next_engines(&behind(count, 10_000), 2).len(), expected, "of {count}");
+        assert_eq!(next_engines(&outdated(count, 10_000), 2).len(), expected, "of {count}");
     }
-    assert_eq!(next_engines(&behind(4, 0), 2).len(), 3, "one serves, also in a hurry");
+    assert_eq!(next_engines(&outdated(4, 0), 2).len(), 3, "one serves, also in a hurry");
 }
 
 /// A leader whose way to the engines was cut found each of them doubtful, counted none of the
 /// loads that it had begun, and took all 18 out of service within a second.
 #[test]
 fn doubtful_stay_in_use() {
-    let mut engines = behind(18, 10_000);
-    for one in &mut engines {
-        one.unhealthy = true;
+    let mut engines = outdated(18, 10_000);
+    for engine in &mut engines {
+        engine.unhealthy = true;
     }
     for _ in 0..18 {
         for id in next_engines(&engines, 2) {
-            let begun = engines.iter_mut().find(|one| one.id == id).unwrap();
-            begun.is_loading = true;
+            let ordered = engines.iter_mut().find(|engine| engine.id == id).unwrap();
+            ordered.is_loading = true;
         }
     }
-    assert_eq!(engines.iter().filter(|one| one.is_loading).count(), 9, "half of them serve");
-    let mut sound = behind(1, 10_000);
-    sound[0].id = "sound".to_owned();
-    engines.extend(sound);
+    assert_eq!(engines.iter().filter(|engine| engine.is_loading).count(), 9, "half of them serve");
+    let mut healthy = outdated(1, 10_000);
+    healthy[0].id = "sound".to_owned();
+    engines.extend(healthy);
     assert_eq!(next_engines(&engines, 2), ["sound"], "they hold up no other");
 }
 
@@ -102,8 +103,8 @@
         };
         upstreams.upsert(0, &format!("e-{number}"), entry);
     }
-    for one in upstreams.iter_mut() {
-        one.record_peer_receive(9000);
+    for engine in upstreams.iter_mut() {
+        engine.record_peer_receive(9000);
     }
     assert!(!upstreams.is_partitioned(9500, "m"));
     for id in ["e-0", "e-1"] {
@@ -120,13 +121,16 @@
 /// order for 17.3 s.
 #[test]
 fn failed_goes_on() {
-    let mut engines = behind(18, 8000);
-    for one in &mut engines[1..] {
-        one.version = 2;
+    let mut engines = outdated(18, 8000);
+    for engine in &mut engines[1..] {
+        engine.version = 2;
     }
     engines[0].failed_orders = 1;
     assert!(next_engines(&engines, 3).contains(&engines[0].id), "the oldest weights go first");
-    let mut alike = behind(18, 10_000);
-    alike[0].failed_orders = 1;
-    assert!(!next_engines(&alike, 2).contains(&alike[0].id), "of these, those never ordered");
+    let mut equally_outdated = outdated(18, 10_000);
+    equally_outdated[0].failed_orders = 1;
+    assert!(
+        !next_engines(&equally_outdated, 2).contains(&equally_outdated[0].id),
+        "of these, those never ordered"
+    );
 }
