--- a/tests/gateway_routing.rs
+++ b/tests/gateway_routing.rs
@@ -22,8 +22,8 @@
     assert_eq!(arrived.header("x-tenant"), Some("petra"));
     assert_eq!(arrived.header("x-target-instance"), Some("s-0"));
     assert_eq!(arrived.header("priority"), Some("1"));
-    let left_ms: u64 = arrived.header("x-deadline-ms").unwrap().parse().unwrap();
-    assert!(left_ms <= 3000);
+    let remaining_ms: u64 = arrived.header("x-deadline-ms").unwrap().parse().unwrap();
+    assert!(remaining_ms <= 3000);
     for dropped in ["x-api-key", "hold", "kv-from", "kv-backup", "pin-ms", "x-hop"] {
         assert_eq!(arrived.header(dropped), None, "{dropped}");
     }
@@ -34,8 +34,8 @@
     let scene = scene(1).await;
     assert_eq!(scene.send("GET", "/other/", "r-1").await.status(), 404);
     let bytes = request("GET", "/safe/", "r-2", "", "");
-    let stolen = String::from_utf8(bytes).unwrap().replace("key-1", "key-9");
-    assert_eq!(scene.raw(stolen.as_bytes()).await.unwrap().status(), 401);
+    let unknown_key_request = String::from_utf8(bytes).unwrap().replace("key-1", "key-9");
+    assert_eq!(scene.raw(unknown_key_request.as_bytes()).await.unwrap().status(), 401);
     assert_eq!(scene.count("r-1") + scene.count("r-2"), 0);
 }
 
