--- a/tests/gateway_settings.rs
+++ b/tests/gateway_settings.rs
@@ -2,7 +2,7 @@
 
 use coursestile::gateway::settings::Settings;
 
-fn settings(bounds: &str) -> Result<Settings, String> {
+fn parse_with_bounds(bounds: &str) -> Result<Settings, String> {
     let text = format!(
         "[box]\nname = a\nhall = north\nclients = 127.0.0.1:1\nready = 127.0.0.1:2\n\
          peers = 127.0.0.1:3\nseeds =\ncores =\n[platform]\naddress = 127.0.0.1:4\n\
@@ -14,22 +14,23 @@
 #[test]
 fn fractions_read() {
     let bounds = "stop_s = 7.5\nretry_window_s = 10\nlease_ms = 2999.6\nweights_apply_ms = 1e4";
-    let bounds = settings(bounds).unwrap().bounds;
+    let bounds = parse_with_bounds(bounds).unwrap().bounds;
     assert_eq!((bounds.stop_ms, bounds.retry_window_ms), (7500, 10_000));
     assert_eq!((bounds.lease_ms, bounds.weights_apply_ms), (3000, 10_000));
 }
 
 #[test]
 fn gaps_default() {
-    let found = settings("stop_s =\nlease_ms =").unwrap();
-    assert_eq!((found.bounds.stop_ms, found.bounds.lease_ms), (8000, 3000));
-    assert!(found.seeds.is_empty());
-    assert!((found.cores - 1.0).abs() < f64::EPSILON);
+    let settings = parse_with_bounds("stop_s =\nlease_ms =").unwrap();
+    assert_eq!((settings.bounds.stop_ms, settings.bounds.lease_ms), (8000, 3000));
+    assert!(settings.seeds.is_empty());
+    assert!((settings.cores - 1.0).abs() < f64::EPSILON);
 }
 
 #[test]
 fn nonsense_found() {
-    let error = settings("stop_s = -1\nlease_ms = soon\nretry_window_s = NaN").unwrap_err();
+    let error =
+        parse_with_bounds("stop_s = -1\nlease_ms = soon\nretry_window_s = NaN").unwrap_err();
     for finding in
         ["stop_s: not a valid duration", "lease_ms: 'soon'", "retry_window_s: not a valid"]
     {
