--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -38,12 +38,12 @@
             });
         }
     });
-    let path = Silencer::start(&target).await;
-    let mut old = TcpStream::connect(&path.address).await.expect("connection");
+    let proxy = Silencer::start(&target).await;
+    let mut old = TcpStream::connect(&proxy.address).await.expect("connection");
     assert!(echoes(&mut old).await);
     let limit = Some(Duration::from_millis(500));
     socket2::SockRef::from(&old).set_tcp_user_timeout(limit).expect("option");
-    path.silence_open();
+    proxy.silence_open();
     tokio::time::sleep(Duration::from_millis(50)).await;
     let since = Instant::now();
     assert!(!echoes(&mut old).await);
@@ -51,10 +51,10 @@
     let ended = old.read(&mut [0; 1]).await;
     assert!(ended.is_err(), "{ended:?}");
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
-    let mut new = TcpStream::connect(&path.address).await.expect("connection");
+    let mut new = TcpStream::connect(&proxy.address).await.expect("connection");
     assert!(echoes(&mut new).await);
-    assert_eq!(path.opened(), 2);
-    path.reset_open();
+    assert_eq!(proxy.opened(), 2);
+    proxy.reset_open();
     assert!(new.read(&mut [0; 1]).await.is_err());
 }
 
@@ -66,44 +66,44 @@
 }
 
 /// A scene whose upstreams are reached by paths that can be silenced.
-struct Paths {
+struct ProxiedScene {
     scene: Scene,
-    paths: Vec<Silencer>,
+    proxies: Vec<Silencer>,
 }
 
-impl Paths {
+impl ProxiedScene {
     async fn start(upstreams: usize) -> Self {
         let scene = scene(0).await;
-        Self::lead(scene, upstreams).await
+        Self::with_proxies(scene, upstreams).await
     }
 
-    async fn lead(mut scene: Scene, upstreams: usize) -> Self {
-        let mut paths = Vec::new();
+    async fn with_proxies(mut scene: Scene, upstreams: usize) -> Self {
+        let mut proxies = Vec::new();
         for number in 0..upstreams {
             let server = Server::start(&format!("s-{number}")).await;
-            let path = Silencer::start(&server.address).await;
-            scene.site.enter(&server.id, &entry("plain", &path.address, "ready"));
+            let proxy = Silencer::start(&server.address).await;
+            scene.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
             let seen = format!("upstream_seen upstream={}", server.id);
             eventually("it is known", async || scene.gateway.logged().contains(&seen)).await;
             scene.servers.push(server);
-            paths.push(path);
+            proxies.push(proxy);
         }
-        Self { scene, paths }
+        Self { scene, proxies }
     }
 
     /// Has some connections to each upstream open and idle.
-    async fn warm(&self) {
-        let requests = (0..4 * self.paths.len()).map(async |number| {
+    async fn open_idle_connections(&self) {
+        let requests = (0..4 * self.proxies.len()).map(async |number| {
             let id = format!("w-{number}");
             self.send("GET", "/safe/", &id, "100").await
         });
         assert!(join_all(requests).await.iter().all(|status| *status == 200));
-        assert!(self.paths.iter().all(|path| path.opened() > 1));
+        assert!(self.proxies.iter().all(|proxy| proxy.opened() > 1));
     }
 
     fn silence(&self) {
-        for path in &self.paths {
-            path.silence_open();
+        for proxy in &self.proxies {
+            proxy.silence_open();
         }
     }
 
@@ -119,17 +119,17 @@
 /// other upstreams, which were as silent, though it had seen the first one's silence.
 #[tokio::test]
 async fn idle_suspected() {
-    let paths = Paths::start(3).await;
-    paths.warm().await;
-    paths.silence();
-    let lost = paths.send("POST", "/once/", "r-lost", "0");
+    let proxied = ProxiedScene::start(3).await;
+    proxied.open_idle_connections().await;
+    proxied.silence();
+    let lost = proxied.send("POST", "/once/", "r-lost", "0");
     let later = async {
         // Long enough for the silence of the first to be seen, and less than the
         // time for which idle connections are kept.
         tokio::time::sleep(Duration::from_millis(1400)).await;
         let requests = (0..9).map(async |number| {
             let id = format!("r-{number}");
-            paths.send("POST", "/once/", &id, "50").await
+            proxied.send("POST", "/once/", &id, "50").await
         });
         join_all(requests).await
     };
@@ -142,11 +142,11 @@
 /// upstream after 800 ms, on an idle connection that was silent too, and so on.
 #[tokio::test]
 async fn repeat_on_new() {
-    let paths = Paths::start(3).await;
-    paths.warm().await;
-    paths.silence();
+    let proxied = ProxiedScene::start(3).await;
+    proxied.open_idle_connections().await;
+    proxied.silence();
     let since = Instant::now();
-    assert_eq!(paths.send("GET", "/safe/", "r-1", "0").await, 200);
+    assert_eq!(proxied.send("GET", "/safe/", "r-1", "0").await, 200);
     assert!(since.elapsed() < Duration::from_millis(1400), "{:?}", since.elapsed());
 }
 
@@ -154,13 +154,13 @@
 /// probes within two seconds, and what comes then goes by new ones.
 #[tokio::test]
 async fn probes_find_silence() {
-    let paths = Paths::start(2).await;
-    paths.warm().await;
-    paths.silence();
+    let proxied = ProxiedScene::start(2).await;
+    proxied.open_idle_connections().await;
+    proxied.silence();
     tokio::time::sleep(Duration::from_millis(2500)).await;
     let requests = (0..6).map(async |number| {
         let id = format!("r-{number}");
-        paths.send("POST", "/once/", &id, "50").await
+        proxied.send("POST", "/once/", &id, "50").await
     });
     assert_eq!(join_all(requests).await, [200; 6]);
 }
@@ -169,42 +169,42 @@
 /// the upstream were held until probes showed the silence.
 #[tokio::test]
 async fn silent_caller_freed() {
-    let held = held_by_caller(|path, _| path.silence_open()).await;
-    assert!(held < Duration::from_millis(2500), "{held:?}");
+    let held_for = held_after_fault(|proxy, _| proxy.silence_open()).await;
+    assert!(held_for < Duration::from_millis(2500), "{held_for:?}");
 }
 
 /// A caller's connection was reset while its request ran.
 #[tokio::test]
 async fn reset_caller_freed() {
-    let held = held_by_caller(|path, _| path.reset_open()).await;
-    assert!(held < Duration::from_millis(500), "{held:?}");
+    let held_for = held_after_fault(|proxy, _| proxy.reset_open()).await;
+    assert!(held_for < Duration::from_millis(500), "{held_for:?}");
 }
 
 /// A caller closed its connection while its request ran.
 #[tokio::test]
 async fn closed_caller_freed() {
-    let held = held_by_caller(|_, client| drop(client.take())).await;
-    assert!(held < Duration::from_millis(500), "{held:?}");
+    let held_for = held_after_fault(|_, client| drop(client.take())).await;
+    assert!(held_for < Duration::from_millis(500), "{held_for:?}");
 }
 
 /// How long the connection to an upstream is held after a caller's connection met
 /// with `fault`.
-async fn held_by_caller(fault: fn(&Silencer, &mut Option<Client>)) -> Duration {
+async fn held_after_fault(fault: fn(&Silencer, &mut Option<Client>)) -> Duration {
     let scene = scene(0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
     scene.site.enter("s-0", &entry("plain", &address, "ready"));
     let known = async || scene.gateway.logged().contains("upstream_seen upstream=s-0");
     eventually("it is known", known).await;
-    let callers = Silencer::start(&scene.gateway.clients).await;
-    let mut client = Client::connect(&callers.address).await;
-    let patient = "X-Deadline-Ms: 20000\r\n";
-    client.write(&request("POST", "/once/", "r-1", patient, "")).await;
+    let client_proxy = Silencer::start(&scene.gateway.clients).await;
+    let mut client = Client::connect(&client_proxy.address).await;
+    let long_deadline = "X-Deadline-Ms: 20000\r\n";
+    client.write(&request("POST", "/once/", "r-1", long_deadline, "")).await;
     let (mut upstream, _) = listener.accept().await.expect("connection");
     let mut bytes = [0; 4096];
     assert!(upstream.read(&mut bytes).await.expect("request") > 0);
     let mut client = Some(client);
-    fault(&callers, &mut client);
+    fault(&client_proxy, &mut client);
     let since = Instant::now();
     // A read ends when the gateway closes.
     while upstream.read(&mut bytes).await.is_ok_and(|count| count > 0) {}
@@ -217,19 +217,20 @@
 #[tokio::test]
 async fn other_peer_asked() {
     let mut scene = scene(1).await;
-    let store = Silencer::start(&scene.site.metadata.address).await;
-    let cut = scene.site.gateway_at("north", &[&scene.gateway], &store.address);
-    wait_ready(&cut).await;
+    let store_proxy = Silencer::start(&scene.site.metadata.address).await;
+    let cut_box = scene.site.gateway_at("north", &[&scene.gateway], &store_proxy.address);
+    wait_ready(&cut_box).await;
     let view_digest = ViewDigest { last_change_revision: 1_000_000, checksum: 1 };
     let gossip =
         Gossip { incarnation: 1, hall: short_id("north"), view_digest, ..Gossip::default() };
-    let deaf = DeafPeer::start(&cut.peers, DEAF_HOST, gossip).await;
-    eventually("it is asked", async || deaf.asked() > 0).await;
-    store.lead_to("127.0.0.1:1");
-    store.reset_open();
+    let unresponsive_peer =
+        UnresponsivePeer::start(&cut_box.peers, UNRESPONSIVE_HOST, gossip).await;
+    eventually("it is asked", async || unresponsive_peer.connections() > 0).await;
+    store_proxy.lead_to("127.0.0.1:1");
+    store_proxy.reset_open();
     scene.site.configure(&document(8));
     let since = Instant::now();
-    let in_force = async || cut.logged().contains("configuration_in_force version=8");
+    let in_force = async || cut_box.logged().contains("configuration_in_force version=8");
     eventually("it is in force", in_force).await;
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     assert!(scene.gateway.is_alive());
@@ -247,57 +248,60 @@
     for host in 0..LARGE_FLEET {
         let follows_caches = host < 2;
         let gossip = Gossip { follows_caches, ..gossip.clone() };
-        fleet.push(DeafPeer::start(&scene.gateway.peers, DEAF_HOST + host, gossip).await);
+        fleet.push(
+            UnresponsivePeer::start(&scene.gateway.peers, UNRESPONSIVE_HOST + host, gossip).await,
+        );
     }
-    eventually("both are asked", async || fleet[..2].iter().all(|one| one.asked() > 0)).await;
-    assert!(fleet[2..].iter().all(|one| one.asked() == 0), "they follow no store");
+    eventually("both are asked", async || fleet[..2].iter().all(|peer| peer.connections() > 0))
+        .await;
+    assert!(fleet[2..].iter().all(|peer| peer.connections() == 0), "they follow no store");
 }
 
 /// First host number of peers that are none.
-const DEAF_HOST: u8 = 200;
+const UNRESPONSIVE_HOST: u8 = 200;
 /// Peers that make a fleet a large one.
 const LARGE_FLEET: u8 = 14;
 
 /// A peer that gossips, and takes connections without ever answering.
-struct DeafPeer {
-    asked: Arc<AtomicUsize>,
+struct UnresponsivePeer {
+    connections: Arc<AtomicUsize>,
     tasks: [JoinHandle<()>; 2],
 }
 
-impl DeafPeer {
+impl UnresponsivePeer {
     /// Starts one that tells the box at an address, in whose network it is.
-    async fn start(told: &str, host: u8, gossip: Gossip) -> Self {
-        let told: SocketAddr = told.parse().expect("address");
-        let IpAddr::V4(ip) = told.ip() else { panic!("it is IPv4") };
+    async fn start(target: &str, host: u8, gossip: Gossip) -> Self {
+        let target: SocketAddr = target.parse().expect("address");
+        let IpAddr::V4(ip) = target.ip() else { panic!("it is IPv4") };
         let [first, second, third, _] = ip.octets();
-        let own = SocketAddr::from(([first, second, third, host], told.port()));
-        let socket = UdpSocket::bind(own).await.expect("address");
-        let listener = TcpListener::bind(own).await.expect("address");
+        let own_address = SocketAddr::from(([first, second, third, host], target.port()));
+        let socket = UdpSocket::bind(own_address).await.expect("address");
+        let listener = TcpListener::bind(own_address).await.expect("address");
         let datagram = postcard::to_stdvec(&Datagram::Gossip(Box::new(gossip))).expect("datagram");
-        let telling = tokio::spawn(async move {
+        let gossip_task = tokio::spawn(async move {
             loop {
-                socket.send_to(&datagram, told).await.expect("send");
+                socket.send_to(&datagram, target).await.expect("send");
                 tokio::time::sleep(Duration::from_millis(100)).await;
             }
         });
-        let asked = Arc::new(AtomicUsize::new(0));
-        let count = asked.clone();
-        let taking = tokio::spawn(async move {
-            let mut taken = Vec::new();
+        let connections = Arc::new(AtomicUsize::new(0));
+        let count = connections.clone();
+        let accept_task = tokio::spawn(async move {
+            let mut open_streams = Vec::new();
             while let Ok((stream, _)) = listener.accept().await {
                 count.fetch_add(1, Ordering::Relaxed);
-                taken.push(stream);
+                open_streams.push(stream);
             }
         });
-        Self { asked, tasks: [telling, taking] }
+        Self { connections, tasks: [gossip_task, accept_task] }
     }
 
-    fn asked(&self) -> usize {
-        self.asked.load(Ordering::Relaxed)
+    fn connections(&self) -> usize {
+        self.connections.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for DeafPeer {
+impl Drop for UnresponsivePeer {
     fn drop(&mut self) {
         for task in &self.tasks {
             task.abort();
