--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -25,59 +25,59 @@
 /// Time after which an upstream that leaves must get nothing more.
 const DEPARTURE_APPLY: Duration = Duration::from_secs(2);
 /// Time between two looks at what must become true.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+const POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// A platform each of whose parts is reached by a path that can be silenced.
-struct Paths {
+struct ProxiedSite {
     gateway: Gateway,
-    metadata: Silencer,
-    engine: Silencer,
-    store: Silencer,
-    upstreams: Vec<Silencer>,
-    callers: Silencer,
+    metadata_proxy: Silencer,
+    engine_proxy: Silencer,
+    store_proxy: Silencer,
+    upstream_proxies: Vec<Silencer>,
+    client_proxy: Silencer,
     servers: Vec<Server>,
-    engine_itself: Engine,
-    _store_itself: Engine,
+    engine: Engine,
+    _store: Engine,
     site: Site,
 }
 
-impl Paths {
+impl ProxiedSite {
     async fn start() -> Self {
         let mut site = Site::start().await;
-        let (engine_itself, store_itself) = (Engine::start().await, Engine::start().await);
-        let engine = Silencer::start(&engine_itself.address).await;
-        let store = Silencer::start(&store_itself.address).await;
-        let metadata = Silencer::start(&site.metadata.address).await;
-        site.enter("e-0", &engine_entry("llm", &engine.address, MODEL, 1));
-        let (mut servers, mut upstreams) = (Vec::new(), Vec::new());
+        let (engine, store) = (Engine::start().await, Engine::start().await);
+        let engine_proxy = Silencer::start(&engine.address).await;
+        let store_proxy = Silencer::start(&store.address).await;
+        let metadata_proxy = Silencer::start(&site.metadata.address).await;
+        site.enter("e-0", &engine_entry("llm", &engine_proxy.address, MODEL, 1));
+        let (mut servers, mut upstream_proxies) = (Vec::new(), Vec::new());
         for number in 0..3 {
             let server = Server::start(&format!("s-{number}")).await;
-            let path = Silencer::start(&server.address).await;
-            site.enter(&server.id, &entry("plain", &path.address, "ready"));
-            upstreams.push(path);
+            let proxy = Silencer::start(&server.address).await;
+            site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
+            upstream_proxies.push(proxy);
             servers.push(server);
         }
-        site.configure(&config(7, &store.address));
+        site.configure(&config(7, &store_proxy.address));
         site.name_weights(MODEL, 1);
-        let gateway = site.gateway_at("north", &[], &metadata.address);
+        let gateway = site.gateway_at("north", &[], &metadata_proxy.address);
         wait_ready(&gateway).await;
-        let callers = Silencer::start(&gateway.clients).await;
+        let client_proxy = Silencer::start(&gateway.clients).await;
         Self {
             gateway,
-            metadata,
-            engine,
-            store,
-            upstreams,
-            callers,
+            metadata_proxy,
+            engine_proxy,
+            store_proxy,
+            upstream_proxies,
+            client_proxy,
             servers,
-            engine_itself,
-            _store_itself: store_itself,
+            engine,
+            _store: store,
             site,
         }
     }
 
     fn configure(&self, version: u64) {
-        self.site.configure(&config(version, &self.store.address));
+        self.site.configure(&config(version, &self.store_proxy.address));
     }
 
     fn in_force(&self, version: u64) -> bool {
@@ -91,23 +91,24 @@
     }
 
     async fn send(&self, id: &str) -> u16 {
-        let answer = once(&self.callers.address, "GET", "/safe/", id).await;
+        let answer = once(&self.client_proxy.address, "GET", "/safe/", id).await;
         answer.expect("an answer").status()
     }
 
     fn silence_all(&self) {
-        let single = [&self.metadata, &self.engine, &self.store, &self.callers];
-        single.into_iter().chain(&self.upstreams).for_each(Silencer::silence_open);
+        let single =
+            [&self.metadata_proxy, &self.engine_proxy, &self.store_proxy, &self.client_proxy];
+        single.into_iter().chain(&self.upstream_proxies).for_each(Silencer::silence_open);
     }
 }
 
-fn config(version: u64, store: &str) -> Value {
+fn config(version: u64, store_address: &str) -> Value {
     let mut config = document(version);
     config["services"].as_array_mut().expect("services").extend([
         json!({ "name": "llm", "max_conns": 100, "engine": { "slots": 8, "kv_capacity": 40000,
             "kv_token_bytes": 18432, "link_mbps": 100_000, "managed": true,
             "models": [{ "name": MODEL }] } }),
-        json!({ "name": "vault", "kv_store": store, "zone": "north", "kv_capacity": 100_000,
+        json!({ "name": "vault", "kv_store": store_address, "zone": "north", "kv_capacity": 100_000,
             "link_mbps": 100_000, "managed": true, "first_ms": 1 }),
     ]);
     config
@@ -124,35 +125,35 @@
 /// upstream said that it leaves.
 #[tokio::test]
 async fn all_at_once() {
-    let paths = Paths::start().await;
+    let proxied = ProxiedSite::start().await;
     for number in 0..12 {
-        assert_eq!(paths.send(&format!("w-{number}")).await, 200);
+        assert_eq!(proxied.send(&format!("w-{number}")).await, 200);
     }
-    paths.silence_all();
-    paths.configure(8);
-    let path = &paths.upstreams[0].address;
-    paths.site.enter("s-0", &entry("plain", path, "draining"));
-    let left = Instant::now();
-    let applied = time_until("it is in force", async || paths.in_force(8)).await;
+    proxied.silence_all();
+    proxied.configure(8);
+    let proxy_address = &proxied.upstream_proxies[0].address;
+    proxied.site.enter("s-0", &entry("plain", proxy_address, "draining"));
+    let left_at = Instant::now();
+    let applied = time_until("it is in force", async || proxied.in_force(8)).await;
     assert!(applied < CHANGE_APPLY, "{applied:?}");
-    while left.elapsed() < DEPARTURE_APPLY {
-        tokio::time::sleep(LOOK_PERIOD).await;
+    while left_at.elapsed() < DEPARTURE_APPLY {
+        tokio::time::sleep(POLL_PERIOD).await;
     }
-    let before = paths.servers[0].arrived().len();
+    let before = proxied.servers[0].arrived().len();
     for number in 0..12 {
-        assert_eq!(paths.send(&format!("r-{number}")).await, 200);
+        assert_eq!(proxied.send(&format!("r-{number}")).await, 200);
     }
-    assert_eq!(paths.servers[0].arrived().len(), before, "it was asked after it had left");
+    assert_eq!(proxied.servers[0].arrived().len(), before, "it was asked after it had left");
 }
 
 /// The connections to the store were reset between two changes.
 #[tokio::test]
 async fn reset_between() {
-    let paths = Paths::start().await;
-    paths.configure(8);
-    paths.metadata.reset_open();
-    paths.configure(9);
-    let applied = time_until("it is in force", async || paths.in_force(9)).await;
+    let proxied = ProxiedSite::start().await;
+    proxied.configure(8);
+    proxied.metadata_proxy.reset_open();
+    proxied.configure(9);
+    let applied = time_until("it is in force", async || proxied.in_force(9)).await;
     assert!(applied < CHANGE_APPLY / 2, "{applied:?}");
 }
 
@@ -160,13 +161,13 @@
 /// could renew the lease for it; it kept the lease all the same.
 #[tokio::test]
 async fn lease_kept() {
-    let paths = Paths::start().await;
-    paths.wait_logged("event=leadership_taken", 1).await;
+    let proxied = ProxiedSite::start().await;
+    proxied.wait_logged("event=leadership_taken", 1).await;
     for _ in 0..4 {
-        paths.metadata.silence_open();
+        proxied.metadata_proxy.silence_open();
         tokio::time::sleep(Duration::from_millis(1500)).await;
     }
-    let logged = paths.gateway.logged();
+    let logged = proxied.gateway.logged();
     assert!(!logged.contains("event=leadership_ended"), "{logged}");
 }
 
@@ -174,16 +175,16 @@
 /// asked for on one of them.
 #[tokio::test]
 async fn order_given() {
-    let paths = Paths::start().await;
-    paths.wait_logged("event=leadership_taken", 1).await;
-    paths.site.name_weights(MODEL, 2);
-    let loaded = async |version: u64| paths.engine_itself.version() == version;
+    let proxied = ProxiedSite::start().await;
+    proxied.wait_logged("event=leadership_taken", 1).await;
+    proxied.site.name_weights(MODEL, 2);
+    let loaded = async |version: u64| proxied.engine.version() == version;
     eventually("it has them", async || loaded(2).await).await;
-    paths.engine.silence_open();
-    paths.site.name_weights(MODEL, 3);
-    let taken = time_until("it has them", async || loaded(3).await).await;
-    assert!(taken < Duration::from_secs(5), "{taken:?}");
-    let fences: Vec<u64> = paths.engine_itself.orders().iter().map(|order| order.fence).collect();
+    proxied.engine_proxy.silence_open();
+    proxied.site.name_weights(MODEL, 3);
+    let elapsed = time_until("it has them", async || loaded(3).await).await;
+    assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
+    let fences: Vec<u64> = proxied.engine.orders().iter().map(|order| order.fence).collect();
     assert!(fences.iter().all(|fence| *fence == fences[0]), "{fences:?}");
 }
 
@@ -191,13 +192,13 @@
 /// it was listed again.
 #[tokio::test]
 async fn store_listed_again() {
-    let paths = Paths::start().await;
+    let proxied = ProxiedSite::start().await;
     let listed = "event=holder_listed holder=Store(\"vault\")";
-    paths.wait_logged(listed, 1).await;
-    paths.store.silence_open();
-    let again = async || paths.gateway.logged().matches(listed).count() > 1;
-    let taken = time_until("it is listed again", again).await;
-    assert!(taken < Duration::from_secs(4), "{taken:?}");
+    proxied.wait_logged(listed, 1).await;
+    proxied.store_proxy.silence_open();
+    let listed_again = async || proxied.gateway.logged().matches(listed).count() > 1;
+    let elapsed = time_until("it is listed again", listed_again).await;
+    assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
 }
 
 /// A box that was told of the stores went silent. The teller wrote on to nobody, for as
@@ -209,18 +210,18 @@
     let kernel = Kernel::new(Settings::parse("a.ini", text).expect("settings")).expect("gateway");
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
-    let giving = tokio::spawn(catch_up::serve(kernel.clone(), listener));
-    let path = Silencer::start(&address).await;
-    let mut subscriber = TcpStream::connect(&path.address).await.expect("connection");
-    let question = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
-    subscriber.write_all(&question).await.expect("write");
+    let server_task = tokio::spawn(catch_up::serve(kernel.clone(), listener));
+    let proxy = Silencer::start(&address).await;
+    let mut subscriber = TcpStream::connect(&proxy.address).await.expect("connection");
+    let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
+    subscriber.write_all(&query).await.expect("write");
     subscriber.shutdown().await.expect("end of the question");
     // It is told something twice a second.
     assert!(subscriber.read(&mut [0; 64]).await.expect("message") > 0);
-    let told = Arc::strong_count(&kernel);
-    path.silence_open();
-    let ended = async || Arc::strong_count(&kernel) < told;
-    let held = time_until("it is given up", ended).await;
-    assert!(held < Duration::from_secs(4), "{held:?}");
-    giving.abort();
+    let subscribed_count = Arc::strong_count(&kernel);
+    proxy.silence_open();
+    let ended = async || Arc::strong_count(&kernel) < subscribed_count;
+    let elapsed = time_until("it is given up", ended).await;
+    assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
+    server_task.abort();
 }
