--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -14,23 +14,24 @@
 async fn nothing_cut() {
     let mut scene = scene(1).await;
     scene.servers[0].then(&[Act::After(Duration::from_secs(4))]);
-    let slow = request("POST", "/once/", "r-1", "", "");
-    let slow =
-        String::from_utf8(slow).unwrap().replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 9000");
-    let mut newer = coursestile_standins::site::document(8);
-    newer["routes"][1]["timeout_ms"] = serde_json::json!(9000);
-    scene.site.configure(&newer);
+    let slow_request = request("POST", "/once/", "r-1", "", "");
+    let slow_request = String::from_utf8(slow_request)
+        .unwrap()
+        .replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 9000");
+    let mut newer_config = coursestile_standins::site::document(8);
+    newer_config["routes"][1]["timeout_ms"] = serde_json::json!(9000);
+    scene.site.configure(&newer_config);
     eventually("it is in force", async || scene.gateway.logged().contains("in_force version=8"))
         .await;
-    let mut first = Client::connect(&scene.gateway.clients).await;
-    first.write(slow.as_bytes()).await;
+    let mut slow_client = Client::connect(&scene.gateway.clients).await;
+    slow_client.write(slow_request.as_bytes()).await;
     eventually("it runs", async || scene.count("r-1") == 1).await;
     scene.gateway.signal("-TERM");
     eventually("it is not ready", async || !is_ready(&scene.gateway).await).await;
     // Until the balancer knows, requests are served, and clients sent away.
     let answer = scene.send("POST", "/once/", "r-2").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let answer = first.read().await.expect("an answer");
+    let answer = slow_client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: "));
     assert_eq!(scene.gateway.ended().await, Some(0));
 }
