--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -1,5 +1,5 @@
-//! An upstream that starts again under the id that it had knows and keeps nothing of
-//! before, and is taken as new, whoever tells of it first.
+//! An upstream that restarts under the id that it had has lost all its state, and counts as a new
+//! incarnation, whichever source reports it first.
 
 #[path = "common/site.rs"]
 mod common;
@@ -28,7 +28,7 @@
     site: Site,
 }
 
-/// The entry of an engine's present run.
+/// The entry of an engine's current incarnation.
 fn current_entry(engine: &Engine, version: u64) -> Value {
     let mut entry = engine_entry("llm", &engine.address, MODEL, version);
     entry["born"] = json!(engine.born());
@@ -70,7 +70,7 @@
         eventually(text, async || self.gateway.logged().contains(text)).await;
     }
 
-    /// Prompt tokens that the last attempt of a request was expected to have read.
+    /// Prompt tokens that the engine was expected to prefill in the last attempt of a request.
     fn expected_prefill_tokens(&self, id: &str) -> Option<u32> {
         let logged = self.gateway.logged();
         let line = logged.lines().rfind(|line| line.contains(&format!("routed request={id} ")))?;
@@ -78,10 +78,10 @@
         rest.split(' ').next()?.parse().ok()
     }
 
-    /// Asks until a prompt's shared parts are known to be kept by the only engine.
+    /// Sends prompts until the gateway knows that the only engine has cached their shared parts.
     async fn wait_cached(&self) {
         let mut number = 0;
-        eventually("the parts are known to be kept", async || {
+        eventually("the parts are known to be cached", async || {
             number += 1;
             let id = format!("warm-{number}");
             assert_eq!(self.prompt(&id).await, 200);
@@ -109,7 +109,7 @@
     assert_eq!(fleet.prompt("r-1").await, 200);
 }
 
-/// Nobody tells of the restart but the engine, by turning prompts away.
+/// Only the engine itself shows that it has restarted, by rejecting prompts.
 #[tokio::test]
 async fn older_weights_unsaid() {
     let fleet = fleet(1).await;
@@ -121,7 +121,7 @@
     fleet.wait_logged("upstream=e-0 model=model-a version=2 end=\"done\"").await;
     engine.restart(1);
     let mut number = 0;
-    eventually("it serves with new weights", async || {
+    eventually("the engine serves with new weights", async || {
         number += 1;
         fleet.prompt(&format!("r-{number}")).await == 200 && engine.version() == 2
     })
@@ -133,7 +133,7 @@
     let fleet = fleet(2).await;
     fleet.wait_logged("event=leadership_taken").await;
     fleet.site.name_weights(MODEL, 2);
-    eventually("an order has come", async || !fleet.engines[0].orders().is_empty()).await;
+    eventually("the engine has got an order", async || !fleet.engines[0].orders().is_empty()).await;
     fleet.engines[0].restart(1);
     fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.engines[0].restart(1);
@@ -148,7 +148,7 @@
     fleet.wait_cached().await;
     fleet.engines[0].restart(1);
     let mut restarted = current_entry(&fleet.engines[0], 1);
-    // The entry alone is to tell: events would do so a moment later.
+    // Only the entry may show the restart, which cache events would do a moment later.
     restarted["seq"] = json!(0);
     fleet.site.enter("e-0", &restarted);
     fleet.wait_logged("event=upstream_restarted upstream=e-0").await;
@@ -166,7 +166,7 @@
     fleet.wait_logged("event=upstream_restarted upstream=e-0").await;
     fleet.cache_parts();
     fleet.wait_cached().await;
-    // The store tells of the run of before once more.
+    // The metadata store reports the entry of the earlier incarnation once more.
     old_entry["seq"] = json!(9);
     fleet.site.enter("e-0", &old_entry);
     fleet.wait_logged("event=upstream_outdated upstream=e-0").await;
@@ -177,12 +177,12 @@
 async fn never_twice() {
     let mut site = Site::start().await;
     let server = Server::start("s-0").await;
-    let entry_of_run = |born: u64| {
+    let entry_of_incarnation = |born: u64| {
         let mut entry = entry("plain", &server.address, "ready");
         entry["born"] = json!(born);
         entry
     };
-    site.enter("s-0", &entry_of_run(1));
+    site.enter("s-0", &entry_of_incarnation(1));
     site.configure(&document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
@@ -191,13 +191,14 @@
         let bytes = request("POST", "/once/x", id, "", "");
         Client::connect(&gateway.clients).await.send(&bytes).await.expect("an answer").status()
     };
-    let (first, ()) = tokio::join!(send("r-1"), async { site.enter("s-0", &entry_of_run(2)) });
-    assert_eq!(first, 502, "whether it ran is not known");
+    let (first, ()) =
+        tokio::join!(send("r-1"), async { site.enter("s-0", &entry_of_incarnation(2)) });
+    assert_eq!(first, 502, "the request may have run");
     assert_eq!(server.count("r-1"), 1);
     assert_eq!(send("r-2").await, 200);
 }
 
-/// An entry of an engine that has older weights.
+/// An entry of an engine that has version 1 of the weights.
 fn outdated_entry(started_at_ms: Option<u64>) -> UpstreamEntry {
     UpstreamEntry {
         service: "llm".to_owned(),
@@ -210,19 +211,19 @@
     }
 }
 
-/// An entry that begins to tell a start is of another run than those without one: a run
-/// tells it in each or in none.
+/// If an entry has a start time and earlier ones had none, it is of another incarnation: an
+/// incarnation writes its start time in each of its entries or in none.
 #[test]
 fn entry_begins_to_tell() {
     let (mut upstreams, _) = with_history(None);
     assert_eq!(upstreams.upsert(30, "e", outdated_entry(Some(5))), ReportedIncarnation::Restarted);
     let engine = upstreams.get("e").unwrap();
-    assert_eq!(engine.weight_version("m"), 1, "it lost its weights");
+    assert_eq!(engine.weight_version("m"), 1, "the engine has lost its newer weights");
     assert_eq!(engine.contents.total_tokens(), 0);
     assert!(!engine.is_superseded());
 }
 
-/// Upstreams with one of which much is known.
+/// Upstreams with one engine, for which load, weights, cache contents and a successor are recorded.
 fn with_history(started_at_ms: Option<u64>) -> (Upstreams, Incarnation) {
     let mut upstreams = Upstreams::default();
     assert_eq!(
@@ -238,7 +239,8 @@
     (upstreams, incarnation)
 }
 
-/// Whether nothing of before is known, and what ends late changes nothing.
+/// Whether the state of the old incarnation is gone, and requests of it that end late change
+/// nothing.
 fn is_reset(upstreams: &mut Upstreams, old_incarnation: &Incarnation) -> bool {
     assert!(upstreams.get_incarnation(old_incarnation).is_none());
     let engine = upstreams.get("e").unwrap();
@@ -255,7 +257,7 @@
     assert_eq!(
         upstreams.upsert(30, "e", outdated_entry(Some(4))),
         ReportedIncarnation::Restarted,
-        "clocks may be off"
+        "another start time is another incarnation, even an earlier one, since clocks may be off"
     );
     assert!(is_reset(&mut upstreams, &old_incarnation));
 }
@@ -271,12 +273,12 @@
     assert_eq!(
         upstreams.upsert(50, "e", outdated_entry(Some(5))),
         ReportedIncarnation::Outdated,
-        "its entry comes late"
+        "an entry of the old incarnation comes late"
     );
     assert_eq!(
         upstreams.record_answering_incarnation(60, "e", Some(5), 35),
         ReportedIncarnation::Outdated,
-        "so does an answer"
+        "an answer of the old incarnation comes late"
     );
     assert_eq!(upstreams.upsert(70, "e", outdated_entry(Some(6))), ReportedIncarnation::Current);
     assert_eq!(upstreams.upsert(80, "e", outdated_entry(Some(7))), ReportedIncarnation::Restarted);
@@ -288,7 +290,7 @@
     assert_eq!(
         upstreams.upsert(30, "e", outdated_entry(None)),
         ReportedIncarnation::Current,
-        "as without it"
+        "entries without a start time are alike"
     );
     assert_eq!(
         upstreams.record_answering_incarnation(40, "e", None, 30),
@@ -297,7 +299,7 @@
     assert_eq!(
         upstreams.record_answering_incarnation(40, "e", Some(5), 30),
         ReportedIncarnation::Current,
-        "told late"
+        "the start time became known later"
     );
     assert_eq!(upstreams.get_incarnation(&old_incarnation).unwrap().total_load().requests, 1);
     assert_eq!(upstreams.upsert(50, "e", outdated_entry(Some(6))), ReportedIncarnation::Restarted);
--- a/tests/gateway_rollout.rs
+++ b/tests/gateway_rollout.rs
@@ -1,4 +1,4 @@
-//! Which engines get new weights next, and how many at once.
+//! Which engines load new weights next, and how many of them at once.
 
 use std::net::SocketAddr;
 
@@ -23,11 +23,15 @@
     let candidates = [candidate("a", 2, 0), candidate("b", 1, 9), candidate("c", 3, 0)];
     assert_eq!(next_engines(&candidates, 3), ["b", "a"]);
     assert_eq!(max_concurrent_loads(&outdated(18, 10_000), 2), 3);
-    assert_eq!(max_concurrent_loads(&outdated(18, 3000), 2), 9, "a hurry, up to half of them");
+    assert_eq!(
+        max_concurrent_loads(&outdated(18, 3000), 2),
+        9,
+        "little time is left: up to half of the engines"
+    );
     assert_eq!(max_concurrent_loads(&outdated(60, 10_000), 2), 12);
 }
 
-/// Engines with version 1 that must have a newer one in `left_ms`.
+/// Engines with version 1, which must have a newer one in `remaining_ms`.
 fn outdated(count: usize, remaining_ms: u64) -> Vec<RolloutCandidate> {
     let engine = |number| RolloutCandidate {
         id: format!("e-{number}"),
@@ -50,12 +54,16 @@
         engine.version = 2;
     }
     engines.extend(newer);
-    // Six have three rounds, all have six.
+    // There is time for three rounds of loads for the oldest six, and for six rounds for all.
     assert_eq!(max_concurrent_loads(&engines, 3), 3);
     let unhealthy_engines =
         outdated(9, 0).into_iter().map(|engine| RolloutCandidate { unhealthy: true, ..engine });
     engines.extend(unhealthy_engines);
-    assert_eq!(max_concurrent_loads(&engines, 3), 5, "27 / 5; the dark ones hurry nobody");
+    assert_eq!(
+        max_concurrent_loads(&engines, 3),
+        5,
+        "27 / 5; unhealthy engines do not shorten the time left"
+    );
 }
 
 #[test]
@@ -63,11 +71,15 @@
     for (count, expected) in [(1, 1), (2, 1), (3, 2), (4, 3), (6, 3), (9, 3), (18, 4)] {
         assert_eq!(next_engines(&outdated(count, 10_000), 2).len(), expected, "of {count}");
     }
-    assert_eq!(next_engines(&outdated(4, 0), 2).len(), 3, "one serves, also in a hurry");
+    assert_eq!(
+        next_engines(&outdated(4, 0), 2).len(),
+        3,
+        "one engine stays in service, even without time left"
+    );
 }
 
-/// A leader whose way to the engines was cut found each of them doubtful, counted none of the
-/// loads that it had begun, and took all 18 out of service within a second.
+/// A leader that was cut off from the engines found each of them unhealthy, counted none of the
+/// loads that it had started, and took all 18 out of service within a second.
 #[test]
 fn doubtful_stay_in_use() {
     let mut engines = outdated(18, 10_000);
@@ -80,14 +92,22 @@
             ordered.is_loading = true;
         }
     }
-    assert_eq!(engines.iter().filter(|engine| engine.is_loading).count(), 9, "half of them serve");
+    assert_eq!(
+        engines.iter().filter(|engine| engine.is_loading).count(),
+        9,
+        "half of the engines stay in service"
+    );
     let mut healthy = outdated(1, 10_000);
     healthy[0].id = "sound".to_owned();
     engines.extend(healthy);
-    assert_eq!(next_engines(&engines, 2), ["sound"], "they hold up no other");
+    assert_eq!(
+        next_engines(&engines, 2),
+        ["sound"],
+        "unhealthy engines do not delay a healthy one"
+    );
 }
 
-/// Such a leader is to leave the orders to a box that reaches the engines.
+/// A leader that is cut off from the engines must leave the orders to a box that reaches them.
 #[test]
 fn way_is_cut() {
     let mut upstreams = Upstreams::default();
@@ -110,15 +130,18 @@
     for id in ["e-0", "e-1"] {
         upstreams.get_mut(id).unwrap().record_connect_timeout(9400);
     }
-    assert!(!upstreams.is_partitioned(9500, "m"), "half of them may be dark");
+    assert!(!upstreams.is_partitioned(9500, "m"), "half of the engines may be down");
     upstreams.get_mut("e-2").unwrap().record_connect_timeout(9400);
     assert!(upstreams.is_partitioned(9500, "m"));
-    assert!(!upstreams.is_partitioned(12_000, "m"), "nobody hears them: it is they");
+    assert!(
+        !upstreams.is_partitioned(12_000, "m"),
+        "no peer has received anything from them: the engines are down"
+    );
 }
 
-/// An engine whose order failed once went after all that never failed. While versions were
-/// named faster than all engines load, those were behind again and again, and the one got no
-/// order for 17.3 s.
+/// An engine with a failed order was ordered after all those without one. While versions were named
+/// faster than all engines could load them, the others were outdated again and again, and this
+/// engine got no order for 17.3 s.
 #[test]
 fn failed_goes_on() {
     let mut engines = outdated(18, 8000);
@@ -126,11 +149,14 @@
         engine.version = 2;
     }
     engines[0].failed_orders = 1;
-    assert!(next_engines(&engines, 3).contains(&engines[0].id), "the oldest weights go first");
+    assert!(
+        next_engines(&engines, 3).contains(&engines[0].id),
+        "engines with the oldest weights go first"
+    );
     let mut equally_outdated = outdated(18, 10_000);
     equally_outdated[0].failed_orders = 1;
     assert!(
         !next_engines(&equally_outdated, 2).contains(&equally_outdated[0].id),
-        "of these, those never ordered"
+        "among equally outdated engines, those without a failed order go first"
     );
 }
--- a/tests/gateway_routing.rs
+++ b/tests/gateway_routing.rs
@@ -1,4 +1,4 @@
-//! Which requests go where, and what of them is passed on.
+//! Which upstreams requests are routed to, and what of them is forwarded.
 
 #[path = "common/site.rs"]
 mod common;
@@ -43,7 +43,7 @@
 async fn nothing_known() {
     let mut site = Site::start().await;
     let gateway = site.gateway("north", &[]);
-    coursestile_standins::site::eventually("it listens", async || {
+    coursestile_standins::site::eventually("the gateway listens", async || {
         tokio::net::TcpStream::connect(&gateway.clients).await.is_ok()
     })
     .await;
@@ -60,14 +60,14 @@
     for server in &scene.servers {
         server.then(&[Act::Close]);
     }
-    // Three attempts are allowed, the first two or three are cut.
+    // Three attempts are allowed, and the first connection to each upstream is closed.
     let answer = scene.send("GET", "/safe/", "r-1").await;
     assert_eq!((scene.count("r-1"), answer.status()), (3, 502));
     let answer = scene.send("GET", "/safe/", "r-2").await;
     assert_eq!((scene.count("r-2"), answer.status()), (1, 200));
 }
 
-/// Without budget for a repeat, the upstream's own answer is the answer.
+/// Without retry budget, the client gets the upstream's own answer.
 #[tokio::test]
 async fn failure_unrepeated() {
     use coursestile_standins::site::server::Act;
@@ -94,7 +94,7 @@
     }
     scene.servers[0].then(&[Act::LongCut(700_000)]);
     let answer = scene.send("POST", "/once/", "r-3").await;
-    assert!(answer.status() == 200 && !answer.whole, "it must not look complete");
+    assert!(answer.status() == 200 && !answer.whole, "a truncated answer must not look complete");
 }
 
 #[tokio::test]
--- a/tests/gateway_settings.rs
+++ b/tests/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway, as platforms fill them.
+//! Parsing of the settings of a gateway, which the platform fills into a template.
 
 use coursestile::gateway::settings::Settings;
 
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -1,5 +1,5 @@
-//! Open connections that go silent: the other side lives and takes new ones, but
-//! nothing moves on the old, and nothing says so.
+//! Open connections that go silent: the peer runs and accepts new connections, but the old ones
+//! pass no data and are not closed.
 
 #[path = "common/site.rs"]
 mod common;
@@ -24,8 +24,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// A path whose open connections are silenced passes nothing on them, shows a
-/// probe no answer, and takes new ones.
+/// A proxy whose open connections are silenced passes no data on them, leaves probes unanswered,
+/// and accepts new connections.
 #[tokio::test]
 async fn path_silences() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
@@ -47,7 +47,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     let since = Instant::now();
     assert!(!echoes(&mut old).await);
-    // The system itself gives up: no byte was acknowledged.
+    // The operating system gives up by itself: no byte was acknowledged.
     let ended = old.read(&mut [0; 1]).await;
     assert!(ended.is_err(), "{ended:?}");
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
@@ -65,7 +65,7 @@
     matches!(read.await, Ok(Ok(_)))
 }
 
-/// A scene whose upstreams are reached by paths that can be silenced.
+/// A scene whose upstreams are behind proxies that can silence connections.
 struct ProxiedScene {
     scene: Scene,
     proxies: Vec<Silencer>,
@@ -84,14 +84,15 @@
             let proxy = Silencer::start(&server.address).await;
             scene.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
             let seen = format!("upstream_seen upstream={}", server.id);
-            eventually("it is known", async || scene.gateway.logged().contains(&seen)).await;
+            eventually("the upstream is known", async || scene.gateway.logged().contains(&seen))
+                .await;
             scene.servers.push(server);
             proxies.push(proxy);
         }
         Self { scene, proxies }
     }
 
-    /// Has some connections to each upstream open and idle.
+    /// Opens several connections to each upstream, which are idle afterwards.
     async fn open_idle_connections(&self) {
         let requests = (0..4 * self.proxies.len()).map(async |number| {
             let id = format!("w-{number}");
@@ -114,9 +115,9 @@
     }
 }
 
-/// All connections to upstreams went silent at once. A request that may run only
-/// once was lost on the first; the box then sent others on idle connections to the
-/// other upstreams, which were as silent, though it had seen the first one's silence.
+/// All connections to upstreams went silent at once. A request that may run only once was lost on
+/// the first one. The box had noticed that silence, but then sent other requests on idle
+/// connections to the other upstreams, which were silent, too.
 #[tokio::test]
 async fn idle_suspected() {
     let proxied = ProxiedScene::start(3).await;
@@ -124,8 +125,8 @@
     proxied.silence();
     let lost = proxied.send("POST", "/once/", "r-lost", "0");
     let later = async {
-        // Long enough for the silence of the first to be seen, and less than the
-        // time for which idle connections are kept.
+        // Long enough to notice the silence of the first connection, and shorter than idle
+        // connections are kept.
         tokio::time::sleep(Duration::from_millis(1400)).await;
         let requests = (0..9).map(async |number| {
             let id = format!("r-{number}");
@@ -134,12 +135,12 @@
         join_all(requests).await
     };
     let (lost, later) = tokio::join!(lost, later);
-    assert_eq!(lost, 502, "it may have run");
+    assert_eq!(lost, 502, "the request may have run");
     assert_eq!(later, [200; 9]);
 }
 
-/// A request that may run again met a silent connection. It was sent to another
-/// upstream after 800 ms, on an idle connection that was silent too, and so on.
+/// A request that may be repeated met a silent connection. After 800 ms it was sent to another
+/// upstream, on an idle connection that was silent, too, and so on.
 #[tokio::test]
 async fn repeat_on_new() {
     let proxied = ProxiedScene::start(3).await;
@@ -150,8 +151,8 @@
     assert!(since.elapsed() < Duration::from_millis(1400), "{:?}", since.elapsed());
 }
 
-/// No request was under way when the connections went silent: the box finds out by
-/// probes within two seconds, and what comes then goes by new ones.
+/// No request was running when the connections went silent: the box must notice it by probes within
+/// two seconds, and send later requests on new connections.
 #[tokio::test]
 async fn probes_find_silence() {
     let proxied = ProxiedScene::start(2).await;
@@ -165,37 +166,37 @@
     assert_eq!(join_all(requests).await, [200; 6]);
 }
 
-/// A caller's connection went silent while its request ran. Its place and the run at
-/// the upstream were held until probes showed the silence.
+/// A client's connection went silent while its request ran. Its slot, and the run at the upstream,
+/// were held until probes revealed the silence.
 #[tokio::test]
 async fn silent_caller_freed() {
     let held_for = held_after_fault(|proxy, _| proxy.silence_open()).await;
     assert!(held_for < Duration::from_millis(2500), "{held_for:?}");
 }
 
-/// A caller's connection was reset while its request ran.
+/// A client's connection was reset while its request ran.
 #[tokio::test]
 async fn reset_caller_freed() {
     let held_for = held_after_fault(|proxy, _| proxy.reset_open()).await;
     assert!(held_for < Duration::from_millis(500), "{held_for:?}");
 }
 
-/// A caller closed its connection while its request ran.
+/// A client closed its connection while its request ran.
 #[tokio::test]
 async fn closed_caller_freed() {
     let held_for = held_after_fault(|_, client| drop(client.take())).await;
     assert!(held_for < Duration::from_millis(500), "{held_for:?}");
 }
 
-/// How long the connection to an upstream is held after a caller's connection met
-/// with `fault`.
+/// Time for which the connection to an upstream is held after `fault` has happened to the client's
+/// connection.
 async fn held_after_fault(fault: fn(&Silencer, &mut Option<Client>)) -> Duration {
     let scene = scene(0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
     scene.site.enter("s-0", &entry("plain", &address, "ready"));
     let known = async || scene.gateway.logged().contains("upstream_seen upstream=s-0");
-    eventually("it is known", known).await;
+    eventually("the upstream is known", known).await;
     let client_proxy = Silencer::start(&scene.gateway.clients).await;
     let mut client = Client::connect(&client_proxy.address).await;
     let long_deadline = "X-Deadline-Ms: 20000\r\n";
@@ -206,14 +207,14 @@
     let mut client = Some(client);
     fault(&client_proxy, &mut client);
     let since = Instant::now();
-    // A read ends when the gateway closes.
+    // The loop ends when the gateway closes the connection.
     while upstream.read(&mut bytes).await.is_ok_and(|count| count > 0) {}
     since.elapsed()
 }
 
-/// A box was cut from the store. The peer that knew the newest change still gossiped,
-/// but took connections without ever answering; the box asked it again and again,
-/// and never the other peer that knew the change too.
+/// A box was cut off from the metadata store. The peer that knew the newest change still gossiped,
+/// but accepted connections without ever answering; the box queried it again and again, and never
+/// another peer that knew the change, too.
 #[tokio::test]
 async fn other_peer_asked() {
     let mut scene = scene(1).await;
@@ -225,20 +226,20 @@
         Gossip { incarnation: 1, hall: short_id("north"), view_digest, ..Gossip::default() };
     let unresponsive_peer =
         UnresponsivePeer::start(&cut_box.peers, UNRESPONSIVE_HOST, gossip).await;
-    eventually("it is asked", async || unresponsive_peer.connections() > 0).await;
+    eventually("the peer is queried", async || unresponsive_peer.connections() > 0).await;
     store_proxy.lead_to("127.0.0.1:1");
     store_proxy.reset_open();
     scene.site.configure(&document(8));
     let since = Instant::now();
     let in_force = async || cut_box.logged().contains("configuration_in_force version=8");
-    eventually("it is in force", in_force).await;
+    eventually("the configuration is in force", in_force).await;
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     assert!(scene.gateway.is_alive());
 }
 
-/// In a large fleet a box learns from another what stores keep. The one that it chose
-/// still gossiped and took connections without ever telling anything; the box asked it
-/// again and again, and never the other one of its hall.
+/// In a large fleet, a box learns from another one what the context stores contain. The one that it
+/// had chosen still gossiped, and accepted connections without ever sending an update; the box
+/// queried it again and again, and never the other one of its hall.
 #[tokio::test]
 async fn other_teller_asked() {
     let scene = scene(1).await;
@@ -252,27 +253,32 @@
             UnresponsivePeer::start(&scene.gateway.peers, UNRESPONSIVE_HOST + host, gossip).await,
         );
     }
-    eventually("both are asked", async || fleet[..2].iter().all(|peer| peer.connections() > 0))
-        .await;
-    assert!(fleet[2..].iter().all(|peer| peer.connections() == 0), "they follow no store");
+    eventually("both peers are queried", async || {
+        fleet[..2].iter().all(|peer| peer.connections() > 0)
+    })
+    .await;
+    assert!(
+        fleet[2..].iter().all(|peer| peer.connections() == 0),
+        "the other peers follow no store"
+    );
 }
 
-/// First host number of peers that are none.
+/// Host number of the first unresponsive peer.
 const UNRESPONSIVE_HOST: u8 = 200;
-/// Peers that make a fleet a large one.
+/// Number of peers that make a fleet a large one.
 const LARGE_FLEET: u8 = 14;
 
-/// A peer that gossips, and takes connections without ever answering.
+/// A peer that gossips, and accepts connections without ever answering.
 struct UnresponsivePeer {
     connections: Arc<AtomicUsize>,
     tasks: [JoinHandle<()>; 2],
 }
 
 impl UnresponsivePeer {
-    /// Starts one that tells the box at an address, in whose network it is.
+    /// Starts a peer that gossips to the box at `target`, in whose network it is.
     async fn start(target: &str, host: u8, gossip: Gossip) -> Self {
         let target: SocketAddr = target.parse().expect("address");
-        let IpAddr::V4(ip) = target.ip() else { panic!("it is IPv4") };
+        let IpAddr::V4(ip) = target.ip() else { panic!("expected an IPv4 address") };
         let [first, second, third, _] = ip.octets();
         let own_address = SocketAddr::from(([first, second, third, host], target.port()));
         let socket = UdpSocket::bind(own_address).await.expect("address");
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -1,5 +1,5 @@
-//! Calls and long answers between a gateway and the metadata store, engines, stores of
-//! context and other boxes, when their open connections go silent.
+//! Calls and long-lived streams between a gateway and the metadata store, engines, context stores
+//! and other boxes, when their open connections go silent.
 
 #[path = "common/site.rs"]
 mod common;
@@ -20,14 +20,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Time in which a change must be in force.
+/// Time within which a change must be in force.
 const CHANGE_APPLY: Duration = Duration::from_secs(2);
-/// Time after which an upstream that leaves must get nothing more.
+/// Time within which a leaving upstream must stop getting requests.
 const DEPARTURE_APPLY: Duration = Duration::from_secs(2);
-/// Time between two looks at what must become true.
+/// Time between two checks of a condition.
 const POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// A platform each of whose parts is reached by a path that can be silenced.
+/// A platform whose parts are each behind a proxy that can silence connections.
 struct ProxiedSite {
     gateway: Gateway,
     metadata_proxy: Silencer,
@@ -114,15 +114,15 @@
     config
 }
 
-/// How long it takes until something holds.
+/// Time until `holds` returns true.
 async fn time_until(what: &str, holds: impl AsyncFnMut() -> bool) -> Duration {
     let since = Instant::now();
     eventually(what, holds).await;
     since.elapsed()
 }
 
-/// All open connections of a box went silent at once, while a change was made and an
-/// upstream said that it leaves.
+/// All open connections of a box went silent at once, while the configuration changed and an
+/// upstream announced that it was leaving.
 #[tokio::test]
 async fn all_at_once() {
     let proxied = ProxiedSite::start().await;
@@ -134,7 +134,7 @@
     let proxy_address = &proxied.upstream_proxies[0].address;
     proxied.site.enter("s-0", &entry("plain", proxy_address, "draining"));
     let left_at = Instant::now();
-    let applied = time_until("it is in force", async || proxied.in_force(8)).await;
+    let applied = time_until("the configuration is in force", async || proxied.in_force(8)).await;
     assert!(applied < CHANGE_APPLY, "{applied:?}");
     while left_at.elapsed() < DEPARTURE_APPLY {
         tokio::time::sleep(POLL_PERIOD).await;
@@ -143,22 +143,26 @@
     for number in 0..12 {
         assert_eq!(proxied.send(&format!("r-{number}")).await, 200);
     }
-    assert_eq!(proxied.servers[0].arrived().len(), before, "it was asked after it had left");
+    assert_eq!(
+        proxied.servers[0].arrived().len(),
+        before,
+        "the upstream got a request after it had left"
+    );
 }
 
-/// The connections to the store were reset between two changes.
+/// The connections to the metadata store were reset between two changes.
 #[tokio::test]
 async fn reset_between() {
     let proxied = ProxiedSite::start().await;
     proxied.configure(8);
     proxied.metadata_proxy.reset_open();
     proxied.configure(9);
-    let applied = time_until("it is in force", async || proxied.in_force(9)).await;
+    let applied = time_until("the configuration is in force", async || proxied.in_force(9)).await;
     assert!(applied < CHANGE_APPLY / 2, "{applied:?}");
 }
 
-/// The leader's connections to the store went silent, again and again. No other box
-/// could renew the lease for it; it kept the lease all the same.
+/// The leader's connections to the metadata store went silent repeatedly. No other box could renew
+/// the lease for it, and still it must keep the lease.
 #[tokio::test]
 async fn lease_kept() {
     let proxied = ProxiedSite::start().await;
@@ -171,25 +175,25 @@
     assert!(!logged.contains("event=leadership_ended"), "{logged}");
 }
 
-/// The connections to an engine went silent as new weights were named. Its report was
-/// asked for on one of them.
+/// The connections to an engine went silent as new weights were named, and its report was requested
+/// on one of them.
 #[tokio::test]
 async fn order_given() {
     let proxied = ProxiedSite::start().await;
     proxied.wait_logged("event=leadership_taken", 1).await;
     proxied.site.name_weights(MODEL, 2);
     let loaded = async |version: u64| proxied.engine.version() == version;
-    eventually("it has them", async || loaded(2).await).await;
+    eventually("the engine has the weights", async || loaded(2).await).await;
     proxied.engine_proxy.silence_open();
     proxied.site.name_weights(MODEL, 3);
-    let elapsed = time_until("it has them", async || loaded(3).await).await;
+    let elapsed = time_until("the engine has the weights", async || loaded(3).await).await;
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     let fences: Vec<u64> = proxied.engine.orders().iter().map(|order| order.fence).collect();
     assert!(fences.iter().all(|fence| *fence == fences[0]), "{fences:?}");
 }
 
-/// The connections to a store of context went silent; what it keeps was not known until
-/// it was listed again.
+/// The connections to a context store went silent; its contents were unknown until it was listed
+/// again.
 #[tokio::test]
 async fn store_listed_again() {
     let proxied = ProxiedSite::start().await;
@@ -197,12 +201,12 @@
     proxied.wait_logged(listed, 1).await;
     proxied.store_proxy.silence_open();
     let listed_again = async || proxied.gateway.logged().matches(listed).count() > 1;
-    let elapsed = time_until("it is listed again", listed_again).await;
+    let elapsed = time_until("the store is listed again", listed_again).await;
     assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
 }
 
-/// A box that was told of the stores went silent. The teller wrote on to nobody, for as
-/// long as the system sent the same bytes again.
+/// A box that had subscribed to the contents of context stores went silent. The publisher kept
+/// writing to it for as long as the operating system retransmitted the same bytes.
 #[tokio::test]
 async fn subscriber_dropped() {
     let text = "[box]\nname = a\nhall = north\nclients = 127.0.0.1:1\nready = 127.0.0.1:1\n\
@@ -213,15 +217,15 @@
     let server_task = tokio::spawn(catch_up::serve(kernel.clone(), listener));
     let proxy = Silencer::start(&address).await;
     let mut subscriber = TcpStream::connect(&proxy.address).await.expect("connection");
-    let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
+    let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("query");
     subscriber.write_all(&query).await.expect("write");
-    subscriber.shutdown().await.expect("end of the question");
-    // It is told something twice a second.
-    assert!(subscriber.read(&mut [0; 64]).await.expect("message") > 0);
+    subscriber.shutdown().await.expect("end of the query");
+    // An update is sent twice a second.
+    assert!(subscriber.read(&mut [0; 64]).await.expect("update") > 0);
     let subscribed_count = Arc::strong_count(&kernel);
     proxy.silence_open();
     let ended = async || Arc::strong_count(&kernel) < subscribed_count;
-    let elapsed = time_until("it is given up", ended).await;
+    let elapsed = time_until("the subscriber is dropped", ended).await;
     assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
     server_task.abort();
 }
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -21,14 +21,17 @@
     let mut newer_config = coursestile_standins::site::document(8);
     newer_config["routes"][1]["timeout_ms"] = serde_json::json!(9000);
     scene.site.configure(&newer_config);
-    eventually("it is in force", async || scene.gateway.logged().contains("in_force version=8"))
-        .await;
+    eventually("the configuration is in force", async || {
+        scene.gateway.logged().contains("in_force version=8")
+    })
+    .await;
     let mut slow_client = Client::connect(&scene.gateway.clients).await;
     slow_client.write(slow_request.as_bytes()).await;
-    eventually("it runs", async || scene.count("r-1") == 1).await;
+    eventually("the request runs", async || scene.count("r-1") == 1).await;
     scene.gateway.signal("-TERM");
-    eventually("it is not ready", async || !is_ready(&scene.gateway).await).await;
-    // Until the balancer knows, requests are served, and clients sent away.
+    eventually("the gateway is not ready any more", async || !is_ready(&scene.gateway).await).await;
+    // Until the load balancer notices, requests are still served, and clients are asked to
+    // reconnect.
     let answer = scene.send("POST", "/once/", "r-2").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     let answer = slow_client.read().await.expect("an answer");
@@ -40,6 +43,7 @@
 async fn settings_again() {
     let scene = scene(1).await;
     scene.gateway.signal("-HUP");
-    eventually("it is read", async || scene.gateway.logged().contains("event=reloaded")).await;
+    eventually("the settings are read", async || scene.gateway.logged().contains("event=reloaded"))
+        .await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
 }
