--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -37,20 +37,20 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Keeps { part: u16, tokens: u32 },
-    Restarts,
-    Lost,
-    Listed,
-    ReportedIncarnation,
+    Change { part: u16, tokens: u32 },
+    Restart,
+    MarkUnknown,
+    List,
+    Update,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => (0..40_u16, 0..3_u32).prop_map(|(part, tokens)| Step::Keeps { part, tokens }),
-        1 => Just(Step::Restarts),
-        1 => Just(Step::Lost),
-        1 => Just(Step::Listed),
-        3 => Just(Step::ReportedIncarnation),
+        6 => (0..40_u16, 0..3_u32).prop_map(|(part, tokens)| Step::Change { part, tokens }),
+        1 => Just(Step::Restart),
+        1 => Just(Step::MarkUnknown),
+        1 => Just(Step::List),
+        3 => Just(Step::Update),
     ];
     prop::collection::vec(step, 1..80)
 }
@@ -59,13 +59,13 @@
 #[derive(Default)]
 struct Subscriber {
     holder: CacheContents,
-    told: Option<u64>,
+    position: Option<u64>,
 }
 
 impl Subscriber {
-    fn hear(&mut self, publisher: &CacheContents) {
-        let (update, next) = publisher.update_since(self.told);
-        self.told = Some(next);
+    fn update_from(&mut self, publisher: &CacheContents) {
+        let (update, next) = publisher.update_since(self.position);
+        self.position = Some(next);
         if let Some(update) = update {
             self.holder.apply_update(update);
         }
@@ -81,16 +81,16 @@
         let mut boot = 1;
         for step in steps {
             match step {
-                Step::Keeps { part, tokens } => {
+                Step::Change { part, tokens } => {
                     publisher.apply_changes(&changes(boot, vec![change(part, tokens)]));
                 }
-                Step::Restarts => boot += 1,
-                Step::Lost => publisher.mark_unknown(),
-                Step::Listed => publisher.apply_listing(&listing(boot)),
-                Step::ReportedIncarnation => subscriber.hear(&publisher),
+                Step::Restart => boot += 1,
+                Step::MarkUnknown => publisher.mark_unknown(),
+                Step::List => publisher.apply_listing(&listing(boot)),
+                Step::Update => subscriber.update_from(&publisher),
             }
         }
-        subscriber.hear(&publisher);
+        subscriber.update_from(&publisher);
         prop_assert_eq!(subscriber.holder.is_known(), publisher.is_known());
         prop_assert_eq!(subscriber.holder.total_tokens(), publisher.total_tokens());
         for part in 0..40 {
@@ -102,9 +102,9 @@
 #[test]
 fn known_again() {
     let (mut publisher, mut subscriber) = (CacheContents::with_log(), Subscriber::default());
-    subscriber.hear(&publisher);
+    subscriber.update_from(&publisher);
     publisher.apply_changes(&changes(1, Vec::new()));
-    subscriber.hear(&publisher);
+    subscriber.update_from(&publisher);
     assert!(subscriber.holder.is_known(), "it keeps nothing, and that is known");
 }
 
@@ -112,11 +112,11 @@
 fn many_changes() {
     let mut publisher = CacheContents::with_log();
     publisher.apply_listing(&listing(1));
-    let (_, told) = publisher.update_since(None);
+    let (_, position) = publisher.update_since(None);
     for part in 0..5000 {
         publisher.apply_changes(&changes(1, vec![change(part, 1)]));
     }
-    let (update, _) = publisher.update_since(Some(told));
+    let (update, _) = publisher.update_since(Some(position));
     assert!(
         matches!(update, Some(CacheUpdate::Full(all)) if all.len() == 5000),
         "too many to remember"
@@ -144,15 +144,19 @@
 
 #[test]
 fn homes_by_size() {
-    let (one, other) = (known_stores(), known_stores());
-    let home = |stores: &Stores, part| {
+    let (first, second) = (known_stores(), known_stores());
+    let assigned_store = |stores: &Stores, part| {
         stores
             .store_for_save(0, key(part), 100, Placement::RendezvousHash)
             .map(|store| store.name.clone())
     };
-    assert!((0..400).all(|part| home(&one, part) == home(&other, part)), "in every box");
-    let large = (0..400).filter(|part| home(&one, *part).as_deref() == Some("a")).count();
-    assert!((270..330).contains(&large), "three in four: {large}");
+    assert!(
+        (0..400).all(|part| assigned_store(&first, part) == assigned_store(&second, part)),
+        "in every box"
+    );
+    let on_larger_store =
+        (0..400).filter(|part| assigned_store(&first, *part).as_deref() == Some("a")).count();
+    assert!((270..330).contains(&on_larger_store), "three in four: {on_larger_store}");
 }
 
 #[test]
@@ -165,6 +169,6 @@
     // A store that fails may come back empty, and have the part written again.
     stores.get_mut("a").unwrap().1.contents.mark_unknown();
     assert_eq!(stores.complete_holders(0, part, 100).count(), 0);
-    let place = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
-    assert_eq!(place.map(|store| store.name.as_str()), Some("b"));
+    let target = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
+    assert_eq!(target.map(|store| store.name.as_str()), Some("b"));
 }
