--- a/tests/gateway_streams.rs
+++ b/tests/gateway_streams.rs
@@ -49,10 +49,10 @@
     assert_eq!((answer.whole, answer.text()), (true, events("r-1", 5)));
     assert_eq!(scene.count("r-1"), 3);
     let all = scene.servers.iter().flat_map(Server::arrived);
-    let mut after: Vec<_> =
-        all.filter_map(|one| one.header("last-event-id").map(str::to_owned)).collect();
-    after.sort();
-    assert_eq!(after, ["2", "4"]);
+    let mut resumed_after: Vec<_> =
+        all.filter_map(|request| request.header("last-event-id").map(str::to_owned)).collect();
+    resumed_after.sort();
+    assert_eq!(resumed_after, ["2", "4"]);
 }
 
 /// Bytes that are no text do not hide an event's id: what was passed on is not
