--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -13,7 +13,7 @@
 
 const HALL: u32 = 1;
 /// Silence after which a peer of the own hall does not count.
-const SILENT_MS: u64 = 1500;
+const PEER_EXPIRY_MS: u64 = 1500;
 const UPSTREAMS: u32 = 6;
 const STORE: u32 = 99;
 
@@ -26,7 +26,7 @@
     IpAddr::from([10, 0, 1, host])
 }
 
-fn told(upstream: u32, requests: u32) -> LoadReport {
+fn load_report(upstream: u32, requests: u32) -> LoadReport {
     let load =
         Load { requests, pending_prefill_tokens: requests * 100, memory_tokens: requests * 10 };
     LoadReport { upstream, load, receive_age_ms: 0 }
@@ -62,40 +62,40 @@
     fn sums_kept(steps in steps()) {
         let mut peers = peers();
         let mut now_ms = 1000;
-        let mut last: HashMap<u8, (u64, BTreeMap<u32, u32>)> = HashMap::new();
+        let mut last_reports: HashMap<u8, (u64, BTreeMap<u32, u32>)> = HashMap::new();
         for step in steps {
             match step {
                 Step::Gossip { host, loads } => {
-                    let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
-                    let gossip = gossip(all.collect(), u32::from(host));
+                    let reports = loads.iter().map(|(upstream, requests)| load_report(*upstream, *requests));
+                    let gossip = gossip(reports.collect(), u32::from(host));
                     peers.receive_gossip(now_ms, address(host), gossip, ViewDigest::default());
-                    last.insert(host, (now_ms, loads));
+                    last_reports.insert(host, (now_ms, loads));
                 }
                 Step::Changes { host, loads } => {
-                    let all = loads.iter().map(|(upstream, requests)| told(*upstream, *requests));
+                    let reports = loads.iter().map(|(upstream, requests)| load_report(*upstream, *requests));
                     let changes =
-                        LoadChanges { incarnation: 1, loads: all.collect(), superseded: vec![], backoffs: vec![] };
+                        LoadChanges { incarnation: 1, loads: reports.collect(), superseded: vec![], backoffs: vec![] };
                     peers.receive_load_changes(now_ms, address(host), &changes);
-                    if let Some((at_ms, known)) = last.get_mut(&host) {
+                    if let Some((at_ms, known_loads)) = last_reports.get_mut(&host) {
                         *at_ms = now_ms;
-                        known.extend(loads);
+                        known_loads.extend(loads);
                     }
                 }
                 Step::Pause { ms } => {
                     now_ms += ms;
                     peers.next_targets(now_ms, Audience::All, GossipScope::OwnHall);
                     // A peer that is forgotten has to introduce itself again.
-                    last.retain(|_, (at_ms, _)| now_ms < *at_ms + 30_000);
+                    last_reports.retain(|_, (at_ms, _)| now_ms < *at_ms + 30_000);
                 }
             }
             peers.expire(now_ms);
-            let alive: Vec<_> =
-                last.iter().filter(|(_, (at_ms, _))| now_ms < *at_ms + SILENT_MS).collect();
+            let live_peers: Vec<_> =
+                last_reports.iter().filter(|(_, (at_ms, _))| now_ms < *at_ms + PEER_EXPIRY_MS).collect();
             for upstream in 0..UPSTREAMS {
-                let requests = alive.iter().filter_map(|(_, (_, loads))| loads.get(&upstream));
-                prop_assert_eq!(peers.load(upstream), told(upstream, requests.sum()).load);
+                let requests = live_peers.iter().filter_map(|(_, (_, loads))| loads.get(&upstream));
+                prop_assert_eq!(peers.load(upstream), load_report(upstream, requests.sum()).load);
             }
-            let fetched: u64 = alive.iter().map(|(host, _)| u64::from(**host)).sum();
+            let fetched: u64 = live_peers.iter().map(|(host, _)| u64::from(**host)).sum();
             prop_assert_eq!(peers.fetch_tokens(STORE), fetched);
         }
     }
@@ -103,15 +103,15 @@
 
 #[test]
 fn changes_suffice() {
-    let before = [told(1, 2), told(2, 3)];
-    let now = [told(1, 2), told(2, 0), told(3, 1), told(4, 0)];
-    assert_eq!(changed_loads(&before, now.into_iter()), [told(2, 0), told(3, 1)]);
+    let before = [load_report(1, 2), load_report(2, 3)];
+    let now = [load_report(1, 2), load_report(2, 0), load_report(3, 1), load_report(4, 0)];
+    assert_eq!(changed_loads(&before, now.into_iter()), [load_report(2, 0), load_report(3, 1)]);
 }
 
 #[test]
 fn strangers_wait() {
     let mut peers = peers();
-    let loads = vec![told(1, 4)];
+    let loads = vec![load_report(1, 4)];
     let changes =
         LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], backoffs: vec![] };
     peers.receive_load_changes(0, address(1), &changes);
@@ -120,8 +120,8 @@
     peers.receive_load_changes(0, address(1), &changes);
     assert_eq!(peers.load(1).requests, 4);
     // It starts again, and an old message arrives late.
-    let reborn = Gossip { incarnation: 2, ..gossip(Vec::new(), 0) };
-    peers.receive_gossip(10, address(1), reborn, ViewDigest::default());
+    let restarted = Gossip { incarnation: 2, ..gossip(Vec::new(), 0) };
+    peers.receive_gossip(10, address(1), restarted, ViewDigest::default());
     peers.receive_load_changes(20, address(1), &changes);
     assert_eq!(peers.load(1), Load::default(), "of an earlier start");
 }
@@ -129,8 +129,13 @@
 #[test]
 fn hearing_remembered() {
     let mut peers = peers();
-    peers.receive_gossip(1000, address(1), gossip(vec![told(1, 1)], 0), ViewDigest::default());
-    peers.expire(1000 + SILENT_MS);
+    peers.receive_gossip(
+        1000,
+        address(1),
+        gossip(vec![load_report(1, 1)], 0),
+        ViewDigest::default(),
+    );
+    peers.expire(1000 + PEER_EXPIRY_MS);
     assert_eq!(peers.load(1), Load::default(), "the peer is silent");
     assert_eq!(peers.received_at_ms(1), 1000, "the upstream was heard all the same");
 }
