--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -12,28 +12,28 @@
 
 #[test]
 fn waits_from_limits() {
-    let mut limits = RouteTimeouts::default();
-    assert_eq!(limits.elapsed_ms(100, ROUTE, 2500), 0, "nothing longer was seen");
-    assert_eq!(limits.elapsed_ms(200, ROUTE, 4000), 0);
-    assert_eq!(limits.elapsed_ms(300, ROUTE, 2500), 1500);
-    assert_eq!(limits.elapsed_ms(300, "questions", 2500), 0, "each route has its own");
+    let mut timeouts = RouteTimeouts::default();
+    assert_eq!(timeouts.elapsed_ms(100, ROUTE, 2500), 0, "nothing longer was seen");
+    assert_eq!(timeouts.elapsed_ms(200, ROUTE, 4000), 0);
+    assert_eq!(timeouts.elapsed_ms(300, ROUTE, 2500), 1500);
+    assert_eq!(timeouts.elapsed_ms(300, "questions", 2500), 0, "each route has its own");
 }
 
 #[test]
 fn limits_lowered() {
-    let mut limits = RouteTimeouts::default();
-    limits.elapsed_ms(9_000, ROUTE, 12_000);
-    assert_eq!(limits.elapsed_ms(15_000, ROUTE, 4000), 8000);
-    assert_eq!(limits.elapsed_ms(25_000, ROUTE, 4000), 0, "the longer limit is forgotten");
-    assert_eq!(limits.elapsed_ms(26_000, ROUTE, 4000), 0);
+    let mut timeouts = RouteTimeouts::default();
+    timeouts.elapsed_ms(9_000, ROUTE, 12_000);
+    assert_eq!(timeouts.elapsed_ms(15_000, ROUTE, 4000), 8000);
+    assert_eq!(timeouts.elapsed_ms(25_000, ROUTE, 4000), 0, "the longer limit is forgotten");
+    assert_eq!(timeouts.elapsed_ms(26_000, ROUTE, 4000), 0);
 }
 
 #[test]
 fn routes_dropped() {
-    let mut limits = RouteTimeouts::default();
-    limits.elapsed_ms(100, ROUTE, 4000);
-    limits.retain(|route| route != ROUTE);
-    assert_eq!(limits.elapsed_ms(200, ROUTE, 2500), 0);
+    let mut timeouts = RouteTimeouts::default();
+    timeouts.elapsed_ms(100, ROUTE, 4000);
+    timeouts.retain(|route| route != ROUTE);
+    assert_eq!(timeouts.elapsed_ms(200, ROUTE, 2500), 0);
 }
 
 #[rstest]
@@ -52,13 +52,13 @@
 #[tokio::test]
 async fn told_to_upstreams() {
     let scene = scene(1).await;
-    let first = request("GET", "/safe/x", "r-1", "", "");
-    let second = String::from_utf8(request("GET", "/safe/x", "r-2", "", "")).unwrap();
-    let second = second.replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 1500");
-    for bytes in [&first, second.as_bytes()] {
+    let long_deadline = request("GET", "/safe/x", "r-1", "", "");
+    let short_deadline = String::from_utf8(request("GET", "/safe/x", "r-2", "", "")).unwrap();
+    let short_deadline = short_deadline.replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 1500");
+    for bytes in [&long_deadline, short_deadline.as_bytes()] {
         assert_eq!(scene.raw(bytes).await.expect("an answer").status(), 200);
     }
-    let rank = |id| scene.arrived(id).header("priority").map(str::to_owned);
-    assert_eq!((rank("r-1").as_deref(), rank("r-2").as_deref()), (Some("1"), Some("5")));
+    let priority = |id| scene.arrived(id).header("priority").map(str::to_owned);
+    assert_eq!((priority("r-1").as_deref(), priority("r-2").as_deref()), (Some("1"), Some("5")));
     assert!(scene.gateway.logged().contains("event=ranked_late request=r-2"));
 }
