--- a/tests/gateway_view.rs
+++ b/tests/gateway_view.rs
@@ -15,9 +15,9 @@
 #[tokio::test]
 async fn never_back() {
     let scene = scene(1).await;
-    let mut older = document(6);
-    older["routes"] = json!([]);
-    scene.site.configure(&older);
+    let mut older_config = document(6);
+    older_config["routes"] = json!([]);
+    scene.site.configure(&older_config);
     eventually("it is seen", async || scene.gateway.logged().contains("configuration_older")).await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
     scene.site.metadata.put("op/config", b"{ no document", 0);
@@ -29,15 +29,16 @@
 #[tokio::test]
 async fn key_revoked() {
     let scene = scene(1).await;
-    let mut newer = document(9);
-    newer["tenants"][0]["api_keys"] = json!(["key-2"]);
-    let mut open =
+    let mut newer_config = document(9);
+    newer_config["tenants"][0]["api_keys"] = json!(["key-2"]);
+    let mut open_client =
         coursestile_standins::site::client::Client::connect(&scene.gateway.clients).await;
-    let ask = |id: &str| coursestile_standins::site::client::request("GET", "/safe/", id, "", "");
-    assert_eq!(open.send(&ask("r-1")).await.unwrap().status(), 200);
-    scene.site.configure(&newer);
+    let request_bytes =
+        |id: &str| coursestile_standins::site::client::request("GET", "/safe/", id, "", "");
+    assert_eq!(open_client.send(&request_bytes("r-1")).await.unwrap().status(), 200);
+    scene.site.configure(&newer_config);
     eventually("the key is refused", async || {
-        open.send(&ask("r-2")).await.unwrap().status() == 401
+        open_client.send(&request_bytes("r-2")).await.unwrap().status() == 401
     })
     .await;
 }
@@ -47,9 +48,9 @@
     let scene = scene(1).await;
     scene.site.metadata.trouble(Trouble::Busy);
     eventually("it is noticed", async || scene.gateway.logged().contains("dependency_lost")).await;
-    let mut newer = document(9);
-    newer["routes"][0]["path_prefix"] = json!("/moved/");
-    scene.site.configure(&newer);
+    let mut newer_config = document(9);
+    newer_config["routes"][0]["path_prefix"] = json!("/moved/");
+    scene.site.configure(&newer_config);
     scene.site.metadata.compact();
     scene.site.metadata.trouble(Trouble::None);
     eventually("it is in force", async || {
@@ -63,30 +64,30 @@
 async fn told_by_peer() {
     let mut scene = scene(1).await;
     scene.site.metadata.trouble(Trouble::Silent);
-    let late = scene.site.gateway("east", &[&scene.gateway]);
-    wait_ready(&late).await;
-    let answer = once(&late.clients, "GET", "/safe/", "r-1").await.unwrap();
+    let late_box = scene.site.gateway("east", &[&scene.gateway]);
+    wait_ready(&late_box).await;
+    let answer = once(&late_box.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 200);
 }
 
 #[tokio::test]
 async fn peer_no_store() {
     let mut scene = scene(1).await;
-    let door = scene.site.metadata.door().await;
-    let cut = scene.site.gateway_at("east", &[&scene.gateway], &door.address);
-    wait_ready(&cut).await;
-    door.close();
+    let store_access = scene.site.metadata.door().await;
+    let cut_box = scene.site.gateway_at("east", &[&scene.gateway], &store_access.address);
+    wait_ready(&cut_box).await;
+    store_access.close();
     for version in 8..12 {
         scene.site.configure(&document(version));
         let in_force = format!("event=configuration_in_force version={version}");
-        eventually("it is in force", async || cut.logged().contains(&in_force)).await;
+        eventually("it is in force", async || cut_box.logged().contains(&in_force)).await;
     }
-    let logged = cut.logged();
+    let logged = cut_box.logged();
     let after = logged.split("event=dependency_lost").nth(1).expect("the store turns it away");
     assert!(!after.contains("event=dependency_regained"), "only an answer may say so: {after}");
-    door.open();
+    store_access.open();
     eventually("it is regained", async || {
-        let logged = cut.logged();
+        let logged = cut_box.logged();
         let after = logged.split("event=dependency_lost").nth(1).unwrap_or_default();
         after.contains("event=dependency_regained")
     })
