--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -13,7 +13,7 @@
 
 /// Time after which a change counts as late: twice the bound of the smallest
 /// deployment, and half of what a lost wait took before.
-const LATE: Duration = Duration::from_secs(4);
+const LATE_AFTER: Duration = Duration::from_secs(4);
 
 fn in_force(gateway: &Gateway, version: u64) -> bool {
     gateway.logged().contains(&format!("event=configuration_in_force version={version} "))
@@ -21,7 +21,7 @@
 
 /// Loses the wait that a change has just made the gateway begin: the store falls
 /// silent and is back.
-async fn lose_wait(scene: &Scene) {
+async fn lose_watch(scene: &Scene) {
     scene.site.configure(&document(8));
     eventually("the change is in force", async || in_force(&scene.gateway, 8)).await;
     scene.site.metadata.trouble(Trouble::Silent);
@@ -37,11 +37,11 @@
 #[tokio::test]
 async fn change_after_lost() {
     let scene = scene(1).await;
-    lose_wait(&scene).await;
+    lose_watch(&scene).await;
     scene.site.configure(&document(9));
-    let changed = Instant::now();
+    let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&scene.gateway, 9)).await;
-    assert!(changed.elapsed() < LATE, "in force only after {:?}", changed.elapsed());
+    assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
 }
 
 /// The same wait brings the news that an upstream leaves. In the same seconds boxes
@@ -49,13 +49,13 @@
 #[tokio::test]
 async fn departure_after_lost() {
     let scene = scene(2).await;
-    lose_wait(&scene).await;
+    lose_watch(&scene).await;
     let leaving = &scene.servers[0];
     scene.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
-    let left = Instant::now();
-    let known = "upstream=s-0 service=plain hall=north leaving=true";
-    eventually("it is known", async || scene.gateway.logged().contains(known)).await;
-    assert!(left.elapsed() < LATE, "known only after {:?}", left.elapsed());
+    let left_at = Instant::now();
+    let known_line = "upstream=s-0 service=plain hall=north leaving=true";
+    eventually("it is known", async || scene.gateway.logged().contains(known_line)).await;
+    assert!(left_at.elapsed() < LATE_AFTER, "known only after {:?}", left_at.elapsed());
     for number in 0..10 {
         scene.send("GET", "/safe/", &format!("r-{number}")).await;
     }
@@ -63,16 +63,16 @@
 }
 
 /// Bound of the smallest deployment for an upstream that leaves.
-const LEAVE_BOUND: Duration = Duration::from_secs(2);
+const DEPARTURE_APPLY: Duration = Duration::from_secs(2);
 
 /// A gateway that reaches the store by a path whose connections can be silenced.
-async fn scene_by_path() -> (Site, Gateway, Silencer) {
+async fn scene_behind_proxy() -> (Site, Gateway, Silencer) {
     let mut site = Site::start().await;
-    let path = Silencer::start(&site.metadata.address).await;
+    let proxy = Silencer::start(&site.metadata.address).await;
     site.configure(&document(8));
-    let gateway = site.gateway_at("north", &[], &path.address);
+    let gateway = site.gateway_at("north", &[], &proxy.address);
     wait_ready(&gateway).await;
-    (site, gateway, path)
+    (site, gateway, proxy)
 }
 
 /// All open connections went silent at once, the waiting one and those kept for other
@@ -81,28 +81,28 @@
 /// change acknowledged at 14.7 s was in force at 17.7 s.
 #[tokio::test]
 async fn connections_silent() {
-    let (site, gateway, path) = scene_by_path().await;
-    path.silence_open();
+    let (site, gateway, proxy) = scene_behind_proxy().await;
+    proxy.silence_open();
     site.configure(&document(9));
-    let changed = Instant::now();
+    let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 9)).await;
-    assert!(changed.elapsed() < LATE, "in force only after {:?}", changed.elapsed());
+    assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
     // What it calls next goes on new connections, too.
-    path.silence_open();
+    proxy.silence_open();
     site.configure(&document(10));
-    let changed = Instant::now();
+    let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 10)).await;
-    assert!(changed.elapsed() < LATE, "in force only after {:?}", changed.elapsed());
+    assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
 }
 
 /// A reset is followed by another watch from the same revision: a change on either
 /// side of it is in force.
 #[tokio::test]
 async fn reset_between() {
-    let (site, gateway, path) = scene_by_path().await;
+    let (site, gateway, proxy) = scene_behind_proxy().await;
     for version in (9..15).step_by(2) {
         site.configure(&document(version));
-        path.reset_open();
+        proxy.reset_open();
         site.configure(&document(version + 1));
         let newest = version + 1;
         eventually("the change is in force", async || in_force(&gateway, newest)).await;
@@ -114,15 +114,15 @@
 /// boxes for over three seconds, and still got work.
 #[tokio::test]
 async fn gone_beside_reset() {
-    let (site, gateway, path) = scene_by_path().await;
+    let (site, gateway, proxy) = scene_behind_proxy().await;
     site.enter("s-0", &entry("plain", "127.0.0.1:9", "ready"));
     let seen = "event=upstream_seen upstream=s-0";
     eventually("it is seen", async || gateway.logged().contains(seen)).await;
-    path.reset_open();
+    proxy.reset_open();
     eventually("it is noticed", async || gateway.logged().contains("dependency_lost")).await;
     site.leave("s-0");
-    let left = Instant::now();
+    let left_at = Instant::now();
     let gone = "event=upstream_gone upstream=s-0";
     eventually("it is known", async || gateway.logged().contains(gone)).await;
-    assert!(left.elapsed() < LEAVE_BOUND, "known only after {:?}", left.elapsed());
+    assert!(left_at.elapsed() < DEPARTURE_APPLY, "known only after {:?}", left_at.elapsed());
 }
