--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -29,7 +29,7 @@
 }
 
 async fn fleet(gateways: usize) -> Fleet {
-    let mut fleet = upstreams().await;
+    let mut fleet = fleet_without_gateways().await;
     for _ in 0..gateways {
         let metadata = fleet.site.metadata.address.clone();
         fleet.add_gateway(&metadata).await;
@@ -38,11 +38,11 @@
 }
 
 /// A fleet without a gateway yet.
-async fn upstreams() -> Fleet {
-    upstreams_of(Site::start().await).await
+async fn fleet_without_gateways() -> Fleet {
+    fleet_on_site(Site::start().await).await
 }
 
-async fn upstreams_of(site: Site) -> Fleet {
+async fn fleet_on_site(site: Site) -> Fleet {
     let store = Engine::start().await;
     let engines = start_engines(&site, 4).await;
     let mut config = document(7);
@@ -72,8 +72,10 @@
     }
 
     async fn wait_logged(&self, text: &str) {
-        eventually(text, async || self.gateways.iter().any(|one| one.logged().contains(text)))
-            .await;
+        eventually(text, async || {
+            self.gateways.iter().any(|gateway| gateway.logged().contains(text))
+        })
+        .await;
     }
 
     async fn prompt(&self, id: &str) -> u16 {
@@ -82,15 +84,15 @@
 
     /// How often the run `id` has arrived.
     fn run_count(&self, id: &str) -> usize {
-        let all = self.engines.iter().flat_map(Engine::runs);
-        all.filter(|run| run.headers.get("x-request-id").is_some_and(|it| it == id)).count()
+        let runs = self.engines.iter().flat_map(Engine::runs);
+        runs.filter(|run| run.headers.get("x-request-id").is_some_and(|value| value == id)).count()
     }
 
     /// Headers of the run `id`.
     fn run(&self, id: &str) -> std::collections::BTreeMap<String, String> {
-        let all = self.engines.iter().flat_map(Engine::runs);
+        let runs = self.engines.iter().flat_map(Engine::runs);
         let mut found =
-            all.filter(|run| run.headers.get("x-request-id").is_some_and(|it| it == id));
+            runs.filter(|run| run.headers.get("x-request-id").is_some_and(|value| value == id));
         found.next().expect("it has run").headers
     }
 }
@@ -115,11 +117,13 @@
     fleet.wait_logged("event=leadership_taken").await;
     fleet.site.name_weights(MODEL, 2);
     fleet.wait_version(2).await;
-    let holder =
-        fleet.gateways.iter().position(|one| one.logged().contains("event=leadership_taken"));
-    let killed = fleet.gateways.remove(holder.expect("a holder"));
-    killed.signal("-KILL");
-    drop(killed);
+    let holder = fleet
+        .gateways
+        .iter()
+        .position(|gateway| gateway.logged().contains("event=leadership_taken"));
+    let killed_leader = fleet.gateways.remove(holder.expect("a holder"));
+    killed_leader.signal("-KILL");
+    drop(killed_leader);
     fleet.site.name_weights(MODEL, 3);
     fleet.wait_version(3).await;
     for engine in &fleet.engines {
@@ -131,14 +135,14 @@
 
 #[tokio::test]
 async fn holder_turned_away() {
-    let mut fleet = upstreams().await;
-    let door = fleet.site.metadata.door().await;
-    fleet.add_gateway(&door.address).await;
+    let mut fleet = fleet_without_gateways().await;
+    let store_access = fleet.site.metadata.door().await;
+    fleet.add_gateway(&store_access.address).await;
     fleet.wait_logged("event=leadership_taken").await;
     let metadata = fleet.site.metadata.address.clone();
     fleet.add_gateway(&metadata).await;
     fleet.add_gateway(&metadata).await;
-    door.close();
+    store_access.close();
     fleet.wait_logged("event=renewed_through_peer renewed=true").await;
     fleet.site.name_weights(MODEL, 2);
     fleet.wait_version(2).await;
@@ -162,7 +166,7 @@
 #[tokio::test]
 async fn context_by_version() {
     let fleet = fleet(1).await;
-    let source = format!("{0},{0},-", fleet.store.address);
+    let store_addresses = format!("{0},{0},-", fleet.store.address);
     let mut number = 0;
     eventually("parts are saved", async || {
         number += 1;
@@ -171,7 +175,7 @@
         let run = fleet.run(&id);
         assert_eq!((run["cache-salt"].as_str(), run["expect-version"].as_str()), (OLD_SCOPE, "1"));
         assert!(!run.contains_key("kv-fetch"));
-        run.get("kv-save") == Some(&source)
+        run.get("kv-save") == Some(&store_addresses)
     })
     .await;
     fleet.store.keep(OLD_SCOPE, "aa", 100);
@@ -181,7 +185,7 @@
         let id = format!("r-{number}");
         assert_eq!(fleet.prompt(&id).await, 200);
         let run = fleet.run(&id);
-        run.get("kv-fetch") == Some(&source) && run.contains_key("kv-until")
+        run.get("kv-fetch") == Some(&store_addresses) && run.contains_key("kv-until")
     })
     .await;
     fleet.wait_logged("event=leadership_taken").await;
@@ -217,7 +221,7 @@
 /// A store that could not be listed is asked again soon, however often it failed.
 #[tokio::test]
 async fn lost_store_known() {
-    let mut fleet = upstreams().await;
+    let mut fleet = fleet_without_gateways().await;
     fleet.store.fail_listings(14);
     let metadata = fleet.site.metadata.address.clone();
     fleet.add_gateway(&metadata).await;
@@ -230,7 +234,7 @@
 const LONG_TOKENS: u32 = 9000;
 
 /// Starts streams that stand still at their engines, and names new weights.
-async fn streams_at_loads(fleet: &Fleet, own_tokens: u32) -> [JoinHandle<Message>; 4] {
+async fn start_held_streams(fleet: &Fleet, own_tokens: u32) -> [JoinHandle<Message>; 4] {
     fleet.wait_logged("event=leadership_taken").await;
     // They earn the budget for the repeats.
     for number in 0..40 {
@@ -245,7 +249,7 @@
 }
 
 /// All streams have gone on elsewhere, and the engines have loaded.
-async fn all_moved(fleet: &Fleet, streams: [JoinHandle<Message>; 4]) {
+async fn assert_all_moved(fleet: &Fleet, streams: [JoinHandle<Message>; 4]) {
     for stream in streams {
         let answer = stream.await.unwrap();
         assert!(answer.whole);
@@ -260,15 +264,15 @@
 #[tokio::test]
 async fn streams_moved() {
     let fleet = fleet(1).await;
-    let streams = streams_at_loads(&fleet, 200).await;
-    all_moved(&fleet, streams).await;
+    let streams = start_held_streams(&fleet, 200).await;
+    assert_all_moved(&fleet, streams).await;
 }
 
 /// Long prompts stay, since others would wait while they are read again.
 #[tokio::test]
 async fn long_prompts_stay() {
     let fleet = fleet(1).await;
-    let streams = streams_at_loads(&fleet, LONG_TOKENS).await;
+    let streams = start_held_streams(&fleet, LONG_TOKENS).await;
     fleet.wait_logged("event=order_given").await;
     sleep(Duration::from_secs(1)).await;
     assert!(STREAMS.iter().all(|id| fleet.run_count(id) == 1));
@@ -282,15 +286,15 @@
     let mut site = Site::start().await;
     site.weights_apply_ms = 100;
     let metadata = site.metadata.address.clone();
-    let mut fleet = upstreams_of(site).await;
-    let idle = Engine::start().await;
-    fleet.site.enter("e-4", &engine_entry("llm", &idle.address, MODEL, 1));
-    fleet.engines.push(idle);
+    let mut fleet = fleet_on_site(site).await;
+    let idle_engine = Engine::start().await;
+    fleet.site.enter("e-4", &engine_entry("llm", &idle_engine.address, MODEL, 1));
+    fleet.engines.push(idle_engine);
     fleet.add_gateway(&metadata).await;
     // A box that has just started may not know yet since when weights should be gone.
     sleep(Duration::from_millis(1600)).await;
-    let streams = streams_at_loads(&fleet, LONG_TOKENS).await;
-    all_moved(&fleet, streams).await;
+    let streams = start_held_streams(&fleet, LONG_TOKENS).await;
+    assert_all_moved(&fleet, streams).await;
     let resumed = |run: &Run| run.headers.contains_key("last-event-id");
     let runs = fleet.engines.iter().flat_map(Engine::runs).filter(resumed);
     assert!(runs.map(|run| run.headers["expect-version"].clone()).all(|version| version == "2"));
