--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -1,4 +1,4 @@
-//! What boxes believe stores of context keep, and which store takes a part.
+//! What boxes know of the contents of context stores, and which store a part is saved to.
 
 use std::net::SocketAddr;
 
@@ -55,7 +55,7 @@
     prop::collection::vec(step, 1..80)
 }
 
-/// A box that learns from another, as it is told now and then.
+/// A box that gets updates from a publisher now and then.
 #[derive(Default)]
 struct Subscriber {
     holder: CacheContents,
@@ -105,7 +105,7 @@
     subscriber.update_from(&publisher);
     publisher.apply_changes(&changes(1, Vec::new()));
     subscriber.update_from(&publisher);
-    assert!(subscriber.holder.is_known(), "it keeps nothing, and that is known");
+    assert!(subscriber.holder.is_known(), "the store is known to be empty");
 }
 
 #[test]
@@ -119,7 +119,7 @@
     let (update, _) = publisher.update_since(Some(position));
     assert!(
         matches!(update, Some(CacheUpdate::Full(all)) if all.len() == 5000),
-        "too many to remember"
+        "more changes than the log keeps"
     );
 }
 
@@ -152,11 +152,14 @@
     };
     assert!(
         (0..400).all(|part| assigned_store(&first, part) == assigned_store(&second, part)),
-        "in every box"
+        "all boxes choose the same store"
     );
     let on_larger_store =
         (0..400).filter(|part| assigned_store(&first, *part).as_deref() == Some("a")).count();
-    assert!((270..330).contains(&on_larger_store), "three in four: {on_larger_store}");
+    assert!(
+        (270..330).contains(&on_larger_store),
+        "expected three in four on the larger store: {on_larger_store}"
+    );
 }
 
 #[test]
@@ -165,8 +168,8 @@
     let part = key(7);
     stores.get_mut("a").unwrap().1.contents.set_tokens(part, 100);
     assert_eq!(stores.complete_holders(0, part, 100).count(), 1);
-    assert_eq!(stores.complete_holders(0, part, 101).count(), 0, "it is not whole");
-    // A store that fails may come back empty, and have the part written again.
+    assert_eq!(stores.complete_holders(0, part, 101).count(), 0, "the store has 100 of 101 tokens");
+    // A store that failed may come back empty, so that the part has to be saved again.
     stores.get_mut("a").unwrap().1.contents.mark_unknown();
     assert_eq!(stores.complete_holders(0, part, 100).count(), 0);
     let target = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
--- a/tests/gateway_streams.rs
+++ b/tests/gateway_streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events come whole, in order, or visibly broken.
+//! Streams of events arrive complete and in order, or visibly broken.
 
 #[path = "common/site.rs"]
 mod common;
@@ -12,7 +12,7 @@
     events.collect::<Vec<_>>().concat()
 }
 
-/// A scene in which every upstream does `act` with its first request.
+/// A scene in which every upstream treats its first request as `act` says.
 async fn scene_with(servers: usize, act: &Act) -> Scene {
     let scene = scene(servers).await;
     for server in &scene.servers {
@@ -43,8 +43,8 @@
 #[tokio::test]
 async fn taken_up() {
     let scene = scene_with(3, &Act::Events(2)).await;
-    // Two events from each of three upstreams; the rest of an event that broke
-    // off is not passed on.
+    // Each of the three upstreams sends at most two whole events; the beginning of an event that
+    // was cut off is not forwarded.
     let answer = scene.send("POST", "/resume/", "r-1").await;
     assert_eq!((answer.whole, answer.text()), (true, events("r-1", 5)));
     assert_eq!(scene.count("r-1"), 3);
@@ -55,8 +55,8 @@
     assert_eq!(resumed_after, ["2", "4"]);
 }
 
-/// Bytes that are no text do not hide an event's id: what was passed on is not
-/// passed on again.
+/// Data that is not UTF-8 does not hide an event's id: events that were forwarded are not sent
+/// again.
 #[tokio::test]
 async fn taken_up_after_bytes() {
     let scene = scene_with(2, &Act::RawEvents(2)).await;
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -1,4 +1,5 @@
-//! What a box adds up of its peers' news is what they told last, whatever came before.
+//! A box's sums of the loads that its peers report match the last reports of the live peers,
+//! whatever came before.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -12,7 +13,7 @@
 use proptest::prelude::*;
 
 const HALL: u32 = 1;
-/// Silence after which a peer of the own hall does not count.
+/// Time without a message after which a peer of the own hall no longer counts.
 const PEER_EXPIRY_MS: u64 = 1500;
 const UPSTREAMS: u32 = 6;
 const STORE: u32 = 99;
@@ -37,7 +38,7 @@
     Gossip { incarnation: 1, hall: HALL, loads, fetches, ..Gossip::default() }
 }
 
-/// What happens to a box.
+/// An event at the box.
 #[derive(Clone, Debug)]
 enum Step {
     Gossip { host: u8, loads: BTreeMap<u32, u32> },
@@ -84,7 +85,7 @@
                 Step::Pause { ms } => {
                     now_ms += ms;
                     peers.next_targets(now_ms, Audience::All, GossipScope::OwnHall);
-                    // A peer that is forgotten has to introduce itself again.
+                    // A peer that was forgotten has to send full gossip again.
                     last_reports.retain(|_, (at_ms, _)| now_ms < *at_ms + 30_000);
                 }
             }
@@ -115,15 +116,15 @@
     let changes =
         LoadChanges { incarnation: 1, loads: loads.clone(), superseded: vec![], backoffs: vec![] };
     peers.receive_load_changes(0, address(1), &changes);
-    assert_eq!(peers.load(1), Load::default(), "it has not introduced itself");
+    assert_eq!(peers.load(1), Load::default(), "the peer has not sent full gossip yet");
     peers.receive_gossip(0, address(1), gossip(Vec::new(), 0), ViewDigest::default());
     peers.receive_load_changes(0, address(1), &changes);
     assert_eq!(peers.load(1).requests, 4);
-    // It starts again, and an old message arrives late.
+    // The peer restarts, and an old message of it arrives late.
     let restarted = Gossip { incarnation: 2, ..gossip(Vec::new(), 0) };
     peers.receive_gossip(10, address(1), restarted, ViewDigest::default());
     peers.receive_load_changes(20, address(1), &changes);
-    assert_eq!(peers.load(1), Load::default(), "of an earlier start");
+    assert_eq!(peers.load(1), Load::default(), "the changes are of an earlier incarnation");
 }
 
 #[test]
@@ -136,6 +137,6 @@
         ViewDigest::default(),
     );
     peers.expire(1000 + PEER_EXPIRY_MS);
-    assert_eq!(peers.load(1), Load::default(), "the peer is silent");
-    assert_eq!(peers.received_at_ms(1), 1000, "the upstream was heard all the same");
+    assert_eq!(peers.load(1), Load::default(), "the peer has expired");
+    assert_eq!(peers.received_at_ms(1), 1000, "the last receive time of the upstream stays known");
 }
--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -1,4 +1,4 @@
-//! Requests that can still meet their objective go first at engines.
+//! Engines are told to run requests first that can still meet their objective.
 
 #[path = "common/site.rs"]
 mod common;
@@ -13,10 +13,14 @@
 #[test]
 fn waits_from_limits() {
     let mut timeouts = RouteTimeouts::default();
-    assert_eq!(timeouts.elapsed_ms(100, ROUTE, 2500), 0, "nothing longer was seen");
+    assert_eq!(timeouts.elapsed_ms(100, ROUTE, 2500), 0, "no longer time-out has been seen");
     assert_eq!(timeouts.elapsed_ms(200, ROUTE, 4000), 0);
     assert_eq!(timeouts.elapsed_ms(300, ROUTE, 2500), 1500);
-    assert_eq!(timeouts.elapsed_ms(300, "questions", 2500), 0, "each route has its own");
+    assert_eq!(
+        timeouts.elapsed_ms(300, "questions", 2500),
+        0,
+        "each route has its own longest time-out"
+    );
 }
 
 #[test]
@@ -24,7 +28,11 @@
     let mut timeouts = RouteTimeouts::default();
     timeouts.elapsed_ms(9_000, ROUTE, 12_000);
     assert_eq!(timeouts.elapsed_ms(15_000, ROUTE, 4000), 8000);
-    assert_eq!(timeouts.elapsed_ms(25_000, ROUTE, 4000), 0, "the longer limit is forgotten");
+    assert_eq!(
+        timeouts.elapsed_ms(25_000, ROUTE, 4000),
+        0,
+        "the longer time-out is no longer used"
+    );
     assert_eq!(timeouts.elapsed_ms(26_000, ROUTE, 4000), 0);
 }
 
--- a/tests/gateway_view.rs
+++ b/tests/gateway_view.rs
@@ -1,4 +1,5 @@
-//! What a gateway knows: it only rises, and outlasts the store's troubles.
+//! A gateway's view of the configuration and of upstreams never goes back to an older state, and
+//! outlasts outages of the metadata store.
 
 #[path = "common/site.rs"]
 mod common;
@@ -18,11 +19,16 @@
     let mut older_config = document(6);
     older_config["routes"] = json!([]);
     scene.site.configure(&older_config);
-    eventually("it is seen", async || scene.gateway.logged().contains("configuration_older")).await;
+    eventually("the older configuration is logged", async || {
+        scene.gateway.logged().contains("configuration_older")
+    })
+    .await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
     scene.site.metadata.put("op/config", b"{ no document", 0);
-    eventually("it is seen", async || scene.gateway.logged().contains("configuration_unreadable"))
-        .await;
+    eventually("the unreadable configuration is logged", async || {
+        scene.gateway.logged().contains("configuration_unreadable")
+    })
+    .await;
     assert_eq!(scene.send("GET", "/safe/", "r-2").await.status(), 200);
 }
 
@@ -47,13 +53,16 @@
 async fn history_lost() {
     let scene = scene(1).await;
     scene.site.metadata.trouble(Trouble::Busy);
-    eventually("it is noticed", async || scene.gateway.logged().contains("dependency_lost")).await;
+    eventually("the outage is noticed", async || {
+        scene.gateway.logged().contains("dependency_lost")
+    })
+    .await;
     let mut newer_config = document(9);
     newer_config["routes"][0]["path_prefix"] = json!("/moved/");
     scene.site.configure(&newer_config);
     scene.site.metadata.compact();
     scene.site.metadata.trouble(Trouble::None);
-    eventually("it is in force", async || {
+    eventually("the configuration is in force", async || {
         scene.send("GET", "/moved/", "r-1").await.status() == 200
     })
     .await;
@@ -80,13 +89,17 @@
     for version in 8..12 {
         scene.site.configure(&document(version));
         let in_force = format!("event=configuration_in_force version={version}");
-        eventually("it is in force", async || cut_box.logged().contains(&in_force)).await;
+        eventually("the configuration is in force", async || cut_box.logged().contains(&in_force))
+            .await;
     }
     let logged = cut_box.logged();
-    let after = logged.split("event=dependency_lost").nth(1).expect("the store turns it away");
-    assert!(!after.contains("event=dependency_regained"), "only an answer may say so: {after}");
+    let after = logged.split("event=dependency_lost").nth(1).expect("the store rejects the box");
+    assert!(
+        !after.contains("event=dependency_regained"),
+        "only an answer of the store may end the outage: {after}"
+    );
     store_access.open();
-    eventually("it is regained", async || {
+    eventually("the store is available again", async || {
         let logged = cut_box.logged();
         let after = logged.split("event=dependency_lost").nth(1).unwrap_or_default();
         after.contains("event=dependency_regained")
@@ -98,7 +111,10 @@
 async fn bad_entry() {
     let scene = scene(1).await;
     scene.site.metadata.put("servers/s-bad", b"[1, 2", 0);
-    eventually("it is said", async || scene.gateway.logged().contains("upstream_unreadable")).await;
+    eventually("the unreadable entry is logged", async || {
+        scene.gateway.logged().contains("upstream_unreadable")
+    })
+    .await;
     assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
     assert!(is_ready(&scene.gateway).await);
 }
@@ -108,7 +124,7 @@
     let scene = scene(2).await;
     let leaving = &scene.servers[0];
     scene.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
-    eventually("it is known", async || {
+    eventually("the departure is known", async || {
         scene.gateway.logged().contains("upstream=s-0 service=plain hall=north leaving=true")
     })
     .await;
@@ -129,18 +145,21 @@
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     site.metadata.trouble(Trouble::Busy);
-    eventually("it is noticed", async || gateway.logged().contains("dependency_lost")).await;
-    // Both entries lapse while the store is away; one upstream lives.
+    eventually("the outage is noticed", async || gateway.logged().contains("dependency_lost"))
+        .await;
+    // Both entries expire while the store is unavailable, but one of the upstreams still runs.
     site.leave("s-0");
     site.leave("s-1");
     site.metadata.trouble(Trouble::None);
-    eventually("the store is back", async || gateway.logged().contains("dependency_regained"))
-        .await;
+    eventually("the store is available again", async || {
+        gateway.logged().contains("dependency_regained")
+    })
+    .await;
     let answer = once(&gateway.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 200);
     tokio::time::sleep(Duration::from_millis(300)).await;
     site.enter("s-0", &entry("plain", &server.address, "ready"));
-    eventually("the other is gone", async || {
+    eventually("the other upstream is removed", async || {
         gateway.logged().contains("event=upstream_gone upstream=s-1")
     })
     .await;
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -1,5 +1,5 @@
-//! Named weights reach every engine, by orders of one box at a time; context
-//! of old weights is never used, and is freed.
+//! Newly named weights reach every engine, by orders of one box at a time. Context of old weights
+//! is never used with new ones, and is freed.
 
 #[path = "common/site.rs"]
 mod common;
@@ -31,13 +31,13 @@
 async fn fleet(gateways: usize) -> Fleet {
     let mut fleet = fleet_without_gateways().await;
     for _ in 0..gateways {
-        let metadata = fleet.site.metadata.address.clone();
-        fleet.add_gateway(&metadata).await;
+        let metadata_address = fleet.site.metadata.address.clone();
+        fleet.add_gateway(&metadata_address).await;
     }
     fleet
 }
 
-/// A fleet without a gateway yet.
+/// A fleet that has no gateway yet.
 async fn fleet_without_gateways() -> Fleet {
     fleet_on_site(Site::start().await).await
 }
@@ -57,9 +57,9 @@
 }
 
 impl Fleet {
-    async fn add_gateway(&mut self, metadata: &str) {
+    async fn add_gateway(&mut self, metadata_address: &str) {
         let seeds: Vec<&Gateway> = self.gateways.iter().collect();
-        let gateway = self.site.gateway_at("north", &seeds, metadata);
+        let gateway = self.site.gateway_at("north", &seeds, metadata_address);
         wait_ready(&gateway).await;
         self.gateways.push(gateway);
     }
@@ -82,13 +82,13 @@
         common::prompt(&self.gateways[0], id).await
     }
 
-    /// How often the run `id` has arrived.
+    /// Number of times that the request `id` has arrived at engines.
     fn run_count(&self, id: &str) -> usize {
         let runs = self.engines.iter().flat_map(Engine::runs);
         runs.filter(|run| run.headers.get("x-request-id").is_some_and(|value| value == id)).count()
     }
 
-    /// Headers of the run `id`.
+    /// Headers of the request `id` as the first engine got it.
     fn run(&self, id: &str) -> std::collections::BTreeMap<String, String> {
         let runs = self.engines.iter().flat_map(Engine::runs);
         let mut found =
@@ -117,11 +117,11 @@
     fleet.wait_logged("event=leadership_taken").await;
     fleet.site.name_weights(MODEL, 2);
     fleet.wait_version(2).await;
-    let holder = fleet
+    let leader_index = fleet
         .gateways
         .iter()
         .position(|gateway| gateway.logged().contains("event=leadership_taken"));
-    let killed_leader = fleet.gateways.remove(holder.expect("a holder"));
+    let killed_leader = fleet.gateways.remove(leader_index.expect("a leader"));
     killed_leader.signal("-KILL");
     drop(killed_leader);
     fleet.site.name_weights(MODEL, 3);
@@ -139,9 +139,9 @@
     let store_access = fleet.site.metadata.door().await;
     fleet.add_gateway(&store_access.address).await;
     fleet.wait_logged("event=leadership_taken").await;
-    let metadata = fleet.site.metadata.address.clone();
-    fleet.add_gateway(&metadata).await;
-    fleet.add_gateway(&metadata).await;
+    let metadata_address = fleet.site.metadata.address.clone();
+    fleet.add_gateway(&metadata_address).await;
+    fleet.add_gateway(&metadata_address).await;
     store_access.close();
     fleet.wait_logged("event=renewed_through_peer renewed=true").await;
     fleet.site.name_weights(MODEL, 2);
@@ -199,7 +199,7 @@
     .await;
     assert!(!fleet.run(&format!("r-{number}")).contains_key("kv-fetch"));
     fleet.store.keep(NEW_SCOPE, "dd", 100);
-    // Each engine says so of itself, as it does with its next heartbeat.
+    // Each engine writes the new version to its entry with its next heartbeat.
     for (number, engine) in fleet.engines.iter().enumerate() {
         let entry = engine_entry("llm", &engine.address, MODEL, 2);
         fleet.site.enter(&format!("e-{number}"), &entry);
@@ -212,43 +212,44 @@
 async fn broken_off_freed() {
     let fleet = fleet(1).await;
     fleet.store.keep_partial(OLD_SCOPE, "ee");
-    eventually("it is freed", async || {
+    eventually("the partial part is freed", async || {
         fleet.store.freed().contains(&(OLD_SCOPE.to_owned(), "ee".to_owned()))
     })
     .await;
 }
 
-/// A store that could not be listed is asked again soon, however often it failed.
+/// A store whose listing failed is listed again soon, however often it has failed.
 #[tokio::test]
 async fn lost_store_known() {
     let mut fleet = fleet_without_gateways().await;
     fleet.store.fail_listings(14);
-    let metadata = fleet.site.metadata.address.clone();
-    fleet.add_gateway(&metadata).await;
+    let metadata_address = fleet.site.metadata.address.clone();
+    fleet.add_gateway(&metadata_address).await;
     fleet.wait_logged("event=holder_listed").await;
 }
 
-/// Ids of the streams of a test.
+/// Request ids of a test's streams.
 const STREAMS: [&str; 4] = ["r-1", "r-2", "r-3", "r-4"];
-/// Tokens that take an engine 180 ms to read again.
+/// Tokens of a prompt that an engine takes 180 ms to prefill again.
 const LONG_TOKENS: u32 = 9000;
 
-/// Starts streams that stand still at their engines, and names new weights.
+/// Starts streams that the engines hold after their first event, and names new weights.
 async fn start_held_streams(fleet: &Fleet, own_tokens: u32) -> [JoinHandle<Message>; 4] {
     fleet.wait_logged("event=leadership_taken").await;
-    // They earn the budget for the repeats.
+    // These requests earn the retry budget for moving the streams.
     for number in 0..40 {
         assert_eq!(fleet.prompt(&format!("p-{number}")).await, 200);
     }
     fleet.engines.iter().for_each(Engine::hold_streams);
     let clients = &fleet.gateways[0].clients;
     let streams = STREAMS.map(|id| tokio::spawn(stream(clients.clone(), id, own_tokens)));
-    eventually("all run", async || STREAMS.iter().all(|id| fleet.run_count(id) == 1)).await;
+    eventually("all streams run", async || STREAMS.iter().all(|id| fleet.run_count(id) == 1)).await;
     fleet.site.name_weights(MODEL, 2);
     streams
 }
 
-/// All streams have gone on elsewhere, and the engines have loaded.
+/// Asserts that all streams were continued by other engines, and waits until the engines have
+/// loaded the new weights.
 async fn assert_all_moved(fleet: &Fleet, streams: [JoinHandle<Message>; 4]) {
     for stream in streams {
         let answer = stream.await.unwrap();
@@ -260,7 +261,7 @@
     fleet.wait_logged("end=\"moved\"").await;
 }
 
-/// Streams that another engine can go on with do not keep one from loading.
+/// Streams that another engine can continue do not delay the load of their engine.
 #[tokio::test]
 async fn streams_moved() {
     let fleet = fleet(1).await;
@@ -268,7 +269,7 @@
     assert_all_moved(&fleet, streams).await;
 }
 
-/// Long prompts stay, since others would wait while they are read again.
+/// Streams with long prompts stay, since prefilling them again would delay other requests.
 #[tokio::test]
 async fn long_prompts_stay() {
     let fleet = fleet(1).await;
@@ -279,19 +280,19 @@
     streams.iter().for_each(JoinHandle::abort);
 }
 
-/// They leave an engine that is late, as any other, for one that has the new weights: no
-/// request may begin on those that should be gone.
+/// Streams with long prompts, as any others, leave an engine whose weights are overdue for one that
+/// has the new weights: no request may begin on overdue weights.
 #[tokio::test]
 async fn long_prompts_moved() {
     let mut site = Site::start().await;
     site.weights_apply_ms = 100;
-    let metadata = site.metadata.address.clone();
+    let metadata_address = site.metadata.address.clone();
     let mut fleet = fleet_on_site(site).await;
     let idle_engine = Engine::start().await;
     fleet.site.enter("e-4", &engine_entry("llm", &idle_engine.address, MODEL, 1));
     fleet.engines.push(idle_engine);
-    fleet.add_gateway(&metadata).await;
-    // A box that has just started may not know yet since when weights should be gone.
+    fleet.add_gateway(&metadata_address).await;
+    // A box that has just started may not know yet since when weights are overdue.
     sleep(Duration::from_millis(1600)).await;
     let streams = start_held_streams(&fleet, LONG_TOKENS).await;
     assert_all_moved(&fleet, streams).await;
