--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -192,7 +192,7 @@
     wait_ready(&peer).await;
     let backing_off = preferred_upstream(&scene, &peer, "/safe/").await;
     let other_upstream =
-        scene.servers.iter().find(|server| server.id != backing_off.id).expect("a second upstream");
+        scene.servers.iter().find(|server| server.id != backing_off.id).expect("two");
     // Without this entry, the first box can only send to `backing_off`.
     scene.site.leave(&other_upstream.id);
     wait_logged(&scene.gateway, &format!("event=upstream_gone upstream={}", other_upstream.id), 1)
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -217,11 +217,11 @@
     let server_task = tokio::spawn(catch_up::serve(kernel.clone(), listener));
     let proxy = Silencer::start(&address).await;
     let mut subscriber = TcpStream::connect(&proxy.address).await.expect("connection");
-    let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("query");
+    let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
     subscriber.write_all(&query).await.expect("write");
     subscriber.shutdown().await.expect("end of the query");
     // An update is sent twice a second.
-    assert!(subscriber.read(&mut [0; 64]).await.expect("update") > 0);
+    assert!(subscriber.read(&mut [0; 64]).await.expect("message") > 0);
     let subscribed_count = Arc::strong_count(&kernel);
     proxy.silence_open();
     let ended = async || Arc::strong_count(&kernel) < subscribed_count;
