--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -13,7 +13,11 @@
 #[test]
 fn waits_from_limits() {
     let mut timeouts = RouteTimeouts::default();
-    assert_eq!(timeouts.elapsed_ms(100, ROUTE, 2500), 0, "no longer time-out has been seen");
+    assert_eq!(
+        timeouts.elapsed_ms(100, ROUTE, 2500),
+        0,
+        "this is the longest time-out seen so far"
+    );
     assert_eq!(timeouts.elapsed_ms(200, ROUTE, 4000), 0);
     assert_eq!(timeouts.elapsed_ms(300, ROUTE, 2500), 1500);
     assert_eq!(
@@ -31,7 +35,7 @@
     assert_eq!(
         timeouts.elapsed_ms(25_000, ROUTE, 4000),
         0,
-        "the longer time-out is no longer used"
+        "the longer time-out has been forgotten"
     );
     assert_eq!(timeouts.elapsed_ms(26_000, ROUTE, 4000), 0);
 }
