--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -214,8 +214,13 @@
         ));
     }
     let writer = kernel.box_id.to_string();
-    let keeper =
-        ContextManager::new(settings.keep, stores, settings.prompt_records, token_bytes, &writer);
+    let keeper = ContextManager::new(
+        settings.retention,
+        stores,
+        settings.prompt_records,
+        token_bytes,
+        &writer,
+    );
     let dispatcher = Dispatcher::new(settings.policies, engines, keeper);
     let mut active =
         ActiveDispatcher { dispatcher, last_request_at_ms: now_ms(), requesters: BTreeMap::new() };
--- a/src/ini_file.rs
+++ b/src/ini_file.rs
@@ -43,7 +43,7 @@
         let option = ParseOption { enabled_escape: false, ..ParseOption::default() };
         let mut findings = Vec::new();
         let ini = Ini::load_from_str_opt(text, option).unwrap_or_else(|error| {
-            let text = format!("cannot be read: {}", error.msg);
+            let text = format!("invalid syntax: {}", error.msg);
             findings.push(Finding { file: file.to_owned(), line: error.line.max(1), text });
             Ini::new()
         });
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -122,7 +122,7 @@
     pub placements: Placements,
     /// Dispatchers that run on this box.
     pub dispatchers: Dispatchers,
-    /// Calls that run at most once.
+    /// State of calls to plain services.
     pub calls: Calls,
     /// Answers in progress.
     pub streams: AnswerStreams,
--- a/src/port.rs
+++ b/src/port.rs
@@ -17,7 +17,7 @@
 const MAX_ATTEMPTS: u32 = 3;
 
 /// Result of a connection attempt.
-enum ProbeResult {
+enum Probe {
     Open,
     Refused,
     /// The connection was closed as soon as it was established.
@@ -29,31 +29,23 @@
 pub async fn is_closed(address: impl ToSocketAddrs + Copy) -> bool {
     for _ in 0..MAX_ATTEMPTS {
         match probe(address).await {
-            ProbeResult::Refused => return true,
+            Probe::Refused => return true,
             // A process that exits may close its connections before its listening socket.
-            ProbeResult::Closing => {}
-            ProbeResult::Open | ProbeResult::NoAnswer => return false,
+            Probe::Closing => {}
+            Probe::Open | Probe::NoAnswer => return false,
         }
     }
     false
 }
 
-async fn probe(address: impl ToSocketAddrs) -> ProbeResult {
+async fn probe(address: impl ToSocketAddrs) -> Probe {
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
-            return ProbeResult::Refused;
-        }
-        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => {
-            return ProbeResult::Closing;
-        }
-        Ok(Err(_)) | Err(_) => return ProbeResult::NoAnswer,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => return Probe::Refused,
+        Ok(Err(error)) if error.kind() == ErrorKind::ConnectionReset => return Probe::Closing,
+        Ok(Err(_)) | Err(_) => return Probe::NoAnswer,
     };
     // The peer sends nothing before it has a request, so a readable socket means that the
     // connection was closed.
-    if timeout(SETTLE_TIME, stream.readable()).await.is_ok() {
-        ProbeResult::Closing
-    } else {
-        ProbeResult::Open
-    }
+    if timeout(SETTLE_TIME, stream.readable()).await.is_ok() { Probe::Closing } else { Probe::Open }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -101,8 +101,8 @@
     pub prompt_records: usize,
     /// Policies for choosing an engine and for sharing the fleet between accounts.
     pub policies: Policies,
-    /// Policy for keeping context in stores.
-    pub keep: RetentionPolicy,
+    /// Retention policy for context in stores.
+    pub retention: RetentionPolicy,
     /// Upstreams of the hall.
     pub upstreams: Vec<Upstream>,
 }
@@ -111,7 +111,7 @@
     /// Reads settings from the text of `file`.
     ///
     /// # Errors
-    /// Fails with all errors that were found.
+    /// Fails with all findings.
     pub fn parse(file: &str, text: &str) -> Result<Self> {
         let mut reader = SettingsReader(IniFile::read(file, text));
         let settings = reader.settings();
@@ -148,7 +148,7 @@
                 route: self.policy("route", RoutePolicy::from_name),
                 share: self.policy("share", SharePolicy::from_name),
             },
-            keep: self.policy("keep", RetentionPolicy::from_name),
+            retention: self.policy("keep", RetentionPolicy::from_name),
             upstreams: self.upstreams(),
             name,
         }
