--- a/src/box_phase.rs
+++ b/src/box_phase.rs
@@ -10,6 +10,6 @@
     Leaving,
     /// Accepts no new requests, and waits for running ones to end.
     Draining,
-    /// All work has ended or was given up.
+    /// All work has ended or was abandoned at the drain timeout.
     Stopped,
 }
--- a/src/call_state.rs
+++ b/src/call_state.rs
@@ -97,8 +97,8 @@
     /// Delivers the answer to a forwarded call.
     pub fn deliver_answer(&self, number: u64, end: CallEnd) {
         if let Some(sender) = locked(&self.answer_senders).get(&number) {
-            // Fails if the call was answered already or given up; the answer is not needed
-            // then.
+            // Fails if the call was answered already or has timed out; the answer is not
+            // needed then.
             let _ = sender.try_send(end);
         }
     }
--- a/src/consul.rs
+++ b/src/consul.rs
@@ -81,7 +81,7 @@
         Self { url: url.to_owned(), pool: Arc::default() }
     }
 
-    /// Makes a call. After a time-out, all pooled connections are closed.
+    /// Makes a call. After a timeout, all pooled connections are closed.
     async fn send(
         &self,
         method: Method,
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -40,7 +40,7 @@
     VIOLATIONS.load(Ordering::Relaxed)
 }
 
-/// Counts and logs a violation when `holds` is false; returns `holds`. `context` tells
+/// Counts and logs a violation when `holds` is false; returns `holds`. `context` describes
 /// where it occurred, for example by a call's key.
 pub fn check(invariant: Invariant, holds: bool, context: impl FnOnce() -> String) -> bool {
     if !holds {
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -1,6 +1,6 @@
 //! The daemon's kernel: the state shared on one box, and the plug-ins that work on it.
 //!
-//! Plug-ins register themselves with [`inventory`]. The kernel starts them, dispatches
+//! Plug-ins register themselves with [`inventory`]. The kernel starts them, passes
 //! messages from peers to the plug-in for their topic, and holds the phase of the box:
 //! serving, leaving, draining or stopped (see `stopping`).
 
--- a/src/listen.rs
+++ b/src/listen.rs
@@ -20,7 +20,7 @@
 
 /// A server on `address`. Accepted connections inherit the options of the listening socket:
 /// `TCP_NODELAY`, so that small writes are not held back until earlier data is acknowledged,
-/// and keep-alive and user time-out, so that silent callers are detected.
+/// and keep-alive and user timeout, so that silent callers are detected.
 ///
 /// # Errors
 /// Fails when the address cannot be bound.
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -97,7 +97,7 @@
         if dropped > 0 {
             bytes.extend_from_slice(format!("event=lines_lost count={dropped}\n").as_bytes());
         }
-        // An error is ignored: there is no other place to report that output has failed.
+        // An error is ignored: the failure could only be reported to the same output.
         let _ = output.write_all(&bytes).and_then(|()| output.flush());
         counts.written.fetch_add(lines, Ordering::Relaxed);
     }
--- a/src/peer_sockets.rs
+++ b/src/peer_sockets.rs
@@ -2,7 +2,7 @@
 //!
 //! Each box listens on one pull socket and dials a push socket for each peer that it
 //! sends to. A message that cannot be sent at once is dropped: every message is either
-//! repeated or followed by a time-out that reveals its loss. Sockets that have gone
+//! repeated or followed by a timeout that reveals its loss. Sockets that have gone
 //! silent are detected in `heartbeat`.
 
 use std::collections::{BTreeMap, HashMap};
--- a/src/pool.rs
+++ b/src/pool.rs
@@ -1,7 +1,7 @@
 //! Pools of HTTP connections to external systems.
 //!
 //! A connection can go silent while both of its ends stay up. TCP keep-alive detects that
-//! if the network drops packets; otherwise only the time-out of a call does. The other
+//! if the network drops packets; otherwise only the timeout of a call does. The other
 //! connections in the pool are then most likely silent too, so the whole pool is
 //! discarded, and the next call opens a new connection.
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -81,7 +81,7 @@
     pub operators: SocketAddr,
     /// Address to listen on for peers.
     pub peers: SocketAddr,
-    /// Address at which peers reach this box, as told to them.
+    /// Address at which peers reach this box, as announced to them.
     pub advertise: String,
     /// Addresses to dial instead of those that peers advertise, by advertised address.
     pub routes: BTreeMap<String, String>,
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -116,7 +116,7 @@
     })
 }
 
-/// Reads a stream up to its end mark, its first error, or a time-out without pieces.
+/// Reads a stream up to its end mark, its first error, or a timeout without pieces.
 fn read_stream(
     response: Response,
     client: PooledClient,
@@ -129,7 +129,7 @@
         match tokio::time::timeout(PIECE_TIMEOUT, events.next()).await {
             Err(_) => {
                 client.report_silent();
-                Some((Err(failed_response("no piece within the time-out")), None))
+                Some((Err(failed_response("no piece within the timeout")), None))
             }
             Ok(None) => None,
             Ok(Some(Err(error))) => Some((Err(failed_response(error)), None)),
@@ -187,7 +187,7 @@
 ) -> Result<Response, EngineError> {
     let Ok(response) = tokio::time::timeout(timeout, call.send()).await else {
         client.report_silent();
-        return Err(failed_response("no response within the time-out"));
+        return Err(failed_response("no response within the timeout"));
     };
     check_accepted(response.map_err(|error| send_error(&error))?).await
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -42,7 +42,7 @@
     pub content_type: Option<String>,
     /// Request body.
     pub body: Vec<u8>,
-    /// When the caller gives up, in Unix milliseconds.
+    /// The caller's deadline, in Unix milliseconds.
     pub deadline_ms: u64,
     /// Trace that it belongs to.
     pub trace: TraceId,
