--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -1,4 +1,4 @@
-//! What the tests of the gateway share.
+//! Fixture and helpers for tests that run a gateway process against a simulated site.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use coursestile_standins::site::client::{Client, once, request};
@@ -7,33 +7,34 @@
 use coursestile_standins::site::server::Server;
 use coursestile_standins::site::{Gateway, Site, document, engine_entry, entry, eventually};
 
-/// A platform with one gateway that serves `servers` upstreams of `plain`.
-pub struct Scene {
+/// A site with one gateway and the upstreams of its service `plain`.
+pub struct GatewayFixture {
     pub gateway: Gateway,
     pub servers: Vec<Server>,
     pub site: Site,
 }
 
-/// Starts a scene whose gateway is ready and knows all upstreams.
-pub async fn scene(servers: usize) -> Scene {
-    scene_at(Site::start().await, servers).await
+/// Starts a gateway and `servers` upstreams on a new site, and waits until it is ready.
+pub async fn start_fixture(servers: usize) -> GatewayFixture {
+    start_fixture_on(Site::start().await, servers).await
 }
 
-/// Starts a scene on a platform that was prepared.
-pub async fn scene_at(mut site: Site, servers: usize) -> Scene {
-    let mut started = Vec::new();
+/// Like [`start_fixture`], on a site that the test has already set up.
+pub async fn start_fixture_on(mut site: Site, servers: usize) -> GatewayFixture {
+    let mut started_servers = Vec::new();
     for number in 0..servers {
         let server = Server::start(&format!("s-{number}")).await;
         site.enter(&server.id, &entry("plain", &server.address, "ready"));
-        started.push(server);
+        started_servers.push(server);
     }
     site.configure(&document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
-    Scene { gateway, servers: started, site }
+    GatewayFixture { gateway, servers: started_servers, site }
 }
 
-/// Starts engines of `llm`, whose weights have version 1, and writes their entries.
+/// Starts engines of the service `llm` with version 1 of the weights, and registers them
+/// with the site.
 pub async fn start_engines(site: &Site, count: usize) -> Vec<Engine> {
     let mut engines = Vec::new();
     for number in 0..count {
@@ -44,8 +45,9 @@
     engines
 }
 
-/// Sends a prompt of two shared parts and one of its own; the status of the answer.
-pub async fn prompt(gateway: &Gateway, id: &str) -> u16 {
+/// Sends a prompt of three prefix parts with the same hashes for every request, and returns
+/// the status of the response.
+pub async fn send_prompt(gateway: &Gateway, id: &str) -> u16 {
     let extra = format!(
         "X-Model: {MODEL}\r\nX-Token-Count: 700,10\r\nX-Prefix-Hash: aa:100,bb:400,cc:200\r\n"
     );
@@ -54,7 +56,7 @@
     client.send(&bytes).await.expect("an answer").status()
 }
 
-/// Waits until a gateway calls itself ready.
+/// Waits until the gateway's readiness check succeeds.
 pub async fn wait_ready(gateway: &Gateway) {
     eventually("ready", async || {
         let ready = is_ready(gateway).await;
@@ -64,37 +66,37 @@
     .await;
 }
 
-/// Whether a gateway calls itself ready.
+/// Whether the gateway's readiness check succeeds.
 pub async fn is_ready(gateway: &Gateway) -> bool {
     let url = format!("http://{}/coursestile/ready", gateway.ready);
-    reqwest::get(url).await.is_ok_and(|answer| answer.status().is_success())
+    reqwest::get(url).await.is_ok_and(|response| response.status().is_success())
 }
 
-impl Scene {
-    /// Sends one request on a connection of its own.
+impl GatewayFixture {
+    /// Sends one request over a new connection.
     pub async fn send(&self, method: &str, path: &str, id: &str) -> Message {
         once(&self.gateway.clients, method, path, id).await.expect("an answer")
     }
 
-    /// Sends bytes on a connection of its own.
-    pub async fn raw(&self, bytes: &[u8]) -> Option<Message> {
+    /// Sends raw bytes over a new connection; `None` if it closes without a response.
+    pub async fn send_raw(&self, bytes: &[u8]) -> Option<Message> {
         Client::connect(&self.gateway.clients).await.send(bytes).await
     }
 
-    /// Sends a request with further headers and a body.
+    /// Sends a POST request with additional headers and a body over a new connection.
     pub async fn send_with(&self, path: &str, id: &str, extra: &str, body: &str) -> Message {
-        self.raw(&request("POST", path, id, extra, body)).await.expect("an answer")
+        self.send_raw(&request("POST", path, id, extra, body)).await.expect("an answer")
     }
 
-    /// How often a request has arrived at any upstream.
-    pub fn count(&self, id: &str) -> usize {
+    /// Number of times that a request has arrived at the upstreams, all together.
+    pub fn arrival_count(&self, id: &str) -> usize {
         self.servers.iter().map(|server| server.count(id)).sum()
     }
 
-    /// The request as it arrived first.
-    pub fn arrived(&self, id: &str) -> Message {
+    /// The first arrival of a request, of the first upstream that received it.
+    pub fn first_arrival(&self, id: &str) -> Message {
         let all = self.servers.iter().flat_map(Server::arrived);
-        let mut found = all.filter(|one| one.header("x-request-id") == Some(id));
+        let mut found = all.filter(|message| message.header("x-request-id") == Some(id));
         found.next().expect("it has arrived")
     }
 }
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -5,7 +5,7 @@
 
 use std::process::Command;
 
-use common::scene;
+use common::start_fixture;
 use coursestile::explain::{LogLine, request_timeline};
 use coursestile_standins::fleet::programs;
 use coursestile_standins::site::eventually;
@@ -13,13 +13,15 @@
 
 #[tokio::test]
 async fn cause_told() {
-    let scene = scene(1).await;
-    scene.servers[0].then(&[Act::Close, Act::NotRun]);
-    assert_eq!(scene.send("POST", "/once/", "r-lost").await.status(), 502);
-    assert_eq!(scene.send("POST", "/once/", "r-full").await.status(), 503);
-    assert_eq!(scene.send("POST", "/once/", "r-good").await.status(), 200);
-    eventually("it is logged", async || scene.gateway.logged().contains("answered request=r-good"))
-        .await;
+    let fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::Close, Act::NotRun]);
+    assert_eq!(fixture.send("POST", "/once/", "r-lost").await.status(), 502);
+    assert_eq!(fixture.send("POST", "/once/", "r-full").await.status(), 503);
+    assert_eq!(fixture.send("POST", "/once/", "r-good").await.status(), 200);
+    eventually("it is logged", async || {
+        fixture.gateway.logged().contains("answered request=r-good")
+    })
+    .await;
     for (id, told) in [
         ("r-lost", ["event=routed", "end=unknown cause=", "reason=\"upstream failed\" status=502"]),
         (
@@ -30,7 +32,7 @@
     ] {
         let output = Command::new(programs().join("coursestile"))
             .args(["explain", id])
-            .arg(&scene.gateway.log)
+            .arg(&fixture.gateway.log)
             .output()
             .unwrap();
         let text = String::from_utf8(output.stdout).unwrap();
--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -15,7 +15,7 @@
 
 use std::time::Duration;
 
-use common::{Scene, wait_ready};
+use common::{GatewayFixture, wait_ready};
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::{Act, Server, events_text};
@@ -29,8 +29,8 @@
 /// Time after which a box considers an upstream silent, and some checks.
 const LONG_SILENCE: Duration = Duration::from_millis(1300);
 
-/// A scene whose routes have time-outs that are long enough for a slow machine.
-async fn scene(servers: usize, attempts: u32, retry_extra: u32) -> Scene {
+/// A fixture whose routes have time-outs that are long enough for a slow machine.
+async fn start_fixture(servers: usize, attempts: u32, retry_extra: u32) -> GatewayFixture {
     let mut site = Site::start().await;
     site.retry_extra = retry_extra;
     let mut started = Vec::new();
@@ -47,14 +47,14 @@
     site.configure(&config);
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
-    Scene { gateway, servers: started, site }
+    GatewayFixture { gateway, servers: started, site }
 }
 
 /// Sends a request with a deadline of a minute.
-fn send(scene: &Scene, path: &str, id: &str) -> JoinHandle<Message> {
+fn send(fixture: &GatewayFixture, path: &str, id: &str) -> JoinHandle<Message> {
     let text = String::from_utf8(request("POST", path, id, "", "")).unwrap();
     let bytes = text.replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 60000").into_bytes();
-    let clients = scene.gateway.clients.clone();
+    let clients = fixture.gateway.clients.clone();
     tokio::spawn(
         async move { Client::connect(&clients).await.send(&bytes).await.expect("an answer") },
     )
@@ -62,21 +62,21 @@
 
 /// Waits until a request has arrived `times` times; returns the upstreams that got it, in that
 /// order.
-async fn wait_arrived<'a>(scene: &'a Scene, id: &str, times: usize) -> Vec<&'a Server> {
-    eventually("the request arrives", async || scene.count(id) >= times).await;
+async fn wait_arrived<'a>(fixture: &'a GatewayFixture, id: &str, times: usize) -> Vec<&'a Server> {
+    eventually("the request arrives", async || fixture.arrival_count(id) >= times).await;
     let ran_at =
         |server: &Server| server.ran().iter().find(|ran| ran.request_id == id).map(|ran| ran.at);
     let mut servers: Vec<_> =
-        scene.servers.iter().filter(|server| ran_at(server).is_some()).collect();
+        fixture.servers.iter().filter(|server| ran_at(server).is_some()).collect();
     servers.sort_by_key(|server| ran_at(server));
     servers
 }
 
-async fn remove_entry(scene: &Scene, server: &Server) {
-    scene.site.leave(&server.id);
+async fn remove_entry(fixture: &GatewayFixture, server: &Server) {
+    fixture.site.leave(&server.id);
     let line = format!("event=upstream_gone upstream={}", server.id);
     eventually("the removal of the entry is known", async || {
-        scene.gateway.logged().contains(&line)
+        fixture.gateway.logged().contains(&line)
     })
     .await;
 }
@@ -96,17 +96,17 @@
 #[tokio::test]
 async fn gone_serves_on() {
     let cases = waiting_cases().map(async |(path, act)| {
-        let scene = scene(3, 3, 1000).await;
-        scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
-        let answer = send(&scene, path, "r-1");
-        let server = wait_arrived(&scene, "r-1", 1).await[0];
-        remove_entry(&scene, server).await;
+        let fixture = start_fixture(3, 3, 1000).await;
+        fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+        let answer = send(&fixture, path, "r-1");
+        let server = wait_arrived(&fixture, "r-1", 1).await[0];
+        remove_entry(&fixture, server).await;
         tokio::time::sleep(MANY_CHECKS).await;
         // A stall may have made it look silent before its entry was removed.
-        if !retried_before_removal(&scene) {
-            assert_eq!(scene.count("r-1"), 1, "the request stays where it runs");
+        if !retried_before_removal(&fixture) {
+            assert_eq!(fixture.arrival_count("r-1"), 1, "the request stays where it runs");
         }
-        scene.servers.iter().for_each(Server::release);
+        fixture.servers.iter().for_each(Server::release);
         let answer = answer.await.unwrap();
         assert_whole(path, &answer);
     });
@@ -114,8 +114,8 @@
 }
 
 /// Whether a second upstream was tried before the entry of the first was removed.
-fn retried_before_removal(scene: &Scene) -> bool {
-    let log = scene.gateway.logged();
+fn retried_before_removal(fixture: &GatewayFixture) -> bool {
+    let log = fixture.gateway.logged();
     let before = log.split("event=upstream_gone").next().unwrap_or_default();
     before.lines().any(|line| line.contains("event=routed") && line.contains("attempt=2"))
 }
@@ -135,44 +135,44 @@
 
 async fn assert_silent_awaited(path: &str, act: Act, limits: (usize, u32, u32)) {
     let (servers, attempts, retry_extra) = limits;
-    let scene = scene(servers, attempts, retry_extra).await;
-    scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
-    let answer = send(&scene, path, "r-1");
-    let server = wait_arrived(&scene, "r-1", 1).await[0];
+    let fixture = start_fixture(servers, attempts, retry_extra).await;
+    fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+    let answer = send(&fixture, path, "r-1");
+    let server = wait_arrived(&fixture, "r-1", 1).await[0];
     tokio::time::sleep(LONG_SILENCE).await;
     server.release();
     let answer = answer.await.unwrap();
     assert_whole(path, &answer);
-    assert_eq!(scene.count("r-1"), 1);
+    assert_eq!(fixture.arrival_count("r-1"), 1);
 }
 
 /// The box waits for the last upstream that a request may be sent to, even if it is silent.
 async fn assert_last_upstream_awaited() {
-    let scene = scene(3, 2, 1000).await;
-    scene.servers.iter().for_each(|server| server.then(&[Act::Held]));
-    let answer = send(&scene, "/resume/", "r-1");
-    let last_upstream = wait_arrived(&scene, "r-1", 2).await[1];
+    let fixture = start_fixture(3, 2, 1000).await;
+    fixture.servers.iter().for_each(|server| server.then(&[Act::Held]));
+    let answer = send(&fixture, "/resume/", "r-1");
+    let last_upstream = wait_arrived(&fixture, "r-1", 2).await[1];
     tokio::time::sleep(LONG_SILENCE).await;
     last_upstream.release();
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
-    assert_eq!(scene.count("r-1"), 2);
+    assert_eq!(fixture.arrival_count("r-1"), 2);
 }
 
 /// A request moves from a silent upstream when another can take it.
 #[tokio::test]
 async fn silent_left() {
     let cases = waiting_cases().map(async |(path, act)| {
-        let scene = scene(3, 2, 1000).await;
-        scene.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
-        let answer = send(&scene, path, "r-1");
-        let first = wait_arrived(&scene, "r-1", 1).await[0];
-        wait_arrived(&scene, "r-1", 2).await;
-        let others = scene.servers.iter().filter(|server| server.id != first.id);
+        let fixture = start_fixture(3, 2, 1000).await;
+        fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+        let answer = send(&fixture, path, "r-1");
+        let first = wait_arrived(&fixture, "r-1", 1).await[0];
+        wait_arrived(&fixture, "r-1", 2).await;
+        let others = fixture.servers.iter().filter(|server| server.id != first.id);
         others.for_each(Server::release);
         let answer = answer.await.unwrap();
         assert_whole(path, &answer);
-        assert_eq!(scene.count("r-1"), 2);
+        assert_eq!(fixture.arrival_count("r-1"), 2);
     });
     join_all(cases).await;
 }
@@ -180,11 +180,11 @@
 /// A silent stream is continued by whichever upstream sends something first.
 #[tokio::test]
 async fn first_to_speak() {
-    let scene = scene(2, 2, 1000).await;
-    scene.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
-    let answer = send(&scene, "/resume/", "r-1");
-    let first = wait_arrived(&scene, "r-1", 1).await[0];
-    wait_arrived(&scene, "r-1", 2).await;
+    let fixture = start_fixture(2, 2, 1000).await;
+    fixture.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
+    let answer = send(&fixture, "/resume/", "r-1");
+    let first = wait_arrived(&fixture, "r-1", 1).await[0];
+    wait_arrived(&fixture, "r-1", 2).await;
     first.release();
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
@@ -195,17 +195,17 @@
 /// left. It must be moved again.
 #[tokio::test]
 async fn left_again() {
-    let scene = scene(3, 3, 1000).await;
-    scene.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
-    let answer = send(&scene, "/resume/", "r-1");
-    let first = wait_arrived(&scene, "r-1", 1).await[0];
-    let others = scene.servers.iter().filter(|server| server.id != first.id);
+    let fixture = start_fixture(3, 3, 1000).await;
+    fixture.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
+    let answer = send(&fixture, "/resume/", "r-1");
+    let first = wait_arrived(&fixture, "r-1", 1).await[0];
+    let others = fixture.servers.iter().filter(|server| server.id != first.id);
     others.for_each(|server| {
         server.then_nothing();
         server.then(&[Act::NotRun]);
     });
-    eventually("both other upstreams are tried", async || scene.count("r-1") == 3).await;
-    scene.servers.iter().for_each(Server::release);
+    eventually("both other upstreams are tried", async || fixture.arrival_count("r-1") == 3).await;
+    fixture.servers.iter().for_each(Server::release);
     let answer = answer.await.unwrap();
     assert_whole("/resume/", &answer);
 }
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -6,7 +6,7 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use common::{Scene, is_ready, scene};
+use common::{GatewayFixture, is_ready, start_fixture};
 use coursestile::gateway::decisions::cache_contents::CacheContents;
 use coursestile::platform::{caches, engine, keys};
 use coursestile_standins::site::{entry, eventually};
@@ -40,11 +40,11 @@
 }
 
 /// Writes a flawed entry under the id of an upstream.
-fn write_flawed(scene: &Scene, server: usize, flaw: Flaw) {
-    let server = &scene.servers[server];
+fn write_flawed(fixture: &GatewayFixture, server: usize, flaw: Flaw) {
+    let server = &fixture.servers[server];
     let key = format!("servers/{}", server.id);
     let mut entry = entry("plain", &server.address, "ready");
-    let metadata = &scene.site.metadata;
+    let metadata = &fixture.site.metadata;
     match flaw {
         Flaw::NoText => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
         Flaw::NoEntry => return metadata.put(&key, b"[1, 2]", 0),
@@ -66,11 +66,11 @@
 }
 
 /// Sends requests, which must all be answered, and only by the upstreams with indexes in `serving`.
-async fn assert_served_by(scene: &Scene, serving: &[usize]) {
+async fn assert_served_by(fixture: &GatewayFixture, serving: &[usize]) {
     for number in 0..8 {
         let id = format!("q-{number}");
-        assert_eq!(scene.send("GET", "/safe/", &id).await.status(), 200);
-        let server = scene.servers.iter().position(|server| server.count(&id) > 0);
+        assert_eq!(fixture.send("GET", "/safe/", &id).await.status(), 200);
+        let server = fixture.servers.iter().position(|server| server.count(&id) > 0);
         assert!(serving.contains(&server.expect("it ran")), "{server:?}");
     }
 }
@@ -95,14 +95,14 @@
 #[case(Flaw::Spoiled)]
 #[tokio::test]
 async fn taken_out(#[case] flaw: Flaw) {
-    let scene = scene(2).await;
-    write_flawed(&scene, 0, flaw);
+    let fixture = start_fixture(2).await;
+    write_flawed(&fixture, 0, flaw);
     eventually("the unreadable entry is logged", async || {
-        scene.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.logged().contains("upstream_unreadable")
     })
     .await;
-    assert_served_by(&scene, &[1]).await;
-    assert!(is_ready(&scene.gateway).await);
+    assert_served_by(&fixture, &[1]).await;
+    assert!(is_ready(&fixture.gateway).await);
 }
 
 #[rstest]
@@ -110,45 +110,47 @@
 #[case(Flaw::Spoiled)]
 #[tokio::test]
 async fn listed_beside_others(#[case] flaw: Flaw) {
-    let mut scene = scene(2).await;
-    write_flawed(&scene, 0, flaw);
-    let gateway = scene.site.gateway("north", &[]);
+    let mut fixture = start_fixture(2).await;
+    write_flawed(&fixture, 0, flaw);
+    let gateway = fixture.site.gateway("north", &[]);
     common::wait_ready(&gateway).await;
-    scene.gateway = gateway;
-    assert_served_by(&scene, &[1]).await;
+    fixture.gateway = gateway;
+    assert_served_by(&fixture, &[1]).await;
 }
 
 #[tokio::test]
 async fn back_when_readable() {
-    let scene = scene(1).await;
-    write_flawed(&scene, 0, Flaw::NoText);
+    let fixture = start_fixture(1).await;
+    write_flawed(&fixture, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
-        scene.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.logged().contains("upstream_unreadable")
     })
     .await;
-    assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 503);
-    let server = &scene.servers[0];
-    scene.site.enter(&server.id, &entry("plain", &server.address, "ready"));
+    assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 503);
+    let server = &fixture.servers[0];
+    fixture.site.enter(&server.id, &entry("plain", &server.address, "ready"));
     eventually("the upstream serves again", async || {
-        scene.send("GET", "/safe/", "r-2").await.status() == 200
+        fixture.send("GET", "/safe/", "r-2").await.status() == 200
     })
     .await;
 }
 
 #[tokio::test]
 async fn said_once() {
-    let scene = scene(2).await;
-    write_flawed(&scene, 0, Flaw::NoText);
+    let fixture = start_fixture(2).await;
+    write_flawed(&fixture, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
-        scene.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.logged().contains("upstream_unreadable")
     })
     .await;
-    write_flawed(&scene, 0, Flaw::NoText);
-    let leaving: Value = entry("plain", &scene.servers[1].address, "draining");
-    scene.site.enter("s-1", &leaving);
-    eventually("a later change is known", async || scene.gateway.logged().contains("leaving=true"))
-        .await;
-    assert_eq!(scene.gateway.logged().matches("upstream_unreadable").count(), 1);
+    write_flawed(&fixture, 0, Flaw::NoText);
+    let leaving: Value = entry("plain", &fixture.servers[1].address, "draining");
+    fixture.site.enter("s-1", &leaving);
+    eventually("a later change is known", async || {
+        fixture.gateway.logged().contains("leaving=true")
+    })
+    .await;
+    assert_eq!(fixture.gateway.logged().matches("upstream_unreadable").count(), 1);
 }
 
 /// Cache events, a cache listing and an engine's report, as stores and engines write them.
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -5,7 +5,7 @@
 
 use std::process::Command;
 
-use common::scene;
+use common::start_fixture;
 use coursestile_standins::fleet::programs;
 use rstest::rstest;
 
@@ -21,13 +21,13 @@
 #[case::bad_header("GET /safe/ HTTP/1.1\r\nX-Request-Id: r\r\nno colon\r\n")]
 #[tokio::test]
 async fn refused(#[case] head: &str) {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let bytes = format!(
         "{head}{HEAD}\r\n0\r\n\r\nGET /safe/ HTTP/1.1\r\nX-Request-Id: hidden\r\n{HEAD}\r\n"
     );
-    let answer = scene.raw(bytes.as_bytes()).await;
+    let answer = fixture.send_raw(bytes.as_bytes()).await;
     assert!(answer.is_none_or(|answer| answer.status() == 400), "{head}");
-    let arrived = scene.servers[0].arrived();
+    let arrived = fixture.servers[0].arrived();
     assert!(arrived.iter().all(|request| request.header("x-request-id") != Some("r")), "{head}");
 }
 
@@ -35,40 +35,40 @@
 /// nobody behind the gateway can see the end of the body elsewhere.
 #[tokio::test]
 async fn length_and_chunks() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let bytes = format!(
         "POST /safe/ HTTP/1.1\r\nX-Request-Id: r-1\r\n{HEAD}Content-Length: 40\r\n\
          Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
     );
-    let answer = scene.raw(bytes.as_bytes()).await.unwrap();
+    let answer = fixture.send_raw(bytes.as_bytes()).await.unwrap();
     assert_eq!(answer.text(), "answer to r-1: abc");
-    let arrived = scene.arrived("r-1");
+    let arrived = fixture.first_arrival("r-1");
     assert_eq!(arrived.header("content-length"), Some("3"));
     assert_eq!(arrived.header("transfer-encoding"), None);
 }
 
 #[tokio::test]
 async fn body_too_long() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let body = "x".repeat(20_001);
-    assert_eq!(scene.send_with("/safe/", "r-1", "", &body).await.status(), 413);
+    assert_eq!(fixture.send_with("/safe/", "r-1", "", &body).await.status(), 413);
     let chunked = format!(
         "POST /safe/ HTTP/1.1\r\nX-Request-Id: r-2\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n",
         body.len()
     );
-    assert_eq!(scene.raw(chunked.as_bytes()).await.unwrap().status(), 413);
-    assert_eq!(scene.count("r-1") + scene.count("r-2"), 0);
+    assert_eq!(fixture.send_raw(chunked.as_bytes()).await.unwrap().status(), 413);
+    assert_eq!(fixture.arrival_count("r-1") + fixture.arrival_count("r-2"), 0);
 }
 
 #[tokio::test]
 async fn chunks_taken() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let chunked = format!(
         "POST /safe/ HTTP/1.1\r\nX-Request-Id: r-1\r\n{HEAD}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     );
-    let answer = scene.raw(chunked.as_bytes()).await.unwrap();
+    let answer = fixture.send_raw(chunked.as_bytes()).await.unwrap();
     assert_eq!(answer.text(), "answer to r-1: abcde");
-    assert_eq!(scene.arrived("r-1").header("content-length"), Some("5"));
+    assert_eq!(fixture.first_arrival("r-1").header("content-length"), Some("5"));
 }
 
 #[test]
--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -217,7 +217,7 @@
         let ids: Vec<String> = (0..4).map(|number| format!("r-{number}")).collect();
         let prompts = ids.iter().zip(0..).map(async |(id, number)| {
             sleep(PROMPT_PERIOD * number).await;
-            common::prompt(gateway, id).await
+            common::send_prompt(gateway, id).await
         });
         let statuses = join_all(prompts).await;
         let reached = ids.iter().filter(|id| self.has_run(id)).count();
@@ -235,7 +235,7 @@
         let mut number = 0;
         eventually("prompts are served again", async || {
             number += 1;
-            common::prompt(gateway, &format!("again-{number}")).await == 200
+            common::send_prompt(gateway, &format!("again-{number}")).await == 200
         })
         .await;
     }
@@ -342,7 +342,7 @@
     // Two seconds before the bound, the prompt is still sent; its route's time-out is three
     // seconds.
     wait_until(named.at_ms + 2000).await;
-    let status = common::prompt(&fleet.gateways[0], "r-1").await;
+    let status = common::send_prompt(&fleet.gateways[0], "r-1").await;
     assert!(
         now_ms() < named.at_ms + fleet.site.weights_apply_ms,
         "the prompt must not wait past the bound"
@@ -408,7 +408,8 @@
     let mut statuses = Vec::new();
     while now_ms() < named.at_ms + APPLY_MS && responsive.iter().any(|engine| engine.version() < 2)
     {
-        statuses.push(common::prompt(&fleet.gateways[0], &format!("r-{}", statuses.len())).await);
+        statuses
+            .push(common::send_prompt(&fleet.gateways[0], &format!("r-{}", statuses.len())).await);
         sleep(POLL_PERIOD).await;
     }
     let took_ms: Vec<Option<u64>> =
--- a/tests/gateway_listings.rs
+++ b/tests/gateway_listings.rs
@@ -4,7 +4,7 @@
 #[path = "common/site.rs"]
 mod common;
 
-use common::{prompt, start_engines, wait_ready};
+use common::{send_prompt, start_engines, wait_ready};
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::{Gateway, Site, document, engine_services, eventually};
 use rstest::rstest;
@@ -82,6 +82,6 @@
     store.show_clock(clock_ms);
     let fleet = fleet(&store).await;
     wait_logged(&fleet.gateway, "event=clock_unreadable", 1).await;
-    assert_eq!(prompt(&fleet.gateway, "p-1").await, 200);
+    assert_eq!(send_prompt(&fleet.gateway, "p-1").await, 200);
     assert!(!fleet.gateway.logged().contains("panicked"), "{}", fleet.gateway.logged());
 }
--- a/tests/gateway_members.rs
+++ b/tests/gateway_members.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 
-use common::{scene, wait_ready};
+use common::{start_fixture, wait_ready};
 use coursestile::gateway::members::{Members, next_list};
 use coursestile_standins::site::eventually;
 
@@ -29,30 +29,30 @@
 
 #[tokio::test]
 async fn unreadable_replaced() {
-    let scene = scene(1).await;
-    scene.site.metadata.put("coursestile/members", &[0xff; 3], 0);
+    let fixture = start_fixture(1).await;
+    fixture.site.metadata.put("coursestile/members", &[0xff; 3], 0);
     eventually("the list is rewritten", async || {
-        let value = scene.site.metadata.value("coursestile/members").unwrap();
+        let value = fixture.site.metadata.value("coursestile/members").unwrap();
         postcard::from_bytes::<Members>(&value).is_ok_and(|members| members.len() == 1)
     })
     .await;
-    assert!(scene.gateway.logged().contains("event=members_unreadable"));
+    assert!(fixture.gateway.logged().contains("event=members_unreadable"));
 }
 
 #[tokio::test]
 async fn found_without_seeds() {
-    let mut scene = scene(1).await;
-    let seeded = scene.site.gateway("east", &[&scene.gateway]);
+    let mut fixture = start_fixture(1).await;
+    let seeded = fixture.site.gateway("east", &[&fixture.gateway]);
     wait_ready(&seeded).await;
     let listed = || -> BTreeSet<IpAddr> {
-        let value = scene.site.metadata.value("coursestile/members");
+        let value = fixture.site.metadata.value("coursestile/members");
         value.map(|value| postcard::from_bytes(&value).unwrap()).unwrap_or_default()
     };
     eventually("two boxes are listed", async || listed().len() == 2).await;
-    let unseeded = scene.site.gateway("west", &[]);
+    let unseeded = fixture.site.gateway("west", &[]);
     wait_ready(&unseeded).await;
     let listed = || -> BTreeSet<IpAddr> {
-        let value = scene.site.metadata.value("coursestile/members").unwrap();
+        let value = fixture.site.metadata.value("coursestile/members").unwrap();
         postcard::from_bytes(&value).unwrap()
     };
     eventually("the third box is listed", async || listed().len() == 3).await;
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Scene, scene_at, wait_ready};
+use common::{GatewayFixture, start_fixture_on, wait_ready};
 use coursestile::gateway::decisions::notice::{Notice, NoticeState};
 use coursestile::platform::exchange::answer_head;
 use coursestile_standins::site::client::{Client, request};
@@ -24,8 +24,8 @@
 /// Time within which boxes must stop sending to it.
 const BACKOFF_APPLY: Duration = Duration::from_millis(500);
 
-async fn scene(servers: usize) -> Scene {
-    scene_at(Site::start().await, servers).await
+async fn start_fixture(servers: usize) -> GatewayFixture {
+    start_fixture_on(Site::start().await, servers).await
 }
 
 async fn send(gateway: &Gateway, path: &str, id: &str) -> Message {
@@ -34,10 +34,14 @@
 }
 
 /// The upstream that a box chooses while the upstreams are alike.
-async fn preferred_upstream<'a>(scene: &'a Scene, gateway: &Gateway, path: &str) -> &'a Server {
-    let before: Vec<usize> = scene.servers.iter().map(|server| server.arrived().len()).collect();
+async fn preferred_upstream<'a>(
+    fixture: &'a GatewayFixture,
+    gateway: &Gateway,
+    path: &str,
+) -> &'a Server {
+    let before: Vec<usize> = fixture.servers.iter().map(|server| server.arrived().len()).collect();
     send(gateway, path, &format!("{path}-favourite-{before:?}")).await;
-    let mut servers = scene.servers.iter().zip(before);
+    let mut servers = fixture.servers.iter().zip(before);
     let found = servers.find(|(server, before)| server.arrived().len() > *before);
     found.expect("an upstream got the request").0
 }
@@ -48,11 +52,16 @@
 }
 
 /// Sends 20 requests, which must succeed, and returns how many of them reach `server`.
-async fn count_reaching(scene: &Scene, gateway: &Gateway, path: &str, server: &Server) -> usize {
+async fn count_reaching(
+    fixture: &GatewayFixture,
+    gateway: &Gateway,
+    path: &str,
+    server: &Server,
+) -> usize {
     let before = server.arrived().len();
     for number in 0..20 {
         let answer = send(gateway, path, &format!("{path}-{before}-{number}")).await;
-        assert_eq!(answer.status(), 200, "{}", scene.gateway.logged());
+        assert_eq!(answer.status(), 200, "{}", fixture.gateway.logged());
     }
     server.arrived().len() - before
 }
@@ -62,40 +71,40 @@
 #[case("/once/")]
 #[tokio::test]
 async fn leaving_heeded(#[case] path: &str) {
-    let scene = scene(2).await;
-    let leaving_upstream = preferred_upstream(&scene, &scene.gateway, path).await;
+    let fixture = start_fixture(2).await;
+    let leaving_upstream = preferred_upstream(&fixture, &fixture.gateway, path).await;
     leaving_upstream.then(&[Act::Leaving]);
-    send(&scene.gateway, path, "told").await;
-    assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
+    send(&fixture.gateway, path, "told").await;
+    assert_eq!(count_reaching(&fixture, &fixture.gateway, path, leaving_upstream).await, 0);
     // Its heartbeats do not announce that it leaves, and its entry may expire and come back.
     let mut same_entry = entry("plain", &leaving_upstream.address, "ready");
     same_entry["seq"] = json!(9);
-    scene.site.enter(&leaving_upstream.id, &same_entry);
-    scene.site.leave(&leaving_upstream.id);
+    fixture.site.enter(&leaving_upstream.id, &same_entry);
+    fixture.site.leave(&leaving_upstream.id);
     wait_logged(
-        &scene.gateway,
+        &fixture.gateway,
         &format!("event=upstream_gone upstream={}", leaving_upstream.id),
         1,
     )
     .await;
-    scene.site.enter(&leaving_upstream.id, &same_entry);
+    fixture.site.enter(&leaving_upstream.id, &same_entry);
     wait_logged(
-        &scene.gateway,
+        &fixture.gateway,
         &format!("event=upstream_seen upstream={}", leaving_upstream.id),
         2,
     )
     .await;
-    assert_eq!(count_reaching(&scene, &scene.gateway, path, leaving_upstream).await, 0);
+    assert_eq!(count_reaching(&fixture, &fixture.gateway, path, leaving_upstream).await, 0);
 }
 
 /// Peers learn that an upstream leaves.
 #[tokio::test]
 async fn leaving_told() {
-    let mut scene = scene(1).await;
-    let peer = scene.site.gateway("north", &[&scene.gateway]);
+    let mut fixture = start_fixture(1).await;
+    let peer = fixture.site.gateway("north", &[&fixture.gateway]);
     wait_ready(&peer).await;
-    scene.servers[0].then(&[Act::Leaving]);
-    send(&scene.gateway, "/safe/", "told").await;
+    fixture.servers[0].then(&[Act::Leaving]);
+    send(&fixture.gateway, "/safe/", "told").await;
     eventually("the peer avoids the upstream", async || {
         send(&peer, "/safe/", "r-1").await.status() == 503
     })
@@ -106,16 +115,16 @@
 /// not count.
 #[tokio::test]
 async fn notices_end() {
-    let scene = scene(1).await;
-    let server = &scene.servers[0];
+    let fixture = start_fixture(1).await;
+    let server = &fixture.servers[0];
     server.then(&[Act::Leaving]);
-    send(&scene.gateway, "/safe/", "told").await;
-    assert_eq!(send(&scene.gateway, "/safe/", "r-1").await.status(), 503);
+    send(&fixture.gateway, "/safe/", "told").await;
+    assert_eq!(send(&fixture.gateway, "/safe/", "r-1").await.status(), 503);
     let mut restarted = entry("plain", &server.address, "ready");
     restarted["born"] = json!(1_800_000_000_000_u64);
-    scene.site.enter(&server.id, &restarted);
+    fixture.site.enter(&server.id, &restarted);
     eventually("the upstream serves again", async || {
-        send(&scene.gateway, "/safe/", "r-2").await.status() == 200
+        send(&fixture.gateway, "/safe/", "r-2").await.status() == 200
     })
     .await;
 }
@@ -125,17 +134,17 @@
 #[case("/once/")]
 #[tokio::test]
 async fn rest_heeded(#[case] path: &str) {
-    let scene = scene(2).await;
-    let backing_off = preferred_upstream(&scene, &scene.gateway, path).await;
+    let fixture = start_fixture(2).await;
+    let backing_off = preferred_upstream(&fixture, &fixture.gateway, path).await;
     backing_off.then(&[Act::Rest(BACKOFF)]);
-    send(&scene.gateway, path, "told").await;
+    send(&fixture.gateway, path, "told").await;
     let since = Instant::now();
     while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
-        assert_eq!(count_reaching(&scene, &scene.gateway, path, backing_off).await, 0);
+        assert_eq!(count_reaching(&fixture, &fixture.gateway, path, backing_off).await, 0);
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     eventually("the upstream gets requests again", async || {
-        count_reaching(&scene, &scene.gateway, path, backing_off).await > 0
+        count_reaching(&fixture, &fixture.gateway, path, backing_off).await > 0
     })
     .await;
 }
@@ -144,19 +153,19 @@
 /// to retry.
 #[tokio::test]
 async fn all_rest() {
-    let scene = scene(2).await;
-    for server in &scene.servers {
+    let fixture = start_fixture(2).await;
+    for server in &fixture.servers {
         server.then(&[Act::Rest(BACKOFF)]);
     }
     // The route allows two attempts: the second upstream gets what the first one has rejected.
-    send(&scene.gateway, "/once/", "told").await;
-    assert!(scene.servers.iter().all(|server| !server.arrived().is_empty()));
+    send(&fixture.gateway, "/once/", "told").await;
+    assert!(fixture.servers.iter().all(|server| !server.arrived().is_empty()));
     let since = Instant::now();
-    let before: usize = scene.servers.iter().map(|server| server.arrived().len()).sum();
+    let before: usize = fixture.servers.iter().map(|server| server.arrived().len()).sum();
     let mut sent = 0;
     while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
         sent += 1;
-        let answer = send(&scene.gateway, "/once/", &format!("r-{sent}")).await;
+        let answer = send(&fixture.gateway, "/once/", &format!("r-{sent}")).await;
         assert_eq!(answer.status(), 503);
         let after_s: f64 = answer
             .header("retry-after")
@@ -167,9 +176,9 @@
         assert!(after_s >= backoff_left - 0.5, "{after_s} s, {backoff_left} s left");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let arrived: usize = scene.servers.iter().map(|server| server.arrived().len()).sum();
+    let arrived: usize = fixture.servers.iter().map(|server| server.arrived().len()).sum();
     assert_eq!(arrived, before);
-    let log = scene.gateway.logged();
+    let log = fixture.gateway.logged();
     let held_ms = log
         .lines()
         .filter(|line| line.contains("event=refused"))
@@ -181,28 +190,32 @@
         "requests must not be held for a quarter of the objective: {held_ms:?}"
     );
     tokio::time::sleep(BACKOFF_APPLY * 2).await;
-    assert_eq!(send(&scene.gateway, "/once/", "last").await.status(), 200);
+    assert_eq!(send(&fixture.gateway, "/once/", "last").await.status(), 200);
 }
 
 /// Peers, too, avoid an upstream that asks for no requests as long as others serve.
 #[tokio::test]
 async fn rest_told() {
-    let mut scene = scene(2).await;
-    let peer = scene.site.gateway("north", &[&scene.gateway]);
+    let mut fixture = start_fixture(2).await;
+    let peer = fixture.site.gateway("north", &[&fixture.gateway]);
     wait_ready(&peer).await;
-    let backing_off = preferred_upstream(&scene, &peer, "/safe/").await;
+    let backing_off = preferred_upstream(&fixture, &peer, "/safe/").await;
     let other_upstream =
-        scene.servers.iter().find(|server| server.id != backing_off.id).expect("two");
+        fixture.servers.iter().find(|server| server.id != backing_off.id).expect("two");
     // Without this entry, the first box can only send to `backing_off`.
-    scene.site.leave(&other_upstream.id);
-    wait_logged(&scene.gateway, &format!("event=upstream_gone upstream={}", other_upstream.id), 1)
-        .await;
+    fixture.site.leave(&other_upstream.id);
+    wait_logged(
+        &fixture.gateway,
+        &format!("event=upstream_gone upstream={}", other_upstream.id),
+        1,
+    )
+    .await;
     backing_off.then(&[Act::Rest(Duration::from_secs(20))]);
-    send(&scene.gateway, "/safe/", "told").await;
-    scene.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
+    send(&fixture.gateway, "/safe/", "told").await;
+    fixture.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
     wait_logged(&peer, &format!("event=upstream_seen upstream={}", other_upstream.id), 2).await;
     eventually("the peer avoids the upstream", async || {
-        count_reaching(&scene, &peer, "/safe/", backing_off).await == 0
+        count_reaching(&fixture, &peer, "/safe/", backing_off).await == 0
     })
     .await;
 }
@@ -211,14 +224,14 @@
 /// still be tried seldom.
 #[tokio::test]
 async fn turned_away() {
-    let scene = scene(2).await;
-    let refusing = preferred_upstream(&scene, &scene.gateway, "/once/").await;
+    let fixture = start_fixture(2).await;
+    let refusing = preferred_upstream(&fixture, &fixture.gateway, "/once/").await;
     refusing.then(&vec![Act::NotRun; 40]);
-    let tried = count_reaching(&scene, &scene.gateway, "/once/", refusing).await;
+    let tried = count_reaching(&fixture, &fixture.gateway, "/once/", refusing).await;
     assert!((1..=4).contains(&tried), "{tried} of 20");
     refusing.then_nothing();
     eventually("the upstream gets requests again", async || {
-        count_reaching(&scene, &scene.gateway, "/once/", refusing).await > 0
+        count_reaching(&fixture, &fixture.gateway, "/once/", refusing).await > 0
     })
     .await;
 }
--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -4,7 +4,7 @@
 #[path = "common/site.rs"]
 mod common;
 
-use common::{scene, wait_ready};
+use common::{start_fixture, wait_ready};
 use coursestile_standins::site::client::once;
 use coursestile_standins::site::server::{Act, Server};
 use coursestile_standins::site::{entry, eventually};
@@ -18,29 +18,29 @@
 #[case::cut_body(Act::CutBody)]
 #[tokio::test]
 async fn never_again(#[case] act: Act) {
-    let scene = scene(2).await;
-    for server in &scene.servers {
+    let fixture = start_fixture(2).await;
+    for server in &fixture.servers {
         server.then(std::slice::from_ref(&act));
     }
-    let answer = scene.send("POST", "/once/", "r-1").await;
+    let answer = fixture.send("POST", "/once/", "r-1").await;
     // The client must get neither "not run" nor an answer that is not the upstream's.
     assert_eq!(answer.status(), 502);
     assert_eq!(answer.header("x-server-seal"), None);
-    assert_eq!(scene.count("r-1"), 1);
+    assert_eq!(fixture.arrival_count("r-1"), 1);
 }
 
 #[tokio::test]
 async fn again_when_not_run() {
-    let scene = scene(2).await;
-    for server in &scene.servers {
+    let fixture = start_fixture(2).await;
+    for server in &fixture.servers {
         server.then(&[Act::NotRun]);
     }
     // Two attempts are allowed, and both are rejected: the request has certainly not run.
-    let answer = scene.send("POST", "/once/", "r-1").await;
-    assert_eq!((answer.status(), scene.count("r-1")), (503, 2));
+    let answer = fixture.send("POST", "/once/", "r-1").await;
+    assert_eq!((answer.status(), fixture.arrival_count("r-1")), (503, 2));
     assert!(answer.header("retry-after").is_some());
-    let answer = scene.send("POST", "/once/", "r-2").await;
-    assert_eq!((answer.status(), scene.count("r-2")), (200, 1));
+    let answer = fixture.send("POST", "/once/", "r-2").await;
+    assert_eq!((answer.status(), fixture.arrival_count("r-2")), (200, 1));
 }
 
 /// Path of a route that allows one attempt.
@@ -48,26 +48,26 @@
 
 #[tokio::test]
 async fn again_when_misdirected() {
-    let mut scene = scene(1).await;
+    let mut fixture = start_fixture(1).await;
     let other_incarnation = Server::start("a-old").await;
     other_incarnation.then(&vec![Act::OtherIncarnation; 100]);
     // The box prefers an upstream of its own hall, so the other one is in another hall.
-    let mut remote_entry = entry("plain", &scene.servers[0].address, "ready");
+    let mut remote_entry = entry("plain", &fixture.servers[0].address, "ready");
     remote_entry["zone"] = json!("south");
-    scene.site.enter(&scene.servers[0].id, &remote_entry);
-    scene.site.enter("a-old", &entry("plain", &other_incarnation.address, "ready"));
-    let peer = scene.site.gateway("north", &[&scene.gateway]);
+    fixture.site.enter(&fixture.servers[0].id, &remote_entry);
+    fixture.site.enter("a-old", &entry("plain", &other_incarnation.address, "ready"));
+    let peer = fixture.site.gateway("north", &[&fixture.gateway]);
     wait_ready(&peer).await;
     let known = async || {
-        [&scene.gateway, &peer].iter().all(|gateway| gateway.logged().contains("upstream=a-old"))
+        [&fixture.gateway, &peer].iter().all(|gateway| gateway.logged().contains("upstream=a-old"))
     };
     eventually("both boxes know the upstream", known).await;
     // Another incarnation, which has its address now, got the request; the one that was meant no
     // longer exists.
     for number in 0..8 {
         let id = format!("r-{number}");
-        let answer = scene.send("POST", ONE_ATTEMPT, &id).await;
-        assert_eq!((answer.status(), scene.count(&id)), (200, 1));
+        let answer = fixture.send("POST", ONE_ATTEMPT, &id).await;
+        assert_eq!((answer.status(), fixture.arrival_count(&id)), (200, 1));
     }
     assert_eq!(other_incarnation.arrived().len(), 1, "one such answer is enough");
     eventually("the peer avoids the upstream", async || {
@@ -82,45 +82,45 @@
 
 #[tokio::test]
 async fn again_when_unsent() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     // Nothing listens at this address.
-    scene.site.enter("s-gone", &entry("plain", "127.0.0.1:9", "ready"));
-    eventually("the box knows the upstream", async || scene.gateway.logged().contains("s-gone"))
+    fixture.site.enter("s-gone", &entry("plain", "127.0.0.1:9", "ready"));
+    eventually("the box knows the upstream", async || fixture.gateway.logged().contains("s-gone"))
         .await;
     for number in 0..6 {
         let id = format!("r-{number}");
-        let answer = scene.send("POST", "/once/", &id).await;
-        assert_eq!((answer.status(), scene.count(&id)), (200, 1));
+        let answer = fixture.send("POST", "/once/", &id).await;
+        assert_eq!((answer.status(), fixture.arrival_count(&id)), (200, 1));
     }
 }
 
 #[tokio::test]
 async fn surplus_answer() {
-    let scene = scene(1).await;
-    scene.servers[0].then(&[Act::Twice]);
+    let fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::Twice]);
     for number in 0..5 {
         let id = format!("r-{number}");
-        let answer = scene.send("POST", "/once/", &id).await;
+        let answer = fixture.send("POST", "/once/", &id).await;
         assert_eq!(answer.text(), format!("answer to {id}: "));
-        assert_eq!(scene.count(&id), 1);
+        assert_eq!(fixture.arrival_count(&id), 1);
     }
 }
 
 #[tokio::test]
 async fn time_over() {
-    let scene = scene(1).await;
-    scene.servers[0].then(&[Act::After(std::time::Duration::from_secs(20))]);
+    let fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::After(std::time::Duration::from_secs(20))]);
     let bytes = coursestile_standins::site::client::request("POST", "/once/", "r-1", "", "");
     let short_deadline =
         String::from_utf8(bytes).unwrap().replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 300");
-    let answer = scene.raw(short_deadline.as_bytes()).await.unwrap();
+    let answer = fixture.send_raw(short_deadline.as_bytes()).await.unwrap();
     assert_eq!(answer.status(), 504);
 }
 
 #[tokio::test]
 async fn without_length() {
-    let scene = scene(1).await;
-    scene.servers[0].then(&[Act::Unframed]);
-    let answer = scene.send("POST", "/once/", "r-1").await;
+    let fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::Unframed]);
+    let answer = fixture.send("POST", "/once/", "r-1").await;
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: "));
 }
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -56,7 +56,7 @@
 
 impl Fleet {
     async fn prompt(&self, id: &str) -> u16 {
-        common::prompt(&self.gateway, id).await
+        common::send_prompt(&self.gateway, id).await
     }
 
     async fn wait_version(&self, version: u64) {
--- a/tests/gateway_routing.rs
+++ b/tests/gateway_routing.rs
@@ -3,19 +3,19 @@
 #[path = "common/site.rs"]
 mod common;
 
-use common::scene;
+use common::start_fixture;
 use coursestile_standins::site::Site;
 use coursestile_standins::site::client::{once, request};
 
 #[tokio::test]
 async fn passed_whole() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let extra = "X-Tenant: thief\r\nPriority: 0\r\nHold: 7\r\nKv-From: 1.2.3.4:5/6\r\n\
                  Kv-Backup: 1.2.3.4:5\r\nPin-Ms: 9\r\nX-Own: kept\r\nConnection: x-hop\r\nX-Hop: 1\r\n";
-    let answer = scene.send_with("/safe/a/b?c=d", "r-1", extra, "the body").await;
+    let answer = fixture.send_with("/safe/a/b?c=d", "r-1", extra, "the body").await;
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: the body"));
     assert_eq!(answer.header("x-server-seal"), Some("seal-r-1"));
-    let arrived = scene.arrived("r-1");
+    let arrived = fixture.first_arrival("r-1");
     assert_eq!(arrived.start, "POST /safe/a/b?c=d HTTP/1.1");
     assert_eq!(arrived.text(), "the body");
     assert_eq!(arrived.header("x-own"), Some("kept"));
@@ -31,12 +31,12 @@
 
 #[tokio::test]
 async fn nowhere_or_unknown() {
-    let scene = scene(1).await;
-    assert_eq!(scene.send("GET", "/other/", "r-1").await.status(), 404);
+    let fixture = start_fixture(1).await;
+    assert_eq!(fixture.send("GET", "/other/", "r-1").await.status(), 404);
     let bytes = request("GET", "/safe/", "r-2", "", "");
     let unknown_key_request = String::from_utf8(bytes).unwrap().replace("key-1", "key-9");
-    assert_eq!(scene.raw(unknown_key_request.as_bytes()).await.unwrap().status(), 401);
-    assert_eq!(scene.count("r-1") + scene.count("r-2"), 0);
+    assert_eq!(fixture.send_raw(unknown_key_request.as_bytes()).await.unwrap().status(), 401);
+    assert_eq!(fixture.arrival_count("r-1") + fixture.arrival_count("r-2"), 0);
 }
 
 #[tokio::test]
@@ -56,15 +56,15 @@
 #[tokio::test]
 async fn repeated_elsewhere() {
     use coursestile_standins::site::server::Act;
-    let scene = scene(3).await;
-    for server in &scene.servers {
+    let fixture = start_fixture(3).await;
+    for server in &fixture.servers {
         server.then(&[Act::Close]);
     }
     // Three attempts are allowed, and the first connection to each upstream is closed.
-    let answer = scene.send("GET", "/safe/", "r-1").await;
-    assert_eq!((scene.count("r-1"), answer.status()), (3, 502));
-    let answer = scene.send("GET", "/safe/", "r-2").await;
-    assert_eq!((scene.count("r-2"), answer.status()), (1, 200));
+    let answer = fixture.send("GET", "/safe/", "r-1").await;
+    assert_eq!((fixture.arrival_count("r-1"), answer.status()), (3, 502));
+    let answer = fixture.send("GET", "/safe/", "r-2").await;
+    assert_eq!((fixture.arrival_count("r-2"), answer.status()), (1, 200));
 }
 
 /// Without retry budget, the client gets the upstream's own answer.
@@ -73,36 +73,36 @@
     use coursestile_standins::site::server::Act;
     let mut site = Site::start().await;
     site.retry_extra = 0;
-    let scene = common::scene_at(site, 2).await;
-    for server in &scene.servers {
+    let fixture = common::start_fixture_on(site, 2).await;
+    for server in &fixture.servers {
         server.then(&[Act::Status(500)]);
     }
-    let answer = scene.send("GET", "/safe/", "r-1").await;
+    let answer = fixture.send("GET", "/safe/", "r-1").await;
     assert_eq!((answer.status(), answer.header("x-server-seal")), (500, Some("seal-r-1")));
-    assert_eq!(scene.count("r-1"), 1);
+    assert_eq!(fixture.arrival_count("r-1"), 1);
 }
 
 #[tokio::test]
 async fn long_answers() {
     use coursestile_standins::site::server::Act;
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     for (path, id) in [("/once/", "r-1"), ("/safe/", "r-2")] {
-        scene.servers[0].then(&[Act::Long(700_000)]);
-        let answer = scene.send("POST", path, id).await;
+        fixture.servers[0].then(&[Act::Long(700_000)]);
+        let answer = fixture.send("POST", path, id).await;
         assert_eq!((answer.status(), answer.whole, answer.body.len()), (200, true, 700_000));
-        assert_eq!(scene.count(id), 1);
+        assert_eq!(fixture.arrival_count(id), 1);
     }
-    scene.servers[0].then(&[Act::LongCut(700_000)]);
-    let answer = scene.send("POST", "/once/", "r-3").await;
+    fixture.servers[0].then(&[Act::LongCut(700_000)]);
+    let answer = fixture.send("POST", "/once/", "r-3").await;
     assert!(answer.status() == 200 && !answer.whole, "a truncated answer must not look complete");
 }
 
 #[tokio::test]
 async fn own_failure_kept() {
     use coursestile_standins::site::server::Act;
-    let scene = scene(1).await;
-    scene.servers[0].then(&[Act::Status(500)]);
-    let answer = scene.send("POST", "/once/", "r-1").await;
+    let fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::Status(500)]);
+    let answer = fixture.send("POST", "/once/", "r-1").await;
     assert_eq!(answer.status(), 500);
     assert_eq!(answer.header("x-server-seal"), Some("seal-r-1"));
 }
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-use common::{Scene, scene, wait_ready};
+use common::{GatewayFixture, start_fixture, wait_ready};
 use coursestile::gateway::decisions::gossip_message::Gossip;
 use coursestile::gateway::decisions::view::ViewDigest;
 use coursestile::gateway::gossip::Datagram;
@@ -65,31 +65,31 @@
     matches!(read.await, Ok(Ok(_)))
 }
 
-/// A scene whose upstreams are behind proxies that can silence connections.
+/// A fixture whose upstreams are behind proxies that can silence connections.
 struct ProxiedScene {
-    scene: Scene,
+    fixture: GatewayFixture,
     proxies: Vec<Silencer>,
 }
 
 impl ProxiedScene {
     async fn start(upstreams: usize) -> Self {
-        let scene = scene(0).await;
-        Self::with_proxies(scene, upstreams).await
+        let fixture = start_fixture(0).await;
+        Self::with_proxies(fixture, upstreams).await
     }
 
-    async fn with_proxies(mut scene: Scene, upstreams: usize) -> Self {
+    async fn with_proxies(mut fixture: GatewayFixture, upstreams: usize) -> Self {
         let mut proxies = Vec::new();
         for number in 0..upstreams {
             let server = Server::start(&format!("s-{number}")).await;
             let proxy = Silencer::start(&server.address).await;
-            scene.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
+            fixture.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
             let seen = format!("upstream_seen upstream={}", server.id);
-            eventually("the upstream is known", async || scene.gateway.logged().contains(&seen))
+            eventually("the upstream is known", async || fixture.gateway.logged().contains(&seen))
                 .await;
-            scene.servers.push(server);
+            fixture.servers.push(server);
             proxies.push(proxy);
         }
-        Self { scene, proxies }
+        Self { fixture, proxies }
     }
 
     /// Opens several connections to each upstream, which are idle afterwards.
@@ -111,7 +111,7 @@
     async fn send(&self, method: &str, path: &str, id: &str, work_ms: &str) -> u16 {
         let extra = format!("{WORK_HEADER}: {work_ms}\r\n");
         let bytes = request(method, path, id, &extra, "");
-        self.scene.raw(&bytes).await.expect("an answer").status()
+        self.fixture.send_raw(&bytes).await.expect("an answer").status()
     }
 }
 
@@ -191,13 +191,13 @@
 /// Time for which the connection to an upstream is held after `fault` has happened to the client's
 /// connection.
 async fn held_after_fault(fault: fn(&Silencer, &mut Option<Client>)) -> Duration {
-    let scene = scene(0).await;
+    let fixture = start_fixture(0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
-    scene.site.enter("s-0", &entry("plain", &address, "ready"));
-    let known = async || scene.gateway.logged().contains("upstream_seen upstream=s-0");
+    fixture.site.enter("s-0", &entry("plain", &address, "ready"));
+    let known = async || fixture.gateway.logged().contains("upstream_seen upstream=s-0");
     eventually("the upstream is known", known).await;
-    let client_proxy = Silencer::start(&scene.gateway.clients).await;
+    let client_proxy = Silencer::start(&fixture.gateway.clients).await;
     let mut client = Client::connect(&client_proxy.address).await;
     let long_deadline = "X-Deadline-Ms: 20000\r\n";
     client.write(&request("POST", "/once/", "r-1", long_deadline, "")).await;
@@ -217,9 +217,9 @@
 /// another peer that knew the change, too.
 #[tokio::test]
 async fn other_peer_asked() {
-    let mut scene = scene(1).await;
-    let store_proxy = Silencer::start(&scene.site.metadata.address).await;
-    let cut_box = scene.site.gateway_at("north", &[&scene.gateway], &store_proxy.address);
+    let mut fixture = start_fixture(1).await;
+    let store_proxy = Silencer::start(&fixture.site.metadata.address).await;
+    let cut_box = fixture.site.gateway_at("north", &[&fixture.gateway], &store_proxy.address);
     wait_ready(&cut_box).await;
     let view_digest = ViewDigest { last_change_revision: 1_000_000, checksum: 1 };
     let gossip =
@@ -229,12 +229,12 @@
     eventually("the peer is queried", async || unresponsive_peer.connections() > 0).await;
     store_proxy.lead_to("127.0.0.1:1");
     store_proxy.reset_open();
-    scene.site.configure(&document(8));
+    fixture.site.configure(&document(8));
     let since = Instant::now();
     let in_force = async || cut_box.logged().contains("configuration_in_force version=8");
     eventually("the configuration is in force", in_force).await;
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
-    assert!(scene.gateway.is_alive());
+    assert!(fixture.gateway.is_alive());
 }
 
 /// In a large fleet, a box learns from another one what the context stores contain. The one that it
@@ -242,7 +242,7 @@
 /// queried it again and again, and never the other one of its hall.
 #[tokio::test]
 async fn other_teller_asked() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let hall = short_id("north");
     let gossip = Gossip { incarnation: 1, hall, millicores: 10_000, ..Gossip::default() };
     let mut fleet = Vec::new();
@@ -250,7 +250,7 @@
         let follows_caches = host < 2;
         let gossip = Gossip { follows_caches, ..gossip.clone() };
         fleet.push(
-            UnresponsivePeer::start(&scene.gateway.peers, UNRESPONSIVE_HOST + host, gossip).await,
+            UnresponsivePeer::start(&fixture.gateway.peers, UNRESPONSIVE_HOST + host, gossip).await,
         );
     }
     eventually("both peers are queried", async || {
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -5,45 +5,48 @@
 
 use std::time::Duration;
 
-use common::{is_ready, scene};
+use common::{is_ready, start_fixture};
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::eventually;
 use coursestile_standins::site::server::Act;
 
 #[tokio::test]
 async fn nothing_cut() {
-    let mut scene = scene(1).await;
-    scene.servers[0].then(&[Act::After(Duration::from_secs(4))]);
+    let mut fixture = start_fixture(1).await;
+    fixture.servers[0].then(&[Act::After(Duration::from_secs(4))]);
     let slow_request = request("POST", "/once/", "r-1", "", "");
     let slow_request = String::from_utf8(slow_request)
         .unwrap()
         .replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 9000");
     let mut newer_config = coursestile_standins::site::document(8);
     newer_config["routes"][1]["timeout_ms"] = serde_json::json!(9000);
-    scene.site.configure(&newer_config);
+    fixture.site.configure(&newer_config);
     eventually("the configuration is in force", async || {
-        scene.gateway.logged().contains("in_force version=8")
+        fixture.gateway.logged().contains("in_force version=8")
     })
     .await;
-    let mut slow_client = Client::connect(&scene.gateway.clients).await;
+    let mut slow_client = Client::connect(&fixture.gateway.clients).await;
     slow_client.write(slow_request.as_bytes()).await;
-    eventually("the request runs", async || scene.count("r-1") == 1).await;
-    scene.gateway.signal("-TERM");
-    eventually("the gateway is not ready any more", async || !is_ready(&scene.gateway).await).await;
+    eventually("the request runs", async || fixture.arrival_count("r-1") == 1).await;
+    fixture.gateway.signal("-TERM");
+    eventually("the gateway is not ready any more", async || !is_ready(&fixture.gateway).await)
+        .await;
     // Until the load balancer notices, requests are still served, and clients are asked to
     // reconnect.
-    let answer = scene.send("POST", "/once/", "r-2").await;
+    let answer = fixture.send("POST", "/once/", "r-2").await;
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     let answer = slow_client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: "));
-    assert_eq!(scene.gateway.ended().await, Some(0));
+    assert_eq!(fixture.gateway.ended().await, Some(0));
 }
 
 #[tokio::test]
 async fn settings_again() {
-    let scene = scene(1).await;
-    scene.gateway.signal("-HUP");
-    eventually("the settings are read", async || scene.gateway.logged().contains("event=reloaded"))
-        .await;
-    assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
+    let fixture = start_fixture(1).await;
+    fixture.gateway.signal("-HUP");
+    eventually("the settings are read", async || {
+        fixture.gateway.logged().contains("event=reloaded")
+    })
+    .await;
+    assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 200);
 }
--- a/tests/gateway_streams.rs
+++ b/tests/gateway_streams.rs
@@ -3,7 +3,7 @@
 #[path = "common/site.rs"]
 mod common;
 
-use common::{Scene, scene};
+use common::{GatewayFixture, start_fixture};
 use coursestile_standins::site::server::{Act, Server};
 
 fn events(id: &str, count: u32) -> String {
@@ -12,21 +12,21 @@
     events.collect::<Vec<_>>().concat()
 }
 
-/// A scene in which every upstream treats its first request as `act` says.
-async fn scene_with(servers: usize, act: &Act) -> Scene {
-    let scene = scene(servers).await;
-    for server in &scene.servers {
+/// A fixture in which every upstream treats its first request as `act` says.
+async fn start_fixture_with(servers: usize, act: &Act) -> GatewayFixture {
+    let fixture = start_fixture(servers).await;
+    for server in &fixture.servers {
         server.then(std::slice::from_ref(act));
     }
-    scene
+    fixture
 }
 
 #[tokio::test]
 async fn passed_on() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     for (path, id) in [("/stream/", "r-1"), ("/resume/", "r-2")] {
-        scene.servers[0].then(&[Act::Events(5)]);
-        let answer = scene.send("POST", path, id).await;
+        fixture.servers[0].then(&[Act::Events(5)]);
+        let answer = fixture.send("POST", path, id).await;
         assert_eq!((answer.status(), answer.whole), (200, true));
         assert_eq!(answer.text(), events(id, 5));
     }
@@ -34,21 +34,21 @@
 
 #[tokio::test]
 async fn broken_visibly() {
-    let scene = scene_with(2, &Act::Events(2)).await;
-    let answer = scene.send("POST", "/stream/", "r-1").await;
+    let fixture = start_fixture_with(2, &Act::Events(2)).await;
+    let answer = fixture.send("POST", "/stream/", "r-1").await;
     assert!(!answer.whole);
-    assert_eq!(scene.count("r-1"), 1);
+    assert_eq!(fixture.arrival_count("r-1"), 1);
 }
 
 #[tokio::test]
 async fn taken_up() {
-    let scene = scene_with(3, &Act::Events(2)).await;
+    let fixture = start_fixture_with(3, &Act::Events(2)).await;
     // Each of the three upstreams sends at most two whole events; the beginning of an event that
     // was cut off is not forwarded.
-    let answer = scene.send("POST", "/resume/", "r-1").await;
+    let answer = fixture.send("POST", "/resume/", "r-1").await;
     assert_eq!((answer.whole, answer.text()), (true, events("r-1", 5)));
-    assert_eq!(scene.count("r-1"), 3);
-    let all = scene.servers.iter().flat_map(Server::arrived);
+    assert_eq!(fixture.arrival_count("r-1"), 3);
+    let all = fixture.servers.iter().flat_map(Server::arrived);
     let mut resumed_after: Vec<_> =
         all.filter_map(|request| request.header("last-event-id").map(str::to_owned)).collect();
     resumed_after.sort();
@@ -59,8 +59,8 @@
 /// again.
 #[tokio::test]
 async fn taken_up_after_bytes() {
-    let scene = scene_with(2, &Act::RawEvents(2)).await;
-    let answer = scene.send("POST", "/resume/", "r-1").await;
+    let fixture = start_fixture_with(2, &Act::RawEvents(2)).await;
+    let answer = fixture.send("POST", "/resume/", "r-1").await;
     let ids: Vec<_> =
         answer.body.split(|byte| *byte == b'\n').filter(|line| line.starts_with(b"id:")).collect();
     assert_eq!(ids, [b"id: 1", b"id: 2", b"id: 3", b"id: 4"]);
@@ -68,9 +68,9 @@
 
 #[tokio::test]
 async fn attempts_used_up() {
-    let scene = scene_with(4, &Act::Events(1)).await;
-    let answer = scene.send("POST", "/resume/", "r-1").await;
+    let fixture = start_fixture_with(4, &Act::Events(1)).await;
+    let answer = fixture.send("POST", "/resume/", "r-1").await;
     assert!(!answer.whole);
     assert_eq!(answer.text(), events("r-1", 3));
-    assert_eq!(scene.count("r-1"), 3);
+    assert_eq!(fixture.arrival_count("r-1"), 3);
 }
--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -3,7 +3,7 @@
 #[path = "common/site.rs"]
 mod common;
 
-use common::scene;
+use common::start_fixture;
 use coursestile::gateway::decisions::urgency::{RouteTimeouts, rank};
 use coursestile_standins::site::client::request;
 use rstest::rstest;
@@ -63,14 +63,14 @@
 
 #[tokio::test]
 async fn told_to_upstreams() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let long_deadline = request("GET", "/safe/x", "r-1", "", "");
     let short_deadline = String::from_utf8(request("GET", "/safe/x", "r-2", "", "")).unwrap();
     let short_deadline = short_deadline.replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 1500");
     for bytes in [&long_deadline, short_deadline.as_bytes()] {
-        assert_eq!(scene.raw(bytes).await.expect("an answer").status(), 200);
+        assert_eq!(fixture.send_raw(bytes).await.expect("an answer").status(), 200);
     }
-    let priority = |id| scene.arrived(id).header("priority").map(str::to_owned);
+    let priority = |id| fixture.first_arrival(id).header("priority").map(str::to_owned);
     assert_eq!((priority("r-1").as_deref(), priority("r-2").as_deref()), (Some("1"), Some("5")));
-    assert!(scene.gateway.logged().contains("event=ranked_late request=r-2"));
+    assert!(fixture.gateway.logged().contains("event=ranked_late request=r-2"));
 }
--- a/tests/gateway_view.rs
+++ b/tests/gateway_view.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use common::{is_ready, scene, wait_ready};
+use common::{is_ready, start_fixture, wait_ready};
 use coursestile_standins::site::client::once;
 use coursestile_standins::site::metadata::Trouble;
 use coursestile_standins::site::server::Server;
@@ -15,34 +15,34 @@
 
 #[tokio::test]
 async fn never_back() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let mut older_config = document(6);
     older_config["routes"] = json!([]);
-    scene.site.configure(&older_config);
+    fixture.site.configure(&older_config);
     eventually("the older configuration is logged", async || {
-        scene.gateway.logged().contains("configuration_older")
+        fixture.gateway.logged().contains("configuration_older")
     })
     .await;
-    assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
-    scene.site.metadata.put("op/config", b"{ no document", 0);
+    assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 200);
+    fixture.site.metadata.put("op/config", b"{ no document", 0);
     eventually("the unreadable configuration is logged", async || {
-        scene.gateway.logged().contains("configuration_unreadable")
+        fixture.gateway.logged().contains("configuration_unreadable")
     })
     .await;
-    assert_eq!(scene.send("GET", "/safe/", "r-2").await.status(), 200);
+    assert_eq!(fixture.send("GET", "/safe/", "r-2").await.status(), 200);
 }
 
 #[tokio::test]
 async fn key_revoked() {
-    let scene = scene(1).await;
+    let fixture = start_fixture(1).await;
     let mut newer_config = document(9);
     newer_config["tenants"][0]["api_keys"] = json!(["key-2"]);
     let mut open_client =
-        coursestile_standins::site::client::Client::connect(&scene.gateway.clients).await;
+        coursestile_standins::site::client::Client::connect(&fixture.gateway.clients).await;
     let request_bytes =
         |id: &str| coursestile_standins::site::client::request("GET", "/safe/", id, "", "");
     assert_eq!(open_client.send(&request_bytes("r-1")).await.unwrap().status(), 200);
-    scene.site.configure(&newer_config);
+    fixture.site.configure(&newer_config);
     eventually("the key is refused", async || {
         open_client.send(&request_bytes("r-2")).await.unwrap().status() == 401
     })
@@ -51,29 +51,29 @@
 
 #[tokio::test]
 async fn history_lost() {
-    let scene = scene(1).await;
-    scene.site.metadata.trouble(Trouble::Busy);
+    let fixture = start_fixture(1).await;
+    fixture.site.metadata.trouble(Trouble::Busy);
     eventually("the outage is noticed", async || {
-        scene.gateway.logged().contains("dependency_lost")
+        fixture.gateway.logged().contains("dependency_lost")
     })
     .await;
     let mut newer_config = document(9);
     newer_config["routes"][0]["path_prefix"] = json!("/moved/");
-    scene.site.configure(&newer_config);
-    scene.site.metadata.compact();
-    scene.site.metadata.trouble(Trouble::None);
+    fixture.site.configure(&newer_config);
+    fixture.site.metadata.compact();
+    fixture.site.metadata.trouble(Trouble::None);
     eventually("the configuration is in force", async || {
-        scene.send("GET", "/moved/", "r-1").await.status() == 200
+        fixture.send("GET", "/moved/", "r-1").await.status() == 200
     })
     .await;
-    assert!(scene.gateway.logged().contains("history_lost"));
+    assert!(fixture.gateway.logged().contains("history_lost"));
 }
 
 #[tokio::test]
 async fn told_by_peer() {
-    let mut scene = scene(1).await;
-    scene.site.metadata.trouble(Trouble::Silent);
-    let late_box = scene.site.gateway("east", &[&scene.gateway]);
+    let mut fixture = start_fixture(1).await;
+    fixture.site.metadata.trouble(Trouble::Silent);
+    let late_box = fixture.site.gateway("east", &[&fixture.gateway]);
     wait_ready(&late_box).await;
     let answer = once(&late_box.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 200);
@@ -81,13 +81,13 @@
 
 #[tokio::test]
 async fn peer_no_store() {
-    let mut scene = scene(1).await;
-    let store_access = scene.site.metadata.door().await;
-    let cut_box = scene.site.gateway_at("east", &[&scene.gateway], &store_access.address);
+    let mut fixture = start_fixture(1).await;
+    let store_access = fixture.site.metadata.door().await;
+    let cut_box = fixture.site.gateway_at("east", &[&fixture.gateway], &store_access.address);
     wait_ready(&cut_box).await;
     store_access.close();
     for version in 8..12 {
-        scene.site.configure(&document(version));
+        fixture.site.configure(&document(version));
         let in_force = format!("event=configuration_in_force version={version}");
         eventually("the configuration is in force", async || cut_box.logged().contains(&in_force))
             .await;
@@ -109,30 +109,30 @@
 
 #[tokio::test]
 async fn bad_entry() {
-    let scene = scene(1).await;
-    scene.site.metadata.put("servers/s-bad", b"[1, 2", 0);
+    let fixture = start_fixture(1).await;
+    fixture.site.metadata.put("servers/s-bad", b"[1, 2", 0);
     eventually("the unreadable entry is logged", async || {
-        scene.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.logged().contains("upstream_unreadable")
     })
     .await;
-    assert_eq!(scene.send("GET", "/safe/", "r-1").await.status(), 200);
-    assert!(is_ready(&scene.gateway).await);
+    assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 200);
+    assert!(is_ready(&fixture.gateway).await);
 }
 
 #[tokio::test]
 async fn leaving_upstream() {
-    let scene = scene(2).await;
-    let leaving = &scene.servers[0];
-    scene.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
+    let fixture = start_fixture(2).await;
+    let leaving = &fixture.servers[0];
+    fixture.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
     eventually("the departure is known", async || {
-        scene.gateway.logged().contains("upstream=s-0 service=plain hall=north leaving=true")
+        fixture.gateway.logged().contains("upstream=s-0 service=plain hall=north leaving=true")
     })
     .await;
     for number in 0..10 {
-        scene.send("GET", "/safe/", &format!("r-{number}")).await;
+        fixture.send("GET", "/safe/", &format!("r-{number}")).await;
     }
     assert_eq!(leaving.arrived().len(), 0);
-    assert_eq!(scene.servers[1].arrived().len(), 10);
+    assert_eq!(fixture.servers[1].arrived().len(), 10);
 }
 
 #[tokio::test]
--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{Scene, scene, wait_ready};
+use common::{GatewayFixture, start_fixture, wait_ready};
 use coursestile_standins::site::metadata::Trouble;
 use coursestile_standins::site::silencer::Silencer;
 use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
@@ -21,12 +21,12 @@
 
 /// Loses the watch call that the gateway has just made after a change: the store stops answering
 /// and is back after 100 ms.
-async fn lose_watch(scene: &Scene) {
-    scene.site.configure(&document(8));
-    eventually("the change is in force", async || in_force(&scene.gateway, 8)).await;
-    scene.site.metadata.trouble(Trouble::Silent);
+async fn lose_watch(fixture: &GatewayFixture) {
+    fixture.site.configure(&document(8));
+    eventually("the change is in force", async || in_force(&fixture.gateway, 8)).await;
+    fixture.site.metadata.trouble(Trouble::Silent);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    scene.site.metadata.trouble(Trouble::None);
+    fixture.site.metadata.trouble(Trouble::None);
 }
 
 /// A change ended the watch calls of all boxes at once, and they sent new ones at once, which the
@@ -36,11 +36,11 @@
 /// on. Requests were served and refused as before.
 #[tokio::test]
 async fn change_after_lost() {
-    let scene = scene(1).await;
-    lose_watch(&scene).await;
-    scene.site.configure(&document(9));
+    let fixture = start_fixture(1).await;
+    lose_watch(&fixture).await;
+    fixture.site.configure(&document(9));
     let changed_at = Instant::now();
-    eventually("the change is in force", async || in_force(&scene.gateway, 9)).await;
+    eventually("the change is in force", async || in_force(&fixture.gateway, 9)).await;
     assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
 }
 
@@ -48,17 +48,17 @@
 /// upstream 2.8 and 3.1 s after it had announced that it was leaving, since none of them knew.
 #[tokio::test]
 async fn departure_after_lost() {
-    let scene = scene(2).await;
-    lose_watch(&scene).await;
-    let leaving = &scene.servers[0];
-    scene.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
+    let fixture = start_fixture(2).await;
+    lose_watch(&fixture).await;
+    let leaving = &fixture.servers[0];
+    fixture.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
     let left_at = Instant::now();
     let known_line = "upstream=s-0 service=plain hall=north leaving=true";
-    eventually("the departure is known", async || scene.gateway.logged().contains(known_line))
+    eventually("the departure is known", async || fixture.gateway.logged().contains(known_line))
         .await;
     assert!(left_at.elapsed() < LATE_AFTER, "known only after {:?}", left_at.elapsed());
     for number in 0..10 {
-        scene.send("GET", "/safe/", &format!("r-{number}")).await;
+        fixture.send("GET", "/safe/", &format!("r-{number}")).await;
     }
     assert_eq!(
         leaving.arrived().len(),
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -79,7 +79,7 @@
     }
 
     async fn prompt(&self, id: &str) -> u16 {
-        common::prompt(&self.gateways[0], id).await
+        common::send_prompt(&self.gateways[0], id).await
     }
 
     /// Number of times that the request `id` has arrived at engines.
