--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{check_completion, completion, fleet, text};
+use common::{check_completion, completion_request, completion_text, start_fleet};
 use coursestile_standins::answer::whole;
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
@@ -13,8 +13,8 @@
 
 /// Starts a long answer at box 0 and waits until an engine runs it.
 async fn start_long(fleet: &Fleet) -> (tokio::task::JoinHandle<String>, usize) {
-    let request = completion(fleet, 0, KEY, "A long report, please.", 300);
-    let answer = tokio::spawn(async move { text(request.send().await.unwrap()).await });
+    let request = completion_request(fleet, 0, KEY, "A long report, please.", 300);
+    let answer = tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
         for (index, engine) in fleet.engines.iter().enumerate() {
@@ -33,7 +33,7 @@
 
 #[tokio::test]
 async fn engine_killed() {
-    let fleet = fleet(&Plan::one_hall(2, 3, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
     let (answer, engine) = start_long(&fleet).await;
     fleet.engines[engine].kill();
     assert_eq!(answer.await.unwrap(), long_answer());
@@ -41,7 +41,7 @@
 
 #[tokio::test]
 async fn engine_frozen() {
-    let fleet = fleet(&Plan::one_hall(2, 3, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
     let (answer, engine) = start_long(&fleet).await;
     fleet.engines[engine].signal("-STOP");
     assert_eq!(answer.await.unwrap(), long_answer());
@@ -50,7 +50,7 @@
 
 #[tokio::test]
 async fn pieces_reordered() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     fleet.fault(&fleet.engines[0], json!({ "reorder": true, "slow_ms": 50 })).await;
     for number in 0..5 {
         check_completion(&fleet, 0, KEY, &format!("Question {number}?"), 60).await;
@@ -59,7 +59,7 @@
 
 #[tokio::test]
 async fn stream_broken() {
-    let fleet = fleet(&Plan::one_hall(1, 2, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 2, 0)).await;
     for engine in &fleet.engines {
         fleet.fault(engine, json!({ "break_after_pieces": 25 })).await;
     }
@@ -68,7 +68,7 @@
 
 #[tokio::test]
 async fn dispatcher_killed() {
-    let fleet = fleet(&Plan::one_hall(3, 2, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(3, 2, 0)).await;
     check_completion(&fleet, 0, KEY, "Who decides?", 5).await;
     let mut owner = None;
     for (index, entry_box) in fleet.boxes.iter().enumerate() {
@@ -85,7 +85,7 @@
 
 #[tokio::test]
 async fn caller_resumes() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let body = json!({ "model": "summary", "prompt": "Go on?", "max_tokens": 80, "stream": true });
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
     let mut first = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
@@ -112,7 +112,7 @@
 
 #[tokio::test]
 async fn caller_cancels() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let body = json!({ "model": "summary", "prompt": "Stop?", "max_tokens": 9000, "stream": true });
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
     let first = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
@@ -128,8 +128,8 @@
 
 #[tokio::test]
 async fn deadline_kept() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
-    let late = completion(&fleet, 0, KEY, "Too late?", 9000).header("x-timeout-ms", 400);
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
+    let late = completion_request(&fleet, 0, KEY, "Too late?", 9000).header("x-timeout-ms", 400);
     let begun_at = std::time::Instant::now();
     let answer = late.send().await.unwrap();
     assert_eq!(answer.status(), 504);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{check_completion, completion, fleet};
+use common::{check_completion, completion_request, start_fleet};
 use coursestile::settings::Settings;
 use coursestile_standins::fleet::{Plan, programs};
 use rstest::rstest;
@@ -12,7 +12,7 @@
 
 #[tokio::test]
 async fn requests_refused() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
     let cases = [
         (r#"{"model": "summary", "prompt""#.to_owned(), 400, "bad_request"),
@@ -33,14 +33,14 @@
         let body: Value = answer.json().await.unwrap();
         assert_eq!(body["error"]["type"], kind);
     }
-    let call = completion(&fleet, 0, KEY, "x", 1).header("x-timeout-ms", "soon");
+    let call = completion_request(&fleet, 0, KEY, "x", 1).header("x-timeout-ms", "soon");
     assert_eq!(call.send().await.unwrap().status(), 400);
     check_completion(&fleet, 0, KEY, "Still there?", 3).await;
 }
 
 #[tokio::test]
 async fn peer_refused() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let host = fleet.boxes[0].process.address.split(':').next().unwrap();
     let socket = nng::Socket::new(nng::Protocol::Push0).unwrap();
     socket.dial(&format!("tcp://{host}:7000")).unwrap();
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -159,5 +159,5 @@
 
 #[test]
 fn read_as_sealed() {
-    model::run::<World>(400, 80);
+    model::run_state_machine::<World>(400, 80);
 }
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -783,7 +783,7 @@
 
 #[test]
 fn one_holder_gets_on() {
-    model::run::<World>(1000, 120);
+    model::run_state_machine::<World>(1000, 120);
 }
 
 fn engines(numbers: &[u32]) -> BTreeSet<u32> {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the whole path share.
+//! Helpers for tests that run a fleet of real processes.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::fmt::Write as _;
@@ -8,8 +8,8 @@
 use reqwest::{RequestBuilder, Response};
 use serde_json::{Value, json};
 
-/// A long text, different for each `seed`, of about `tokens` tokens.
-pub fn context(seed: &str, tokens: usize) -> String {
+/// A text of `tokens` tokens of four bytes, different for each `seed`.
+pub fn context_text(seed: &str, tokens: usize) -> String {
     let mut text = String::new();
     let mut line = 0;
     while text.len() < tokens * 4 {
@@ -20,9 +20,9 @@
     text
 }
 
-/// Starts a fleet with the accounts `sanam` and `petra`, whose keys are
-/// `sanam-key` and `petra-key`.
-pub async fn fleet(plan: &Plan) -> Fleet {
+/// Starts a fleet with the accounts `sanam` and `petra`, whose API keys are `sanam-key` and
+/// `petra-key`, and waits until each box has this configuration.
+pub async fn start_fleet(plan: &Plan) -> Fleet {
     let fleet = Fleet::start(plan).await;
     fleet.must_operate(&["template", "set", "group", "--share", "1", "--models", "summary"]);
     fleet.must_operate(&["model", "set", "summary", "v1"]);
@@ -35,8 +35,8 @@
     fleet
 }
 
-/// A completion through box `at` with `key`.
-pub fn completion(
+/// A completion request to box number `at` with the API key `key`.
+pub fn completion_request(
     fleet: &Fleet,
     at: usize,
     key: &str,
@@ -48,41 +48,41 @@
     fleet.http.post(url).bearer_auth(key).json(&body)
 }
 
-/// Text of a whole answer.
-pub async fn text(response: Response) -> String {
+/// The completion's text in a successful response.
+pub async fn completion_text(response: Response) -> String {
     let status = response.status();
     let body: Value = response.json().await.unwrap();
     assert!(status.is_success(), "{status}: {body}");
     body["choices"][0]["text"].as_str().unwrap().to_owned()
 }
 
-/// Serves one completion and checks its answer.
+/// Sends a completion request and compares the whole response text with the expected one.
 pub async fn check_completion(fleet: &Fleet, at: usize, key: &str, prompt: &str, tokens: u32) {
-    let response = completion(fleet, at, key, prompt, tokens).send().await.unwrap();
+    let response = completion_request(fleet, at, key, prompt, tokens).send().await.unwrap();
     let expected = whole("v1", prompt, tokens as usize);
-    assert_eq!(text(response).await, expected);
+    assert_eq!(completion_text(response).await, expected);
 }
 
-/// A call to the plain service through box `at`.
-pub fn call(fleet: &Fleet, at: usize, key: &str, path: &str) -> RequestBuilder {
+/// A call of the service `scores` through box number `at`.
+pub fn service_call(fleet: &Fleet, at: usize, key: &str, path: &str) -> RequestBuilder {
     let url = format!("{}/app/scores{path}", fleet.boxes[at].process.url());
     fleet.http.post(url).bearer_auth(key)
 }
 
-/// A ticket prefix given by box `at`.
-pub async fn ticket(fleet: &Fleet, at: usize, key: &str) -> String {
+/// Requests a ticket from box number `at` and returns its prefix for idempotency keys.
+pub async fn request_ticket(fleet: &Fleet, at: usize, key: &str) -> String {
     let url = format!("{}/v1/tickets", fleet.boxes[at].process.url());
-    let answer = fleet.http.post(url).bearer_auth(key).send().await.unwrap();
-    let body: Value = answer.json().await.unwrap();
+    let response = fleet.http.post(url).bearer_auth(key).send().await.unwrap();
+    let body: Value = response.json().await.unwrap();
     body["prefix"].as_str().unwrap().to_owned()
 }
 
-/// How often the workers ran the call under `key`.
-pub async fn runs(fleet: &Fleet, key: &str) -> u64 {
+/// Number of times that the workers ran the call with the idempotency key `key`.
+pub async fn run_count(fleet: &Fleet, key: &str) -> u64 {
     let mut count = 0;
     for worker in &fleet.workers {
-        let runs = fleet.get(&format!("{}/runs", worker.url())).await.unwrap_or_default();
-        count += runs[key].as_u64().unwrap_or(0);
+        let runs_by_key = fleet.get(&format!("{}/runs", worker.url())).await.unwrap_or_default();
+        count += runs_by_key[key].as_u64().unwrap_or(0);
     }
     count
 }
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -162,5 +162,5 @@
 
 #[test]
 fn never_reverts() {
-    model::run::<World>(400, 80);
+    model::run_state_machine::<World>(400, 80);
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{completion, fleet};
+use common::{completion_request, start_fleet};
 use coursestile::clock::now_ms;
 use coursestile::configlog::{Change, ChangeProposal};
 use coursestile::consul::Consul;
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 async fn status_of(fleet: &Fleet, at: usize, key: &str) -> u16 {
-    completion(fleet, at, key, "Who scored?", 2).send().await.unwrap().status().as_u16()
+    completion_request(fleet, at, key, "Who scored?", 2).send().await.unwrap().status().as_u16()
 }
 
 fn set_version(id: &str, expects_revision: u64, version: &str) -> ChangeProposal {
@@ -27,7 +27,7 @@
 
 #[tokio::test]
 async fn answer_lost() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     fleet.fault(&fleet.platform, json!({ "lose_answers": 2 })).await;
     fleet.must_operate(&["account", "set", "extra", "--template", "group"]);
     let history = fleet.must_operate(&["history"]);
@@ -39,7 +39,7 @@
 
 #[tokio::test]
 async fn operators_race() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let platform = Consul::new(&fleet.platform.url());
     let (_, state) = read_config(&platform).await.unwrap();
     let seen = state.object_revision(&Object::Model("summary".to_owned()));
@@ -55,7 +55,7 @@
 #[tokio::test]
 async fn key_revoked() {
     let halls = vec![HallPlan::new("north", 2, 1, 0), HallPlan::new("east", 2, 1, 0)];
-    let fleet = fleet(&Plan::new(halls)).await;
+    let fleet = start_fleet(&Plan::new(halls)).await;
     fleet.fault(&fleet.platform, json!({ "slow_ms": 300 })).await;
     fleet.must_operate(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
     fleet.must_operate(&["account", "set", "petra", "--share", "0"]);
@@ -68,7 +68,7 @@
 
 #[tokio::test]
 async fn platform_out() {
-    let fleet = fleet(&Plan::one_hall(3, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(3, 1, 0)).await;
     fleet.fault(&fleet.platform, json!({ "outage": true })).await;
     // All boxes but one are replaced while the platform is out.
     for at in [0, 1] {
@@ -86,7 +86,7 @@
 
 #[tokio::test]
 async fn box_frozen() {
-    let fleet = fleet(&Plan::one_hall(2, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
     fleet.boxes[0].process.signal("-STOP");
     fleet.must_operate(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
     tokio::time::sleep(Duration::from_secs(2)).await;
@@ -103,7 +103,7 @@
 
 #[tokio::test]
 async fn head_compacted() {
-    let fleet = fleet(&Plan::one_hall(2, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
     let platform = Consul::new(&fleet.platform.url());
     for number in 0..90 {
         let (_, state) = read_config(&platform).await.unwrap();
@@ -124,7 +124,7 @@
 
 #[tokio::test]
 async fn change_refused() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let (code, text) = fleet.operate(&["account", "set", "new", "--template", "none"]);
     assert_eq!((code, text.contains("no template 'none'")), (1, true), "{text}");
     let (code, text) = fleet.operate(&["template", "remove", "group"]);
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{call, check_completion, completion, fleet};
+use common::{check_completion, completion_request, service_call, start_fleet};
 use coursestile_standins::fleet::{Fleet, Plan, Process};
 use coursestile_standins::site::eventually;
 use reqwest::Response;
@@ -15,7 +15,7 @@
 
 /// A hall of two boxes whose upstreams all end when they begin with deadly work.
 async fn deadly_hall() -> Fleet {
-    let fleet = fleet(&Plan::one_hall(2, 8, 8)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 8, 8)).await;
     for upstream in fleet.engines.iter().chain(&fleet.workers) {
         fleet.fault(upstream, json!({ "die_on": "deadly" })).await;
     }
@@ -40,16 +40,18 @@
 #[tokio::test]
 async fn completion_crashes() {
     let fleet = deadly_hall().await;
-    let answer = completion(&fleet, 0, KEY, "deadly", 10).send().await.unwrap();
+    let answer = completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap();
     let body: Value = answer.json().await.unwrap();
     assert_eq!(body["error"]["ran"], "outcome unknown", "{body}");
     assert_eq!(alive(&fleet, &fleet.engines).await, 8 - CRASHES);
     eventually("the other box knows", async || {
-        let answer = completion(&fleet, 1, KEY, "deadly", 10).send().await.unwrap();
+        let answer = completion_request(&fleet, 1, KEY, "deadly", 10).send().await.unwrap();
         is_held_back(answer).await
     })
     .await;
-    assert!(is_held_back(completion(&fleet, 0, KEY, "deadly", 10).send().await.unwrap()).await);
+    assert!(
+        is_held_back(completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap()).await
+    );
     assert_eq!(alive(&fleet, &fleet.engines).await, 8 - CRASHES);
     check_completion(&fleet, 1, KEY, "sound", 10).await;
 }
@@ -57,13 +59,13 @@
 #[tokio::test]
 async fn call_crashes() {
     let fleet = deadly_hall().await;
-    let answer = call(&fleet, 0, KEY, "/fixtures/deadly").send().await.unwrap();
+    let answer = service_call(&fleet, 0, KEY, "/fixtures/deadly").send().await.unwrap();
     assert_eq!(answer.status(), 502);
     assert_eq!(alive(&fleet, &fleet.workers).await, 8 - CRASHES);
     eventually("the other box knows", async || {
-        is_held_back(call(&fleet, 1, KEY, "/fixtures/deadly").send().await.unwrap()).await
+        is_held_back(service_call(&fleet, 1, KEY, "/fixtures/deadly").send().await.unwrap()).await
     })
     .await;
     assert_eq!(alive(&fleet, &fleet.workers).await, 8 - CRASHES);
-    assert_eq!(call(&fleet, 1, KEY, "/fixtures/sound").send().await.unwrap().status(), 200);
+    assert_eq!(service_call(&fleet, 1, KEY, "/fixtures/sound").send().await.unwrap().status(), 200);
 }
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use common::{call, fleet, runs};
+use common::{run_count, service_call, start_fleet};
 use coursestile::clock::now_ms;
 use coursestile::ledger::{CallKey, Ledger, Outcome};
 use coursestile::member::{Gossip, Health, Member};
@@ -95,7 +95,7 @@
 
 #[tokio::test]
 async fn not_run_stays() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 1)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 1)).await;
     let mut forwarder = Forwarder::new(&fleet).await;
     fleet.workers.iter().for_each(Process::kill);
     forwarder.forward(1, "lost");
@@ -107,19 +107,19 @@
     // The answer was lost on its way, so the call comes again under its number.
     forwarder.forward(1, "lost");
     assert_eq!(forwarder.end().await, (1, first));
-    assert_eq!(runs(&fleet, "lost").await, 0);
+    assert_eq!(run_count(&fleet, "lost").await, 0);
     // Its caller heard that it has not run, and makes it again.
     forwarder.forward(2, "lost");
     let (number, second) = forwarder.end().await;
     assert!(matches!((number, second.outcome), (2, Outcome::Answered(_))));
-    assert_eq!(runs(&fleet, "lost").await, 1);
+    assert_eq!(run_count(&fleet, "lost").await, 1);
 }
 
 #[tokio::test]
 async fn runs_once() {
     let mut plan = Plan::one_hall(1, 1, 1);
     plan.worker_args = vec![("work-ms".to_owned(), "600".to_owned())];
-    let fleet = fleet(&plan).await;
+    let fleet = start_fleet(&plan).await;
     let mut forwarder = Forwarder::new(&fleet).await;
     for _ in 0..3 {
         forwarder.forward(1, "again");
@@ -129,14 +129,14 @@
     assert!(matches!(first.outcome, Outcome::Answered(_)), "{first:?}");
     forwarder.forward(1, "again");
     assert_eq!(forwarder.end().await, (1, first));
-    assert_eq!(runs(&fleet, "again").await, 1);
+    assert_eq!(run_count(&fleet, "again").await, 1);
 }
 
 // A box gave its ledger to a peer and was gone before it had told anyone. The others
 // sent its calls to where it had been.
 #[tokio::test]
 async fn heir_speaks() {
-    let fleet = fleet(&Plan::one_hall(2, 1, 1)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 1, 1)).await;
     let leaver = Forwarder::new(&fleet).await;
     let member = Member {
         id: leaver.me.clone(),
@@ -153,7 +153,8 @@
     let ticket = Ticket { spender: leaver.me.clone(), expires_at_ms: now_ms() + 60_000, serial: 1 };
     let key = format!("{}/1", ticket.sign(&cluster_key(), "petra"));
     let order = |at: usize| {
-        let order = call(&fleet, at, "petra-key", "/orders/1").header("idempotency-key", &key);
+        let order =
+            service_call(&fleet, at, "petra-key", "/orders/1").header("idempotency-key", &key);
         order.header("x-timeout-ms", 8000).send()
     };
     // An empty ledger is not kept.
--- a/tests/halls_cut.rs
+++ b/tests/halls_cut.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use common::{call, check_completion, context, fleet, runs, ticket};
+use common::{
+    check_completion, context_text, request_ticket, run_count, service_call, start_fleet,
+};
 use coursestile_standins::fleet::{Fleet, HallPlan, Plan};
 use serde_json::json;
 
@@ -14,13 +16,13 @@
     let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 2, 2, 1));
     let mut plan = Plan::new(halls.to_vec());
     plan.wires = true;
-    fleet(&plan).await
+    start_fleet(&plan).await
 }
 
 async fn serve_everywhere(fleet: &Fleet, round: &str) {
     for at in 0..fleet.boxes.len() {
         for number in 0..4 {
-            let prompt = format!("{}?", context(&format!("{round} {at} {number}"), 600));
+            let prompt = format!("{}?", context_text(&format!("{round} {at} {number}"), 600));
             check_completion(fleet, at, KEY, &prompt, 5).await;
         }
     }
@@ -62,9 +64,9 @@
 #[tokio::test]
 async fn ticket_across() {
     let fleet = three_halls().await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     let order = |at: usize, key: String| {
-        let order = call(&fleet, at, KEY, "/orders/1").header("idempotency-key", key);
+        let order = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", key);
         async { order.header("x-timeout-ms", 800).send().await.unwrap() }
     };
     let key = format!("{prefix}/1");
@@ -76,5 +78,5 @@
     fleet.cut_hall("north", false).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(order(2, key.clone()).await.status(), 200);
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/kept_context.rs
+++ b/tests/kept_context.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{check_completion, completion, context, fleet};
+use common::{check_completion, completion_request, context_text, start_fleet};
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
 
@@ -17,8 +17,8 @@
 }
 
 async fn ask(fleet: &Fleet, key: &str, book: &str) -> u64 {
-    let prompt = format!("{}What now?", context(book, 3000));
-    let answer = completion(fleet, 0, key, &prompt, 5).send().await.unwrap();
+    let prompt = format!("{}What now?", context_text(book, 3000));
+    let answer = completion_request(fleet, 0, key, &prompt, 5).send().await.unwrap();
     let body: Value = answer.json().await.unwrap();
     let expected = coursestile_standins::answer::whole("v1", &prompt, 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
@@ -44,7 +44,7 @@
 
 #[tokio::test]
 async fn context_returns() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "rulebook").await;
     let cached = ask(&fleet, "sanam-key", "rulebook").await;
     assert!(cached >= 2560, "only {cached} tokens came back");
@@ -54,7 +54,7 @@
 
 #[tokio::test]
 async fn accounts_apart() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "shared text").await;
     ask(&fleet, "sanam-key", "shared text").await;
     assert_eq!(ask(&fleet, "petra-key", "shared text").await, 0, "equal text, nothing shared");
@@ -62,7 +62,7 @@
 
 #[tokio::test]
 async fn content_checked() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "rulebook").await;
     // The store hands out other bytes than were sealed.
     fleet.fault(&fleet.stores[0], json!({ "corrupt_reads": true })).await;
@@ -74,10 +74,10 @@
 
 #[tokio::test]
 async fn half_written() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     // The engine dies in the middle of a write; the store serves what it has.
     fleet.fault(&fleet.stores[0], json!({ "slowdown": 40, "serve_unsealed": true })).await;
-    let prompt = format!("{}What now?", context("rulebook", 3000));
+    let prompt = format!("{}What now?", context_text("rulebook", 3000));
     for _ in 0..3 {
         check_completion(&fleet, 0, "sanam-key", &prompt, 5).await;
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -93,7 +93,7 @@
 
 #[tokio::test]
 async fn block_freed() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "rulebook").await;
     // Another holder freed the blocks, which the dispatcher has not heard.
     for block in blocks(&fleet).await {
@@ -106,7 +106,7 @@
 
 #[tokio::test]
 async fn store_dead() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "rulebook").await;
     fleet.stores[0].signal("-STOP");
     for _ in 0..3 {
@@ -119,7 +119,7 @@
 async fn store_full() {
     let mut plan = plan();
     plan.store_bytes = 100_000_000;
-    let fleet = fleet(&plan).await;
+    let fleet = start_fleet(&plan).await;
     for book in 0..6 {
         for _ in 0..2 {
             ask(&fleet, "sanam-key", &format!("book {book}")).await;
@@ -132,7 +132,7 @@
 
 #[tokio::test]
 async fn directory_rebuilt() {
-    let fleet = fleet(&plan()).await;
+    let fleet = start_fleet(&plan()).await;
     keep_and_forget(&fleet, "sanam-key", "rulebook").await;
     for at in 0..2 {
         fleet.boxes[at].process.restart();
@@ -148,8 +148,9 @@
 
 #[tokio::test]
 async fn start_shared() {
-    let fleet = fleet(&plan()).await;
-    let prompt = |page: &str| format!("{}{}", context("style pack", 2048), context(page, 1024));
+    let fleet = start_fleet(&plan()).await;
+    let prompt =
+        |page: &str| format!("{}{}", context_text("style pack", 2048), context_text(page, 1024));
     for _ in 0..3 {
         check_completion(&fleet, 0, "sanam-key", &prompt("page one"), 5).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -159,7 +160,8 @@
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     // The kept block goes on with another page than this prompt.
-    let answer = completion(&fleet, 0, "sanam-key", &prompt("page two"), 5).send().await.unwrap();
+    let answer =
+        completion_request(&fleet, 0, "sanam-key", &prompt("page two"), 5).send().await.unwrap();
     let body: Value = answer.json().await.unwrap();
     let expected = coursestile_standins::answer::whole("v1", &prompt("page two"), 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-use common::{check_completion, completion, fleet, text};
+use common::{check_completion, completion_request, completion_text, start_fleet};
 use coursestile_standins::answer::whole;
 use coursestile_standins::fleet::{Fleet, HallPlan, Plan};
 use serde_json::json;
@@ -29,9 +29,9 @@
 #[tokio::test]
 async fn upstream_leaves() {
     let halls = vec![HallPlan::new("north", 2, 2, 0), HallPlan::new("east", 2, 1, 0)];
-    let fleet = fleet(&Plan::new(halls)).await;
-    let long = completion(&fleet, 0, KEY, "A long one.", 600);
-    let long = tokio::spawn(async move { text(long.send().await.unwrap()).await });
+    let fleet = start_fleet(&Plan::new(halls)).await;
+    let long = completion_request(&fleet, 0, KEY, "A long one.", 600);
+    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
     send_some(&fleet, 8).await;
     fleet.must_operate(&["upstream", "leave", "north-e1"]);
     // The change is accepted; from here on the platform is out.
@@ -46,7 +46,7 @@
 
 #[tokio::test]
 async fn engine_says_so() {
-    let fleet = fleet(&Plan::one_hall(2, 2, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
     send_some(&fleet, 4).await;
     let leave = json!({ "fence": 999, "leave": true });
     let order = fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&leave);
@@ -58,9 +58,9 @@
 
 #[tokio::test]
 async fn box_stops() {
-    let fleet = fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long = completion(&fleet, 0, KEY, "A long one.", 900);
-    let long = tokio::spawn(async move { text(long.send().await.unwrap()).await });
+    let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
+    let long = completion_request(&fleet, 0, KEY, "A long one.", 900);
+    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.boxes[0].process.signal("-TERM");
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -79,7 +79,7 @@
 
 #[tokio::test]
 async fn rolling_restart() {
-    let fleet = fleet(&Plan::one_hall(3, 3, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(3, 3, 0)).await;
     let urls: Vec<_> = fleet.boxes.iter().map(|one| one.process.url()).collect();
     let ready: Vec<_> =
         fleet.boxes.iter().map(|one| format!("http://{}/ready", one.operators)).collect();
@@ -103,7 +103,7 @@
                     let body = json!({ "model": "summary", "prompt": prompt, "max_tokens": 40 });
                     let call = http.post(format!("{}/v1/completions", urls[at])).bearer_auth(KEY);
                     let answer = call.json(&body).send().await.expect("the request was cut");
-                    assert_eq!(text(answer).await, whole("v1", &prompt, 40));
+                    assert_eq!(completion_text(answer).await, whole("v1", &prompt, 40));
                     sent.fetch_add(1, Ordering::Relaxed);
                 }
             })
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -141,5 +141,5 @@
 
 #[test]
 fn spent_once() {
-    model::run::<World>(400, 60);
+    model::run_state_machine::<World>(400, 60);
 }
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{call, fleet, runs, ticket};
+use common::{request_ticket, run_count, service_call, start_fleet};
 use coursestile_standins::fleet::{Fleet, Plan, Process};
 use reqwest::Response;
 use serde_json::json;
@@ -15,11 +15,11 @@
 async fn slow_worker(work_ms: u64) -> Fleet {
     let mut plan = Plan::one_hall(3, 1, 2);
     plan.worker_args = vec![("work-ms".to_owned(), work_ms.to_string())];
-    fleet(&plan).await
+    start_fleet(&plan).await
 }
 
 async fn order(fleet: &Fleet, at: usize, key: &str, timeout_ms: u64) -> Option<Response> {
-    let order = call(fleet, at, KEY, "/orders/7").header("idempotency-key", key);
+    let order = service_call(fleet, at, KEY, "/orders/7").header("idempotency-key", key);
     order.header("x-timeout-ms", timeout_ms).send().await.ok()
 }
 
@@ -35,8 +35,8 @@
 #[tokio::test]
 async fn spender_killed() {
     let fleet = slow_worker(600).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
-    let first = call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
+    let first = service_call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
     let first = tokio::spawn(first);
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.boxes[0].process.kill();
@@ -52,13 +52,13 @@
         let again = order(&fleet, at, &key, 700).await.unwrap();
         assert_ne!(again.status(), 200, "a new incarnation does not spend an old ticket");
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn spender_frozen() {
     let fleet = slow_worker(5).await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     let (spent, fresh) = (format!("{prefix}/1"), format!("{prefix}/2"));
     assert_eq!(run_of(order(&fleet, 0, &spent, 1000).await.unwrap()).await, 1);
     fleet.boxes[0].process.signal("-STOP");
@@ -70,16 +70,16 @@
     fleet.boxes[0].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(1)).await;
     // The forwarded call was past its deadline when the box woke.
-    assert_eq!(runs(&fleet, &fresh).await, 0);
+    assert_eq!(run_count(&fleet, &fresh).await, 0);
     assert_eq!(run_of(order(&fleet, 1, &spent, 2000).await.unwrap()).await, 1);
     assert_eq!(run_of(order(&fleet, 2, &fresh, 2000).await.unwrap()).await, 1);
-    assert_eq!((runs(&fleet, &spent).await, runs(&fleet, &fresh).await), (1, 1));
+    assert_eq!((run_count(&fleet, &spent).await, run_count(&fleet, &fresh).await), (1, 1));
 }
 
 #[tokio::test]
 async fn answer_lost() {
     let fleet = slow_worker(5).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     for worker in &fleet.workers {
         fleet.fault(worker, json!({ "lose_answers": 1 })).await;
     }
@@ -87,14 +87,14 @@
         let lost = order(&fleet, at, &key, 500).await.unwrap();
         assert_eq!(ran(&lost), "outcome unknown");
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn worker_killed() {
     let fleet = slow_worker(600).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
-    let order = call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
+    let order = service_call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
     let order = tokio::spawn(order);
     tokio::time::sleep(Duration::from_millis(250)).await;
     for worker in &fleet.workers {
@@ -109,45 +109,48 @@
     for worker in &fleet.workers {
         fleet.wait_for(&format!("{}/runs", worker.url())).await;
     }
-    assert_eq!(runs(&fleet, &key).await, 1, "it was not tried at the other worker");
+    assert_eq!(run_count(&fleet, &key).await, 1, "it was not tried at the other worker");
 }
 
 #[tokio::test]
 async fn sent_twice() {
     let fleet = slow_worker(300).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     let sent = [0, 0, 1, 2].map(|at| order(&fleet, at, &key, 5000));
     for answer in futures_util::future::join_all(sent).await {
         assert_eq!(run_of(answer.unwrap()).await, 1);
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn key_refused() {
     let fleet = slow_worker(5).await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     let forged = format!("{}/1", prefix.replace("north-b1", "north-b2"));
     for key in ["no-prefix", "a/b", &forged] {
         let refused = order(&fleet, 0, key, 1000).await.unwrap();
         assert_eq!((refused.status().as_u16(), ran(&refused)), (400, "not run"));
     }
-    let others =
-        call(&fleet, 0, "sanam-key", "/orders/7").header("idempotency-key", format!("{prefix}/1"));
+    let others = service_call(&fleet, 0, "sanam-key", "/orders/7")
+        .header("idempotency-key", format!("{prefix}/1"));
     assert_eq!(others.send().await.unwrap().status(), 400, "another account's ticket");
     let key = format!("{prefix}/2");
     assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
-    let other =
-        call(&fleet, 0, KEY, "/orders/8").header("idempotency-key", &key).send().await.unwrap();
+    let other = service_call(&fleet, 0, KEY, "/orders/8")
+        .header("idempotency-key", &key)
+        .send()
+        .await
+        .unwrap();
     assert_eq!((other.status().as_u16(), ran(&other)), (409, "not run"));
-    assert_eq!(runs(&fleet, &key).await, 1);
-    assert_eq!(runs(&fleet, &forged).await, 0);
+    assert_eq!(run_count(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &forged).await, 0);
 }
 
 #[tokio::test]
 async fn worker_gone() {
     let fleet = slow_worker(5).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     fleet.workers.iter().for_each(Process::kill);
     let refused = order(&fleet, 1, &key, 1000).await.unwrap();
     assert_eq!((refused.status().as_u16(), ran(&refused)), (503, "not run"));
@@ -162,7 +165,7 @@
 #[tokio::test]
 async fn ledger_inherited() {
     let fleet = slow_worker(5).await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     let (spent, fresh) = (format!("{prefix}/1"), format!("{prefix}/2"));
     assert_eq!(run_of(order(&fleet, 0, &spent, 1000).await.unwrap()).await, 1);
     // Every box is replaced, one after another; the ledger goes along.
@@ -182,7 +185,7 @@
             assert_eq!(ran(&refused), "not run", "asked at {ask} after {at} was replaced");
         }
     }
-    assert_eq!((runs(&fleet, &spent).await, runs(&fleet, &fresh).await), (1, 0));
+    assert_eq!((run_count(&fleet, &spent).await, run_count(&fleet, &fresh).await), (1, 0));
 }
 
 // A box that stopped took both others for failing, since they had stood still, and gave its
@@ -190,7 +193,7 @@
 #[tokio::test]
 async fn heirs_suspected() {
     let fleet = slow_worker(5).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
     let (leaver, others) = fleet.boxes.split_first().unwrap();
     for other in others {
@@ -216,7 +219,7 @@
 #[tokio::test]
 async fn asked_before_joining() {
     let fleet = slow_worker(5).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
     let (replaced, others) = fleet.boxes.split_first().unwrap();
     replaced.process.signal("-TERM");
@@ -237,7 +240,7 @@
     };
     let (again, ()) = tokio::join!(order(&fleet, 0, &key, 5000), thaw);
     assert_eq!(run_of(again.unwrap()).await, 1);
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 // A box stood still while another one was replaced, and for longer than messages are
@@ -246,7 +249,7 @@
 #[tokio::test]
 async fn heir_missed() {
     let fleet = slow_worker(5).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
     let replaced = &fleet.boxes[0];
     // Until then, a box that started asks for all that the others know.
@@ -265,5 +268,5 @@
     for at in [0, 1, 2] {
         assert_eq!(run_of(order(&fleet, at, &key, 3000).await.unwrap()).await, 1, "at {at}");
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use common::fleet;
+use common::start_fleet;
 use coursestile_standins::fleet::{Fleet, Plan};
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -112,7 +112,7 @@
 
 #[tokio::test]
 async fn boxes_stopped() {
-    let fleet = fleet(&Plan::one_hall(5, 6, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(5, 6, 0)).await;
     wait_held(&fleet).await;
     let over = AtomicBool::new(false);
     let (worst, ()) = tokio::join!(worst_load_time(&fleet, &over), stop_in_turn(&fleet, &over));
@@ -125,7 +125,7 @@
 // six engines had a new version after 23 s.
 #[tokio::test]
 async fn holders_killed() {
-    let fleet = fleet(&Plan::one_hall(3, 6, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(3, 6, 0)).await;
     wait_held(&fleet).await;
     let over = AtomicBool::new(false);
     let after = Duration::from_millis(500);
@@ -142,7 +142,7 @@
     let mut plan = Plan::one_hall(3, 6, 0);
     plan.checks_orders = false;
     plan.engine_args = vec![("check-orders".to_owned(), "false".to_owned())];
-    let fleet = fleet(&plan).await;
+    let fleet = start_fleet(&plan).await;
     wait_held(&fleet).await;
     let holder = (0..3).find(|at| times_held(&fleet, *at) > 0).unwrap();
     fleet.boxes[holder].process.kill();
@@ -158,7 +158,7 @@
 #[case::deaf(json!({ "refuse_orders": true }))]
 #[tokio::test]
 async fn others_load(#[case] fault: Value) {
-    let fleet = fleet(&Plan::one_hall(2, 6, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 6, 0)).await;
     wait_held(&fleet).await;
     for engine in &fleet.engines[..3] {
         fleet.fault(engine, fault.clone()).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use common::{completion, context, fleet};
+use common::{completion_request, context_text, start_fleet};
 use coursestile_standins::fleet::{Fleet, Plan};
 use futures_util::future::join_all;
 use serde_json::{Value, json};
@@ -23,13 +23,13 @@
 
 #[tokio::test]
 async fn refused_early() {
-    let fleet = fleet(&Plan::one_hall(2, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
     let begun_at = Instant::now();
     let mut calls = Vec::new();
     for wave in 0..6 {
         for number in 0..40 {
-            let prompt = format!("{}?", context(&format!("{wave} {number}"), 3000));
-            let call = completion(&fleet, number % 2, KEY, &prompt, 10);
+            let prompt = format!("{}?", context_text(&format!("{wave} {number}"), 3000));
+            let call = completion_request(&fleet, number % 2, KEY, &prompt, 10);
             calls.push(tokio::spawn(call.header("x-timeout-ms", 3000).send()));
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -56,11 +56,11 @@
 
 #[tokio::test]
 async fn not_run_true() {
-    let fleet = fleet(&Plan::one_hall(2, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
     let mut calls = Vec::new();
     for number in 0..200 {
-        let prompt = format!("{}?", context(&number.to_string(), 2000));
-        let call = completion(&fleet, number % 2, KEY, &prompt, 10);
+        let prompt = format!("{}?", context_text(&number.to_string(), 2000));
+        let call = completion_request(&fleet, number % 2, KEY, &prompt, 10);
         calls.push(tokio::spawn(call.header("x-timeout-ms", 1500).send()));
     }
     let mut not_run = 0;
@@ -76,13 +76,13 @@
 
 #[tokio::test]
 async fn retries_bounded() {
-    let fleet = fleet(&Plan::one_hall(2, 3, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
     for engine in &fleet.engines {
         fleet.fault(engine, json!({ "outage": true })).await;
     }
     let mut calls = Vec::new();
     for number in 0..100 {
-        let call = completion(&fleet, number % 2, KEY, &format!("Question {number}?"), 3);
+        let call = completion_request(&fleet, number % 2, KEY, &format!("Question {number}?"), 3);
         calls.push(tokio::spawn(call.header("x-timeout-ms", 4000).send()));
     }
     for answer in join_all(calls).await {
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -4,18 +4,18 @@
 
 use std::time::Duration;
 
-use common::{completion, context, fleet, text};
+use common::{completion_request, completion_text, context_text, start_fleet};
 use coursestile_standins::answer::whole;
 use coursestile_standins::fleet::Plan;
 use futures_util::future::join_all;
 
 #[tokio::test]
 async fn dispatcher_dies() {
-    let fleet = fleet(&Plan::one_hall(3, 1, 0)).await;
-    let prompt = |number: usize| format!("{}?", context(&format!("book {number}"), 2000));
+    let fleet = start_fleet(&Plan::one_hall(3, 1, 0)).await;
+    let prompt = |number: usize| format!("{}?", context_text(&format!("book {number}"), 2000));
     let call = |at: usize, number: usize| {
-        let call = completion(&fleet, at, "sanam-key", &prompt(number), 150);
-        tokio::spawn(async move { text(call.send().await.unwrap()).await })
+        let call = completion_request(&fleet, at, "sanam-key", &prompt(number), 150);
+        tokio::spawn(async move { completion_text(call.send().await.unwrap()).await })
     };
     call(0, 0).await.unwrap();
     let mut owner = 0;
--- a/tests/resting_workers.rs
+++ b/tests/resting_workers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{call, fleet};
+use common::{service_call, start_fleet};
 use coursestile_standins::fleet::{Fleet, Plan, Process};
 use serde_json::{Value, json};
 
@@ -22,12 +22,12 @@
 
 #[tokio::test]
 async fn one_rests() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 2)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 2)).await;
     turn_away(&fleet, &fleet.workers[0], true).await;
     let mut served = 0;
     for number in 0..20 {
         let path = format!("/fixtures/{number}");
-        let answer = call(&fleet, 0, KEY, &path).send().await.unwrap();
+        let answer = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
         served += u32::from(answer.status().is_success());
     }
     assert!(served >= 19, "{served} of 20");
@@ -36,13 +36,13 @@
 
 #[tokio::test]
 async fn all_rest() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 2)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 2)).await;
     for worker in &fleet.workers {
         turn_away(&fleet, worker, true).await;
     }
     for number in 0..10 {
         let path = format!("/orders/{number}");
-        let answer = call(&fleet, 0, KEY, &path).send().await.unwrap();
+        let answer = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
         assert_eq!(answer.status(), 503);
         if number >= 2 {
             let after_s: u64 = answer.headers()["retry-after"].to_str().unwrap().parse().unwrap();
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -5,7 +5,9 @@
 
 use std::time::{Duration, Instant};
 
-use common::{call, check_completion, completion, fleet, runs, ticket};
+use common::{
+    check_completion, completion_request, request_ticket, run_count, service_call, start_fleet,
+};
 use coursestile_standins::fleet::{Fleet, HallPlan, Kind, Plan};
 use futures_util::future::join_all;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,7 +22,7 @@
 /// Two halls, with a box in each that does not watch the platform.
 async fn two_halls() -> Fleet {
     let halls = ["north", "east"].map(|name| HallPlan::new(name, 3, 2, 1));
-    fleet(&Plan { relays: true, ..Plan::new(halls.to_vec()) }).await
+    start_fleet(&Plan { relays: true, ..Plan::new(halls.to_vec()) }).await
 }
 
 fn change_share(fleet: &Fleet, share: &str) {
@@ -84,12 +86,12 @@
 #[tokio::test]
 async fn peers_silenced() {
     let fleet = two_halls().await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     fleet.silence(Kind::Peers).await;
     change_share(&fleet, "2");
     wait_in_time(&fleet, 5).await;
     for at in 0..fleet.boxes.len() {
-        let order = call(&fleet, at, KEY, "/orders/1")
+        let order = service_call(&fleet, at, KEY, "/orders/1")
             .header("idempotency-key", format!("{prefix}/{at}"))
             .header("x-timeout-ms", 15_000);
         assert_eq!(order.send().await.unwrap().status(), 200, "asked at {at}");
@@ -107,7 +109,7 @@
     let boxes = 0..fleet.boxes.len();
     let asked = boxes.flat_map(|at| (0..AT_ONCE).map(move |number| (at, number)));
     let answers = asked.map(|(at, number)| {
-        completion(&fleet, at, KEY, &format!("Who saved {number}?"), 5)
+        completion_request(&fleet, at, KEY, &format!("Who saved {number}?"), 5)
             .header("x-timeout-ms", 15_000)
             .send()
     });
@@ -121,9 +123,9 @@
 #[tokio::test]
 async fn workers_silenced() {
     let fleet = two_halls().await;
-    let prefix = ticket(&fleet, 0, KEY).await;
+    let prefix = request_ticket(&fleet, 0, KEY).await;
     let order = |number: usize| {
-        let order = call(&fleet, 0, KEY, "/orders/1").header("x-timeout-ms", 5000);
+        let order = service_call(&fleet, 0, KEY, "/orders/1").header("x-timeout-ms", 5000);
         order.header("idempotency-key", format!("{prefix}/{number}")).send()
     };
     for answer in join_all((0..AT_ONCE).map(order)).await {
@@ -154,7 +156,7 @@
 // the body for ever, past the time that the caller had said it waits.
 #[tokio::test]
 async fn caller_silent() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 1)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 1)).await;
     let mut caller = TcpStream::connect(&fleet.boxes[0].process.address).await.unwrap();
     let begun = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: box\r\nauthorization: Bearer {KEY}\r\n\
@@ -173,10 +175,10 @@
 #[tokio::test]
 async fn handover_silenced() {
     let plan = Plan { relays: true, ..Plan::one_hall(3, 1, 1) };
-    let fleet = fleet(&plan).await;
-    let key = format!("{}/1", ticket(&fleet, 0, KEY).await);
+    let fleet = start_fleet(&plan).await;
+    let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     let order = |at: usize| {
-        let order = call(&fleet, at, KEY, "/orders/1").header("idempotency-key", &key);
+        let order = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", &key);
         order.header("x-timeout-ms", 5000).send()
     };
     assert_eq!(order(0).await.unwrap().status(), 200);
@@ -190,5 +192,5 @@
     for at in [1, 2] {
         assert_eq!(order(at).await.unwrap().status(), 200, "asked at {at}");
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{completion, fleet, text};
+use common::{completion_request, completion_text, start_fleet};
 use coursestile_standins::answer::whole;
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
@@ -30,26 +30,26 @@
 
 #[tokio::test]
 async fn swap_mid_run() {
-    let fleet = fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long = completion(&fleet, 0, KEY, "A long one.", 500);
-    let long = tokio::spawn(async move { text(long.send().await.unwrap()).await });
+    let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
+    let long = completion_request(&fleet, 0, KEY, "A long one.", 500);
+    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     wait_version(&fleet, "v2").await;
-    let new = completion(&fleet, 1, KEY, "A new one.", 10).send().await.unwrap();
-    assert_eq!(text(new).await, whole("v2", "A new one.", 10));
+    let new = completion_request(&fleet, 1, KEY, "A new one.", 10).send().await.unwrap();
+    assert_eq!(completion_text(new).await, whole("v2", "A new one.", 10));
     assert_eq!(long.await.unwrap(), whole("v1", "A long one.", 500), "it kept its own");
 }
 
 #[tokio::test]
 async fn swap_under_load() {
-    let fleet = fleet(&Plan::one_hall(2, 4, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 4, 0)).await;
     for round in 0..40 {
         if round == 10 {
             fleet.must_operate(&["model", "set", "summary", "v2"]);
         }
         let prompt = format!("Question {round}?");
-        let answer = completion(&fleet, round % 2, KEY, &prompt, 5).send().await.unwrap();
+        let answer = completion_request(&fleet, round % 2, KEY, &prompt, 5).send().await.unwrap();
         let body: Value = answer.json().await.unwrap();
         let version = body["system_fingerprint"].as_str().unwrap_or_else(|| panic!("{body}"));
         assert!(round < 10 || round < 15 || version == "v2", "round {round}: {body}");
@@ -60,29 +60,29 @@
 #[tokio::test]
 async fn version_unchecked() {
     // The engine does not check what a request expects, and ignores orders.
-    let fleet = fleet(&with(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
+    let fleet = start_fleet(&with(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
     fleet.fault(&fleet.engines[0], json!({ "refuse_orders": true })).await;
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_in_force(&boxes, 5, 1).await;
     for _ in 0..3 {
-        let refused = completion(&fleet, 0, KEY, "Which version?", 5).send().await.unwrap();
+        let refused = completion_request(&fleet, 0, KEY, "Which version?", 5).send().await.unwrap();
         assert!(!refused.status().is_success(), "nothing of v1 is let through");
     }
 }
 
 #[tokio::test]
 async fn version_not_allowed() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     fleet.must_operate(&["account", "set", "sanam", "--models", "summary=v1"]);
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_in_force(&boxes, 6, 1).await;
-    let refused = completion(&fleet, 0, KEY, "Mine?", 5).send().await.unwrap();
+    let refused = completion_request(&fleet, 0, KEY, "Mine?", 5).send().await.unwrap();
     assert_eq!(refused.status(), 403);
     wait_version(&fleet, "v2").await;
-    let other = completion(&fleet, 0, "petra-key", "Mine?", 5).send().await.unwrap();
-    assert_eq!(text(other).await, whole("v2", "Mine?", 5));
+    let other = completion_request(&fleet, 0, "petra-key", "Mine?", 5).send().await.unwrap();
+    assert_eq!(completion_text(other).await, whole("v2", "Mine?", 5));
 }
 
 /// The box of the fleet that holds the hall's lease.
@@ -95,7 +95,7 @@
 
 #[tokio::test]
 async fn orderer_frozen() {
-    let fleet = fleet(&Plan::one_hall(2, 2, 0)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
     while holder(&fleet).is_none() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -2,22 +2,25 @@
 
 mod common;
 
-use common::{call, check_completion, completion, context, fleet, runs, ticket};
+use common::{
+    check_completion, completion_request, context_text, request_ticket, run_count, service_call,
+    start_fleet,
+};
 use coursestile_standins::fleet::{HallPlan, Plan};
 
 #[tokio::test]
 async fn answer_whole() {
-    let fleet = fleet(&Plan::one_hall(2, 2, 1)).await;
+    let fleet = start_fleet(&Plan::one_hall(2, 2, 1)).await;
     for at in 0..2 {
         check_completion(&fleet, at, "sanam-key", "Who scored?", 12).await;
-        check_completion(&fleet, at, "petra-key", &context("style pack", 3000), 12).await;
+        check_completion(&fleet, at, "petra-key", &context_text("style pack", 3000), 12).await;
     }
 }
 
 #[tokio::test]
 async fn key_unknown() {
-    let fleet = fleet(&Plan::one_hall(1, 1, 0)).await;
-    let answer = completion(&fleet, 0, "stolen", "Who scored?", 4).send().await.unwrap();
+    let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
+    let answer = completion_request(&fleet, 0, "stolen", "Who scored?", 4).send().await.unwrap();
     assert_eq!(answer.status(), 401);
     assert_eq!(answer.headers()["x-coursestile-ran"], "not run");
 }
@@ -25,12 +28,13 @@
 #[tokio::test]
 async fn ticket_once() {
     let halls = vec![HallPlan::new("north", 2, 1, 1), HallPlan::new("east", 1, 1, 1)];
-    let fleet = fleet(&Plan::new(halls)).await;
-    let key = format!("{}/1", ticket(&fleet, 0, "petra-key").await);
+    let fleet = start_fleet(&Plan::new(halls)).await;
+    let key = format!("{}/1", request_ticket(&fleet, 0, "petra-key").await);
     for at in [0, 1, 2, 0] {
-        let once = call(&fleet, at, "petra-key", "/orders/7").header("idempotency-key", &key);
+        let once =
+            service_call(&fleet, at, "petra-key", "/orders/7").header("idempotency-key", &key);
         let answer = once.send().await.unwrap();
         assert_eq!(answer.status(), 200, "{}", answer.text().await.unwrap());
     }
-    assert_eq!(runs(&fleet, &key).await, 1);
+    assert_eq!(run_count(&fleet, &key).await, 1);
 }
