--- a/tests/admitting.rs
+++ b/tests/admitting.rs
@@ -15,9 +15,9 @@
 
 const ENGINES: usize = 3;
 /// Runs that fill the memory of all engines, two each.
-const HELD: usize = 2 * ENGINES;
+const FILLING_RUNS: usize = 2 * ENGINES;
 /// An eighth of the objective of the stand-in's routes, and some time for a busy machine.
-const AT_ONCE: Duration = Duration::from_millis(150);
+const REFUSAL_TIME: Duration = Duration::from_millis(150);
 
 struct Fleet {
     gateway: Gateway,
@@ -26,7 +26,7 @@
 }
 
 /// A fleet whose engines hold the streams that they begin.
-async fn fleet() -> Fleet {
+async fn start_fleet() -> Fleet {
     let mut site = Site::start().await;
     let mut engines = Vec::new();
     for number in 0..ENGINES {
@@ -51,26 +51,26 @@
 }
 
 impl Fleet {
-    fn runs(&self) -> usize {
+    fn run_count(&self) -> usize {
         self.engines.iter().map(|engine| engine.runs().len()).sum()
     }
 
     /// Begins a run that takes most of an engine's memory, and holds it.
-    async fn begin(&self, id: &str) -> Client {
-        let before = self.runs();
+    async fn begin_large_run(&self, id: &str) -> Client {
+        let runs_before = self.run_count();
         let mut client = Client::connect(&self.gateway.clients).await;
-        client.write(&prompt(id, 30_000)).await;
-        eventually("it runs", async || self.runs() > before).await;
+        client.write(&prompt_request(id, 30_000)).await;
+        eventually("it runs", async || self.run_count() > runs_before).await;
         client
     }
 
     async fn send(&self, id: &str, tokens: u32) -> Message {
         let mut client = Client::connect(&self.gateway.clients).await;
-        client.send(&prompt(id, tokens)).await.expect("an answer")
+        client.send(&prompt_request(id, tokens)).await.expect("an answer")
     }
 }
 
-fn prompt(id: &str, tokens: u32) -> Vec<u8> {
+fn prompt_request(id: &str, tokens: u32) -> Vec<u8> {
     let extra = format!(
         "X-Model: {MODEL}\r\nX-Token-Count: {tokens},10\r\nX-Prefix-Hash: {id}:{tokens}\r\n"
     );
@@ -79,28 +79,29 @@
 
 #[tokio::test]
 async fn refused_when_full() {
-    let fleet = fleet().await;
-    let mut held = Vec::new();
-    for number in 0..HELD {
-        held.push(fleet.begin(&format!("a{number}")).await);
+    let fleet = start_fleet().await;
+    let mut clients = Vec::new();
+    for number in 0..FILLING_RUNS {
+        clients.push(fleet.begin_large_run(&format!("a{number}")).await);
     }
     for (id, tokens) in [("b1", 200), ("b2", 20_000)] {
-        let asked_at = Instant::now();
-        let answer = fleet.send(id, tokens).await;
-        assert_eq!(answer.status(), 503, "{id}");
-        assert!(asked_at.elapsed() < AT_ONCE, "{id} after {:?}", asked_at.elapsed());
-        let after_s: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-        assert!((0.1..1.5).contains(&after_s), "{after_s}");
+        let sent_at = Instant::now();
+        let response = fleet.send(id, tokens).await;
+        assert_eq!(response.status(), 503, "{id}");
+        assert!(sent_at.elapsed() < REFUSAL_TIME, "{id} after {:?}", sent_at.elapsed());
+        let retry_after_s: f64 =
+            response.header("retry-after").expect("a time").parse().expect("seconds");
+        assert!((0.1..1.5).contains(&retry_after_s), "{retry_after_s}");
     }
-    assert_eq!(fleet.runs(), HELD, "what was refused has not run");
-    held.clear();
-    let mut later = Vec::new();
+    assert_eq!(fleet.run_count(), FILLING_RUNS, "what was refused has not run");
+    clients.clear();
+    let mut later_clients = Vec::new();
     eventually("a place is free again", async || {
         let mut client = Client::connect(&fleet.gateway.clients).await;
-        client.write(&prompt(&format!("c{}", later.len()), 200)).await;
-        later.push(client);
+        client.write(&prompt_request(&format!("c{}", later_clients.len()), 200)).await;
+        later_clients.push(client);
         tokio::time::sleep(Duration::from_millis(100)).await;
-        fleet.runs() > HELD
+        fleet.run_count() > FILLING_RUNS
     })
     .await;
 }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -12,7 +12,7 @@
 const KEY: &str = "sanam-key";
 
 /// Starts a long answer at box 0 and waits until an engine runs it.
-async fn start_long(fleet: &Fleet) -> (tokio::task::JoinHandle<String>, usize) {
+async fn start_long_completion(fleet: &Fleet) -> (tokio::task::JoinHandle<String>, usize) {
     let request = completion_request(fleet, 0, KEY, "A long report, please.", 300);
     let answer = tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     loop {
@@ -27,24 +27,24 @@
     }
 }
 
-fn long_answer() -> String {
+fn expected_long_text() -> String {
     whole("v1", "A long report, please.", 300)
 }
 
 #[tokio::test]
 async fn engine_killed() {
     let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
-    let (answer, engine) = start_long(&fleet).await;
+    let (answer, engine) = start_long_completion(&fleet).await;
     fleet.engines[engine].kill();
-    assert_eq!(answer.await.unwrap(), long_answer());
+    assert_eq!(answer.await.unwrap(), expected_long_text());
 }
 
 #[tokio::test]
 async fn engine_frozen() {
     let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
-    let (answer, engine) = start_long(&fleet).await;
+    let (answer, engine) = start_long_completion(&fleet).await;
     fleet.engines[engine].signal("-STOP");
-    assert_eq!(answer.await.unwrap(), long_answer());
+    assert_eq!(answer.await.unwrap(), expected_long_text());
     fleet.engines[engine].signal("-CONT");
 }
 
@@ -70,16 +70,17 @@
 async fn dispatcher_killed() {
     let fleet = start_fleet(&Plan::one_hall(3, 2, 0)).await;
     check_completion(&fleet, 0, KEY, "Who decides?", 5).await;
-    let mut owner = None;
+    let mut dispatcher_box = None;
     for (index, entry_box) in fleet.boxes.iter().enumerate() {
         let status = fleet.status(entry_box).await.unwrap();
-        owner = owner.or((!status["dispatchers"].as_array().unwrap().is_empty()).then_some(index));
+        dispatcher_box = dispatcher_box
+            .or((!status["dispatchers"].as_array().unwrap().is_empty()).then_some(index));
     }
-    let owner = owner.unwrap();
-    let other = (owner + 1) % 3;
-    fleet.boxes[owner].process.kill();
+    let dispatcher_box = dispatcher_box.unwrap();
+    let other_box = (dispatcher_box + 1) % 3;
+    fleet.boxes[dispatcher_box].process.kill();
     for number in 0..10 {
-        check_completion(&fleet, other, KEY, &format!("Question {number}?"), 5).await;
+        check_completion(&fleet, other_box, KEY, &format!("Question {number}?"), 5).await;
     }
 }
 
@@ -88,17 +89,17 @@
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let body = json!({ "model": "summary", "prompt": "Go on?", "max_tokens": 80, "stream": true });
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
-    let mut first = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
-    let id = first.headers()["x-request-id"].to_str().unwrap().to_owned();
-    first.chunk().await.unwrap().unwrap();
-    drop(first);
-    let read = |from: usize, key: &str| {
-        let call = fleet.http.get(format!("{url}/{id}?from={from}")).bearer_auth(key);
-        async { call.send().await.unwrap() }
+    let mut stream = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
+    let id = stream.headers()["x-request-id"].to_str().unwrap().to_owned();
+    stream.chunk().await.unwrap().unwrap();
+    drop(stream);
+    let resume_from = |from: usize, key: &str| {
+        let request = fleet.http.get(format!("{url}/{id}?from={from}")).bearer_auth(key);
+        async { request.send().await.unwrap() }
     };
-    assert_eq!(read(0, "petra-key").await.status(), 404, "another account's answer");
-    let rest = read(10, KEY).await.text().await.unwrap();
-    let pieces = rest.lines().filter_map(|line| line.strip_prefix("data: "));
+    assert_eq!(resume_from(0, "petra-key").await.status(), 404, "another account's answer");
+    let remaining = resume_from(10, KEY).await.text().await.unwrap();
+    let pieces = remaining.lines().filter_map(|line| line.strip_prefix("data: "));
     let pieces: Vec<_> = pieces.filter(|data| *data != "[DONE]").collect();
     let text: String = pieces
         .iter()
@@ -107,7 +108,7 @@
         .collect();
     let expected = whole("v1", "Go on?", 80);
     assert_eq!(text, expected[10 * 5..], "each word has five bytes");
-    assert!(rest.contains("[DONE]"));
+    assert!(remaining.contains("[DONE]"));
 }
 
 #[tokio::test]
@@ -115,12 +116,15 @@
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let body = json!({ "model": "summary", "prompt": "Stop?", "max_tokens": 9000, "stream": true });
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
-    let first = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
-    let id = first.headers()["x-request-id"].to_str().unwrap().to_owned();
-    let stopped = fleet.http.delete(format!("{url}/{id}")).bearer_auth(KEY).send().await.unwrap();
-    assert_eq!(stopped.status(), 200);
-    let rest = first.text().await.unwrap();
-    assert!(rest.contains("cancelled") && !rest.contains("[DONE]"), "no end mark: {rest}");
+    let stream = fleet.http.post(&url).bearer_auth(KEY).json(&body).send().await.unwrap();
+    let id = stream.headers()["x-request-id"].to_str().unwrap().to_owned();
+    let cancelled = fleet.http.delete(format!("{url}/{id}")).bearer_auth(KEY).send().await.unwrap();
+    assert_eq!(cancelled.status(), 200);
+    let remaining = stream.text().await.unwrap();
+    assert!(
+        remaining.contains("cancelled") && !remaining.contains("[DONE]"),
+        "no end mark: {remaining}"
+    );
     tokio::time::sleep(Duration::from_secs(1)).await;
     let load = fleet.get(&format!("{}/load", fleet.engines[0].url())).await.unwrap();
     assert_eq!(load["running"], 0, "the engine stopped too");
@@ -129,10 +133,11 @@
 #[tokio::test]
 async fn deadline_kept() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    let late = completion_request(&fleet, 0, KEY, "Too late?", 9000).header("x-timeout-ms", 400);
-    let begun_at = std::time::Instant::now();
-    let answer = late.send().await.unwrap();
+    let request_with_timeout =
+        completion_request(&fleet, 0, KEY, "Too late?", 9000).header("x-timeout-ms", 400);
+    let sent_at = std::time::Instant::now();
+    let answer = request_with_timeout.send().await.unwrap();
     assert_eq!(answer.status(), 504);
     assert_eq!(answer.headers()["x-coursestile-ran"], "outcome unknown");
-    assert!(begun_at.elapsed() < Duration::from_secs(5), "the final answer comes at once");
+    assert!(sent_at.elapsed() < Duration::from_secs(5), "the final answer comes at once");
 }
--- a/tests/assembling.rs
+++ b/tests/assembling.rs
@@ -3,8 +3,8 @@
 use coursestile::assembler::{Assembler, Dropped, Piece};
 use proptest::prelude::*;
 
-fn piece(attempt: u32, seq: u64, last: u64) -> Piece {
-    let finish = (seq == last).then(|| "length".to_owned());
+fn piece(attempt: u32, seq: u64, last_seq: u64) -> Piece {
+    let finish = (seq == last_seq).then(|| "length".to_owned());
     Piece { attempt, seq, text: format!("{seq} "), finish }
 }
 
@@ -13,21 +13,21 @@
 
     #[test]
     fn whole_in_order(
-        order in Just((0..20_u64).collect::<Vec<_>>()).prop_shuffle(),
-        twice in proptest::collection::vec(0..20_u64, 0..10),
-        switch_at in 0..30_usize,
+        arrival_order in Just((0..20_u64).collect::<Vec<_>>()).prop_shuffle(),
+        duplicates in proptest::collection::vec(0..20_u64, 0..10),
+        new_attempt_at in 0..30_usize,
     ) {
         let mut assembler = Assembler::default();
         let mut attempt = assembler.start_attempt();
         let mut text = String::new();
-        let mut arrivals: Vec<u64> = order.iter().chain(&twice).copied().collect();
-        let again = arrivals.clone();
-        arrivals.extend(again);
-        for (count, seq) in arrivals.into_iter().enumerate() {
-            if count == switch_at {
-                let old = attempt;
+        let mut arrivals: Vec<u64> = arrival_order.iter().chain(&duplicates).copied().collect();
+        let all_once_more = arrivals.clone();
+        arrivals.extend(all_once_more);
+        for (index, seq) in arrivals.into_iter().enumerate() {
+            if index == new_attempt_at {
+                let old_attempt = attempt;
                 attempt = assembler.start_attempt();
-                prop_assert_eq!(assembler.take(piece(old, seq, 19)), Err(Dropped::OldAttempt));
+                prop_assert_eq!(assembler.take(piece(old_attempt, seq, 19)), Err(Dropped::OldAttempt));
             }
             for ready in assembler.take(piece(attempt, seq, 19)).unwrap_or_default() {
                 prop_assert!(assembler.finish().is_none() || assembler.next_seq() == 20);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -26,15 +26,15 @@
             "too_long",
         ),
     ];
-    for (body, status, kind) in cases {
-        let answer = fleet.http.post(&url).bearer_auth(KEY).body(body).send().await.unwrap();
-        assert_eq!(answer.status(), status, "{kind}");
-        assert_eq!(answer.headers()["x-coursestile-ran"], "not run");
-        let body: Value = answer.json().await.unwrap();
-        assert_eq!(body["error"]["type"], kind);
+    for (body, status, error_type) in cases {
+        let response = fleet.http.post(&url).bearer_auth(KEY).body(body).send().await.unwrap();
+        assert_eq!(response.status(), status, "{error_type}");
+        assert_eq!(response.headers()["x-coursestile-ran"], "not run");
+        let body: Value = response.json().await.unwrap();
+        assert_eq!(body["error"]["type"], error_type);
     }
-    let call = completion_request(&fleet, 0, KEY, "x", 1).header("x-timeout-ms", "soon");
-    assert_eq!(call.send().await.unwrap().status(), 400);
+    let request = completion_request(&fleet, 0, KEY, "x", 1).header("x-timeout-ms", "soon");
+    assert_eq!(request.send().await.unwrap().status(), 400);
     check_completion(&fleet, 0, KEY, "Still there?", 3).await;
 }
 
@@ -48,9 +48,10 @@
         socket.send(nng::Message::from(vec![1_u8; size].as_slice())).unwrap();
     }
     check_completion(&fleet, 0, KEY, "Still there?", 3).await;
-    let page = fleet.http.get(format!("http://{}/metrics", fleet.boxes[0].operators)).send().await;
-    let page = page.unwrap().text().await.unwrap();
-    assert!(page.contains("coursestile_peer_rejected_messages_total 4"), "{page}");
+    let metrics =
+        fleet.http.get(format!("http://{}/metrics", fleet.boxes[0].operators)).send().await;
+    let metrics = metrics.unwrap().text().await.unwrap();
+    assert!(metrics.contains("coursestile_peer_rejected_messages_total 4"), "{metrics}");
 }
 
 #[test]
@@ -60,7 +61,7 @@
                 [upstream.e1]\nkind = motor\n\n[upstream.s1]\nkind = store\nurl = http://x\n\n\
                 [typo]\nx = 1\n";
     let report = Settings::parse("box.ini", text).unwrap_err().to_string();
-    for finding in [
+    for message in [
         "box.ini:4: callers: 'nowhere' cannot be read",
         "box.ini:5: cluster_key: expected 64 hexadecimal digits",
         "box.ini:8: url: 'ftp://x' does not begin with http:// or https://",
@@ -69,7 +70,7 @@
         "box.ini:16: [upstream.s1] has no capacity_bytes",
         "box.ini:20: section [typo] is not known",
     ] {
-        assert!(report.contains(finding), "{finding} is missing in {report}");
+        assert!(report.contains(message), "{message} is missing in {report}");
     }
 }
 
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -15,10 +15,10 @@
 enum Step {
     Write { account: u8 },
     Seal { index: usize },
-    Pin { index: usize, account: u8, for_ms: u64 },
+    Pin { index: usize, account: u8, duration_ms: u64 },
     Free { index: usize },
-    Sweep,
-    Pass { ms: u64 },
+    DeleteFreed,
+    Advance { ms: u64 },
 }
 
 #[derive(Clone, Debug)]
@@ -38,61 +38,61 @@
             3 => (0..2_u8).prop_map(|account| Step::Write { account }),
             3 => index().prop_map(|index| Step::Seal { index }),
             5 => (index(), 0..2_u8, 0..5000_u64)
-                .prop_map(|(index, account, for_ms)| Step::Pin { index, account, for_ms }),
+                .prop_map(|(index, account, duration_ms)| Step::Pin { index, account, duration_ms }),
             2 => index().prop_map(|index| Step::Free { index }),
-            2 => Just(Step::Sweep),
-            2 => (0..4000_u64).prop_map(|ms| Step::Pass { ms }),
+            2 => Just(Step::DeleteFreed),
+            2 => (0..4000_u64).prop_map(|ms| Step::Advance { ms }),
         ]
         .boxed()
     }
 
     fn apply(now_ms: u64, step: &Step) -> u64 {
-        if let Step::Pass { ms } = step { now_ms + ms } else { now_ms }
+        if let Step::Advance { ms } = step { now_ms + ms } else { now_ms }
     }
 }
 
 /// What the store holds under an id.
 struct Stored {
     account: u8,
-    whole: bool,
+    sealed: bool,
     freed: bool,
-    readers_until_ms: u64,
+    read_until_ms: u64,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     blocks: Blocks,
     ids: Vec<BlockId>,
     stored: HashMap<BlockId, Stored>,
 }
 
-const WRITE_MS: u64 = 3000;
+const WRITE_TIMEOUT_MS: u64 = 3000;
 
 fn scope(account: u8) -> Scope {
     let (model, version) = ("m".to_owned(), "v1".to_owned());
     Scope { account: format!("a{account}"), model, version }
 }
 
-impl World {
-    fn id(&self, index: usize) -> Option<BlockId> {
+impl Simulation {
+    fn recent_id(&self, index: usize) -> Option<BlockId> {
         let newest = self.ids.iter().rev();
         newest.take(8).nth(index).cloned()
     }
 
     fn write(&mut self, now_ms: u64, account: u8) {
-        let mark = PrefixHash { tokens: 512, hash: 7 };
-        let id = BlockId::new(&scope(account), mark, "box", self.ids.len() as u64);
-        let phase = Phase::Writing { deadline_ms: now_ms + WRITE_MS };
+        let prefix = PrefixHash { tokens: 512, hash: 7 };
+        let id = BlockId::new(&scope(account), prefix, "box", self.ids.len() as u64);
+        let phase = Phase::Writing { deadline_ms: now_ms + WRITE_TIMEOUT_MS };
         let block = Block {
             scope: scope(account),
             store: "s".to_owned(),
-            prefix_end: mark,
+            prefix_end: prefix,
             size_bytes: 10,
             phase,
             pinned_until_ms: 0,
         };
         self.blocks.begin_write(&id, block);
-        let stored = Stored { account, whole: false, freed: false, readers_until_ms: 0 };
+        let stored = Stored { account, sealed: false, freed: false, read_until_ms: 0 };
         assert!(self.stored.insert(id.clone(), stored).is_none(), "an id came twice");
         self.ids.push(id);
     }
@@ -101,36 +101,36 @@
         let stored = self.stored.get_mut(id).unwrap();
         let seal = Seal { len_bytes: 10, checksum: "c".to_owned() };
         if self.blocks.seal(id, seal, 10) {
-            assert!(!stored.freed && !stored.whole);
-            stored.whole = true;
+            assert!(!stored.freed && !stored.sealed);
+            stored.sealed = true;
         }
     }
 
-    fn pin(&mut self, now_ms: u64, id: &BlockId, account: u8, for_ms: u64) {
+    fn pin(&mut self, now_ms: u64, id: &BlockId, account: u8, duration_ms: u64) {
         let stored = self.stored.get_mut(id).unwrap();
         if stored.account != account {
             // The dispatcher never asks across accounts; a pin is refused too.
-            assert!(self.blocks.pin(id, &scope(account), now_ms + for_ms).is_none());
+            assert!(self.blocks.pin(id, &scope(account), now_ms + duration_ms).is_none());
             return;
         }
-        if self.blocks.pin(id, &scope(account), now_ms + for_ms).is_some() {
-            assert!(stored.whole && !stored.freed, "a freed or partial block was offered");
-            stored.readers_until_ms = stored.readers_until_ms.max(now_ms + for_ms);
+        if self.blocks.pin(id, &scope(account), now_ms + duration_ms).is_some() {
+            assert!(stored.sealed && !stored.freed, "a freed or partial block was offered");
+            stored.read_until_ms = stored.read_until_ms.max(now_ms + duration_ms);
         }
     }
 
-    fn sweep(&mut self, now_ms: u64) {
+    fn delete_freed(&mut self, now_ms: u64) {
         self.blocks.expire_writes(now_ms);
         for id in self.blocks.deletable(now_ms) {
             let stored = self.stored.get_mut(&id).unwrap();
-            assert!(now_ms >= stored.readers_until_ms + PIN_MARGIN_MS || !stored.whole);
+            assert!(now_ms >= stored.read_until_ms + PIN_MARGIN_MS || !stored.sealed);
             stored.freed = true;
             self.blocks.remove(&id);
         }
     }
 }
 
-impl StateMachineTest for World {
+impl StateMachineTest for Simulation {
     type SystemUnderTest = Self;
     type Reference = Steps;
 
@@ -138,26 +138,28 @@
         Self::default()
     }
 
-    fn apply(mut world: Self, now_ms: &u64, step: Step) -> Self {
+    fn apply(mut simulation: Self, now_ms: &u64, step: Step) -> Self {
         match step {
-            Step::Write { account } => world.write(*now_ms, account),
+            Step::Write { account } => simulation.write(*now_ms, account),
             Step::Seal { index } => {
-                let _ = world.id(index).map(|id| world.seal(&id));
+                let _ = simulation.recent_id(index).map(|id| simulation.seal(&id));
             }
-            Step::Pin { index, account, for_ms } => {
-                let _ = world.id(index).map(|id| world.pin(*now_ms, &id, account, for_ms));
+            Step::Pin { index, account, duration_ms } => {
+                let _ = simulation
+                    .recent_id(index)
+                    .map(|id| simulation.pin(*now_ms, &id, account, duration_ms));
             }
             Step::Free { index } => {
-                let _ = world.id(index).map(|id| world.blocks.free(&id));
+                let _ = simulation.recent_id(index).map(|id| simulation.blocks.free(&id));
             }
-            Step::Sweep => world.sweep(*now_ms),
-            Step::Pass { .. } => {}
+            Step::DeleteFreed => simulation.delete_freed(*now_ms),
+            Step::Advance { .. } => {}
         }
-        world
+        simulation
     }
 }
 
 #[test]
 fn read_as_sealed() {
-    model::run_state_machine::<World>(400, 80);
+    model::run_state_machine::<Simulation>(400, 80);
 }
--- a/tests/caches.rs
+++ b/tests/caches.rs
@@ -7,19 +7,19 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(3), ..ProptestConfig::default() })]
 
     #[test]
-    fn recency_followed(books in proptest::collection::vec(0..12_usize, 1..200)) {
+    fn recency_followed(contexts in proptest::collection::vec(0..12_usize, 1..200)) {
         let mut cache = CacheModel::new(6000);
-        let mut uses: Vec<Option<CacheUse>> = vec![None; 12];
+        let mut last_uses: Vec<Option<CacheUse>> = vec![None; 12];
         // Newest last, six at most.
-        let mut truth: Vec<usize> = Vec::new();
-        for book in books {
-            let believed = uses[book].is_some_and(|at| cache.contains(at));
-            prop_assert_eq!(believed, truth.contains(&book));
-            uses[book] = Some(cache.record_use(uses[book], 1000));
-            truth.retain(|other| *other != book);
-            truth.push(book);
-            if truth.len() > 6 {
-                truth.remove(0);
+        let mut cached_contexts: Vec<usize> = Vec::new();
+        for context in contexts {
+            let predicted = last_uses[context].is_some_and(|at| cache.contains(at));
+            prop_assert_eq!(predicted, cached_contexts.contains(&context));
+            last_uses[context] = Some(cache.record_use(last_uses[context], 1000));
+            cached_contexts.retain(|cached| *cached != context);
+            cached_contexts.push(context);
+            if cached_contexts.len() > 6 {
+                cached_contexts.remove(0);
             }
         }
     }
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -15,11 +15,11 @@
 /// The process's clock counts as the machine's time since its start does.
 #[test]
 fn follows_boot() {
-    let (earliest, begun_ms, begun) = (since_boot(), now_ms(), since_boot());
+    let (earliest, start_ms, start) = (since_boot(), now_ms(), since_boot());
     std::thread::sleep(Duration::from_millis(30));
-    let (ended, ended_ms, latest) = (since_boot(), now_ms(), since_boot());
-    let passed = Duration::from_millis(ended_ms - begun_ms);
+    let (end, end_ms, latest) = (since_boot(), now_ms(), since_boot());
+    let elapsed = Duration::from_millis(end_ms - start_ms);
     let rounding = Duration::from_millis(1);
-    assert!(passed + rounding >= ended.saturating_sub(begun));
-    assert!(passed <= latest.saturating_sub(earliest) + rounding);
+    assert!(elapsed + rounding >= end.saturating_sub(start));
+    assert!(elapsed <= latest.saturating_sub(earliest) + rounding);
 }
