--- a/tests/admitting.rs
+++ b/tests/admitting.rs
@@ -1,5 +1,5 @@
-//! What no engine can begin with in time is refused at once, truthfully, and with a
-//! time to come back.
+//! A prompt that no engine has memory for in time is refused at once, with a `Retry-After`
+//! time, and has not run when the response says so.
 
 #[path = "common/site.rs"]
 mod common;
@@ -14,9 +14,10 @@
 use serde_json::json;
 
 const ENGINES: usize = 3;
-/// Runs that fill the memory of all engines, two each.
+/// Number of runs that fill the memory of all engines: two each.
 const FILLING_RUNS: usize = 2 * ENGINES;
-/// An eighth of the objective of the stand-in's routes, and some time for a busy machine.
+/// Time limit for a refusal: an eighth of the time objective of the simulated site's routes,
+/// and some allowance for a busy machine.
 const REFUSAL_TIME: Duration = Duration::from_millis(150);
 
 struct Fleet {
@@ -25,7 +26,7 @@
     _site: Site,
 }
 
-/// A fleet whose engines hold the streams that they begin.
+/// Starts a gateway and engines that do not end the streams that they begin.
 async fn start_fleet() -> Fleet {
     let mut site = Site::start().await;
     let mut engines = Vec::new();
@@ -55,7 +56,8 @@
         self.engines.iter().map(|engine| engine.runs().len()).sum()
     }
 
-    /// Begins a run that takes most of an engine's memory, and holds it.
+    /// Begins a run that takes a large part of an engine's memory for as long as the returned
+    /// client exists.
     async fn begin_large_run(&self, id: &str) -> Client {
         let runs_before = self.run_count();
         let mut client = Client::connect(&self.gateway.clients).await;
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,5 @@
-//! A caller gets the whole answer to its own request, whatever its upstream does.
+//! A client gets the whole response to its own request although an engine or the dispatcher
+//! fails. It can resume or cancel a stream, and is told when its deadline has passed.
 
 mod common;
 
@@ -11,7 +12,8 @@
 
 const KEY: &str = "sanam-key";
 
-/// Starts a long answer at box 0 and waits until an engine runs it.
+/// Starts a long completion at box 0 and waits until an engine runs it. Returns its text, when
+/// it is complete, and the index of the engine.
 async fn start_long_completion(fleet: &Fleet) -> (tokio::task::JoinHandle<String>, usize) {
     let request = completion_request(fleet, 0, KEY, "A long report, please.", 300);
     let answer = tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
--- a/tests/assembling.rs
+++ b/tests/assembling.rs
@@ -1,4 +1,5 @@
-//! Pieces that come late, twice, out of order or from an older attempt.
+//! The assembler delivers each piece of a response once and in order when pieces arrive late,
+//! twice, out of order or from an older attempt.
 
 use coursestile::assembler::{Assembler, Dropped, Piece};
 use proptest::prelude::*;
@@ -27,7 +28,10 @@
             if index == new_attempt_at {
                 let old_attempt = attempt;
                 attempt = assembler.start_attempt();
-                prop_assert_eq!(assembler.take(piece(old_attempt, seq, 19)), Err(Dropped::OldAttempt));
+                prop_assert_eq!(
+                    assembler.take(piece(old_attempt, seq, 19)),
+                    Err(Dropped::OldAttempt)
+                );
             }
             for ready in assembler.take(piece(attempt, seq, 19)).unwrap_or_default() {
                 prop_assert!(assembler.finish().is_none() || assembler.next_seq() == 20);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,5 @@
-//! Bad input gets a clear error, and the process goes on.
+//! Invalid requests, peer messages, settings and arguments get a clear error, and a running box
+//! goes on serving.
 
 mod common;
 
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -1,5 +1,6 @@
-//! Kept blocks against a store that knows what each read would find: freed and
-//! half-written blocks are never offered, pinned ones never deleted.
+//! Compares the block table with a simulated store that knows what a read of each block would
+//! find: freed and partially written blocks must never be offered, and pinned ones never be
+//! deleted.
 
 #[path = "common/model.rs"]
 mod model;
@@ -13,12 +14,27 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Write { account: u8 },
-    Seal { index: usize },
-    Pin { index: usize, account: u8, duration_ms: u64 },
-    Free { index: usize },
+    /// Begins to write a new block.
+    Write {
+        account: u8,
+    },
+    /// Ends a write. `index` counts back from the newest block.
+    Seal {
+        index: usize,
+    },
+    Pin {
+        index: usize,
+        account: u8,
+        duration_ms: u64,
+    },
+    Free {
+        index: usize,
+    },
+    /// Gives up overdue writes and deletes freed blocks that are not pinned.
     DeleteFreed,
-    Advance { ms: u64 },
+    Advance {
+        ms: u64,
+    },
 }
 
 #[derive(Clone, Debug)]
@@ -51,11 +67,12 @@
     }
 }
 
-/// What the store holds under an id.
+/// State of a block in the simulated store.
 struct Stored {
     account: u8,
     sealed: bool,
     freed: bool,
+    /// Latest time at which a reader that pinned it may still read it.
     read_until_ms: u64,
 }
 
@@ -74,6 +91,7 @@
 }
 
 impl Simulation {
+    /// Id of one of the eight newest blocks.
     fn recent_id(&self, index: usize) -> Option<BlockId> {
         let newest = self.ids.iter().rev();
         newest.take(8).nth(index).cloned()
@@ -109,7 +127,7 @@
     fn pin(&mut self, now_ms: u64, id: &BlockId, account: u8, duration_ms: u64) {
         let stored = self.stored.get_mut(id).unwrap();
         if stored.account != account {
-            // The dispatcher never asks across accounts; a pin is refused too.
+            // The dispatcher does not pin blocks of other accounts; if it did, the pin would fail.
             assert!(self.blocks.pin(id, &scope(account), now_ms + duration_ms).is_none());
             return;
         }
--- a/tests/caches.rs
+++ b/tests/caches.rs
@@ -1,4 +1,5 @@
-//! The model of an engine's cache against a cache that forgets by recency.
+//! Compares the predicted contents of an engine's cache with a simulated cache that evicts the
+//! least recently used context.
 
 use coursestile::cache::{CacheModel, CacheUse};
 use proptest::prelude::*;
@@ -10,7 +11,7 @@
     fn recency_followed(contexts in proptest::collection::vec(0..12_usize, 1..200)) {
         let mut cache = CacheModel::new(6000);
         let mut last_uses: Vec<Option<CacheUse>> = vec![None; 12];
-        // Newest last, six at most.
+        // At most six contexts, the most recently used one last.
         let mut cached_contexts: Vec<usize> = Vec::new();
         for context in contexts {
             let predicted = last_uses[context].is_some_and(|at| cache.contains(at));
@@ -33,7 +34,7 @@
         cache.record_use(None, 1000);
     }
     assert!(cache.contains(first));
-    // It was not there: the cache is smaller than believed.
+    // A miss on context that was predicted to be cached: the cache is smaller than estimated.
     cache.adjust_size(cache.depth_tokens(first), false);
     assert!(!cache.contains(first));
     let second = cache.record_use(None, 1000);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,5 +1,5 @@
-//! A machine may be suspended for seconds, which the steady clock does not count: a box went
-//! by leases and deadlines that had long passed for everybody else.
+//! The clock counts the time for which the machine is suspended. With a monotonic clock that
+//! leaves it out, a box relied on leases and deadlines that had expired for all others.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     assert_eq!(clock.at(Duration::from_secs(49)), Duration::from_secs(1000), "it never goes back");
 }
 
-/// The process's clock counts as the machine's time since its start does.
+/// The process's clock advances as the time since boot does.
 #[test]
 fn follows_boot() {
     let (earliest, start_ms, start) = (since_boot(), now_ms(), since_boot());
