--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -17,63 +17,63 @@
 const BOXES: usize = 3;
 const ENGINES: u32 = 2;
 /// Time for which orders of two holders must not follow each other.
-const LEASE_MS: u64 = 1000;
+const MIN_ORDER_GAP_MS: u64 = 1000;
 /// Time that an order takes to arrive while its box runs.
-const ARRIVAL_MS: u64 = 200;
+const MAX_TRANSIT_MS: u64 = 200;
 /// Pause between the orders of two leaders.
-const PAUSE_MS: u64 = LEASE_MS + ARRIVAL_MS;
+const PAUSE_MS: u64 = MIN_ORDER_GAP_MS + MAX_TRANSIT_MS;
 /// Longest time after which an order that was begun arrives, also if its box is paused.
-const CALL_MS: u64 = 600;
+const MAX_CALL_MS: u64 = 600;
 /// Time after which a claim that was not written is given up.
-const CLAIM_MS: u64 = 1000;
+const CLAIM_TIMEOUT_MS: u64 = 1000;
 /// Time for which a renewal of the leadership holds, and by how much its holder stops earlier.
-const TTL_MS: u64 = 1500;
-const MARGIN_MS: u64 = 400;
-const RENEW_MS: u64 = 400;
+const LEASE_TTL_MS: u64 = 1500;
+const LEASE_MARGIN_MS: u64 = 400;
+const RENEW_PERIOD_MS: u64 = 400;
 /// When a model's time begins: all ages are less.
-const BEGIN_MS: u64 = 1_000_000;
+const START_MS: u64 = 1_000_000;
 /// Versions that are named at most: all are remembered.
-const VERSIONS: u64 = 12;
+const MAX_VERSION: u64 = 12;
 
 /// What becomes of a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteResult {
     /// It is done or refused, and the box is told so.
-    Answered,
+    Confirmed,
     /// It is done or refused, and the box is not told.
-    AnswerLost,
+    ResponseLost,
     /// It is done later, if its condition holds then; the box is not told.
-    Late { by_ms: u64 },
+    Delayed { by_ms: u64 },
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     /// Time passes.
-    Pass { ms: u64 },
+    Advance { ms: u64 },
     /// A box takes the leadership, if it is free for all that it knows.
-    Take { at: usize, fate: Fate },
+    AcquireLease { at: usize, result: WriteResult },
     /// A leader's renewals fail from now on.
-    Lapse { at: usize },
+    FailRenewals { at: usize },
     /// A leader gives the leadership back.
-    End { at: usize },
+    ReleaseLease { at: usize },
     /// It does, and a box is told so and takes it.
-    Succeed { at: usize, fate: Fate },
+    ReplaceLeader { at: usize, result: WriteResult },
     /// A box forgets all and starts again.
-    Kill { at: usize },
+    Restart { at: usize },
     /// A box stands still.
     Pause { at: usize, ms: u64 },
     /// A leader claims an engine and orders it.
-    Order { at: usize, engine: u32, fate: Fate, arrival_ms: u64 },
+    Order { at: usize, engine: u32, result: WriteResult, transit_ms: u64 },
     /// A leader strikes out what lies back.
-    Tidy { at: usize, fate: Fate },
+    CleanUp { at: usize, result: WriteResult },
     /// A box is told what the store has.
-    View { at: usize },
+    ReadStore { at: usize },
     /// A box tells another what it knows.
     Gossip { from: usize, to: usize, delay_ms: u64 },
     /// An operator names the next version, or the one after it.
-    Name { skips: u64 },
+    NameVersion { skipped: u64 },
     /// All boxes that run are told all; the leader must get on.
-    Settle,
+    Synchronize,
 }
 
 #[derive(Clone, Debug)]
@@ -89,31 +89,31 @@
 
     fn transitions((): &()) -> BoxedStrategy<Step> {
         let at = || 0..BOXES;
-        let fate = || {
+        let result = || {
             prop_oneof![
-                6 => Just(Fate::Answered),
-                1 => Just(Fate::AnswerLost),
-                1 => (0..1500_u64).prop_map(|by_ms| Fate::Late { by_ms }),
+                6 => Just(WriteResult::Confirmed),
+                1 => Just(WriteResult::ResponseLost),
+                1 => (0..1500_u64).prop_map(|by_ms| WriteResult::Delayed { by_ms }),
             ]
         };
-        let order = (at(), 0..ENGINES, fate(), 0..=ARRIVAL_MS);
+        let order = (at(), 0..ENGINES, result(), 0..=MAX_TRANSIT_MS);
         prop_oneof![
-            6 => (0..150_u64).prop_map(|ms| Step::Pass { ms }),
-            2 => (0..1300_u64).prop_map(|ms| Step::Pass { ms }),
-            5 => (at(), fate()).prop_map(|(at, fate)| Step::Take { at, fate }),
-            1 => at().prop_map(|at| Step::Lapse { at }),
-            2 => at().prop_map(|at| Step::End { at }),
-            4 => (at(), fate()).prop_map(|(at, fate)| Step::Succeed { at, fate }),
-            1 => at().prop_map(|at| Step::Kill { at }),
+            6 => (0..150_u64).prop_map(|ms| Step::Advance { ms }),
+            2 => (0..1300_u64).prop_map(|ms| Step::Advance { ms }),
+            5 => (at(), result()).prop_map(|(at, result)| Step::AcquireLease { at, result }),
+            1 => at().prop_map(|at| Step::FailRenewals { at }),
+            2 => at().prop_map(|at| Step::ReleaseLease { at }),
+            4 => (at(), result()).prop_map(|(at, result)| Step::ReplaceLeader { at, result }),
+            1 => at().prop_map(|at| Step::Restart { at }),
             1 => (at(), 0..2500_u64).prop_map(|(at, ms)| Step::Pause { at, ms }),
-            12 => order.prop_map(|(at, engine, fate, arrival_ms)|
-                Step::Order { at, engine, fate, arrival_ms }),
-            2 => (at(), fate()).prop_map(|(at, fate)| Step::Tidy { at, fate }),
-            10 => at().prop_map(|at| Step::View { at }),
+            12 => order.prop_map(|(at, engine, result, transit_ms)|
+                Step::Order { at, engine, result, transit_ms }),
+            2 => (at(), result()).prop_map(|(at, result)| Step::CleanUp { at, result }),
+            10 => at().prop_map(|at| Step::ReadStore { at }),
             5 => (at(), at(), 0..300_u64)
                 .prop_map(|(from, to, delay_ms)| Step::Gossip { from, to, delay_ms }),
-            1 => (0..2_u64).prop_map(|skips| Step::Name { skips }),
-            3 => Just(Step::Settle),
+            1 => (0..2_u64).prop_map(|skipped| Step::NameVersion { skipped }),
+            3 => Just(Step::Synchronize),
         ]
         .boxed()
     }
@@ -126,8 +126,8 @@
 struct Store {
     revision: u64,
     /// The revision of the leadership's item.
-    lease: Option<u64>,
-    lapses_at_ms: u64,
+    lease_revision: Option<u64>,
+    expires_at_ms: u64,
     claims: Option<(u64, Claims)>,
     version: u64,
 }
@@ -141,34 +141,34 @@
 }
 
 impl Store {
-    fn take(&mut self, asked_at_ms: u64, now_ms: u64) -> Option<u64> {
-        let lapses_at_ms = asked_at_ms + TTL_MS;
-        if self.lease.is_some() || now_ms >= lapses_at_ms {
+    fn acquire_lease(&mut self, requested_at_ms: u64, now_ms: u64) -> Option<u64> {
+        let expires_at_ms = requested_at_ms + LEASE_TTL_MS;
+        if self.lease_revision.is_some() || now_ms >= expires_at_ms {
             return None;
         }
         self.revision += 1;
-        self.lapses_at_ms = lapses_at_ms;
-        self.lease = Some(self.revision);
-        self.lease
+        self.expires_at_ms = expires_at_ms;
+        self.lease_revision = Some(self.revision);
+        self.lease_revision
     }
 
-    fn renew(&mut self, fence: u64, now_ms: u64) -> bool {
-        if self.lease == Some(fence) {
-            self.lapses_at_ms = now_ms + TTL_MS;
+    fn renew_lease(&mut self, fence: u64, now_ms: u64) -> bool {
+        if self.lease_revision == Some(fence) {
+            self.expires_at_ms = now_ms + LEASE_TTL_MS;
         }
-        self.lease == Some(fence)
+        self.lease_revision == Some(fence)
     }
 
-    fn end(&mut self, fence: u64) {
-        if self.lease == Some(fence) {
-            self.lease = None;
+    fn release_lease(&mut self, fence: u64) {
+        if self.lease_revision == Some(fence) {
+            self.lease_revision = None;
             self.revision += 1;
         }
     }
 
-    fn claim(&mut self, write: &ClaimWrite) -> Option<u64> {
-        let written_at = self.claims.as_ref().map_or(0, |(revision, _)| *revision);
-        if self.lease != Some(write.fence) || written_at != write.expected_revision {
+    fn write_claims(&mut self, write: &ClaimWrite) -> Option<u64> {
+        let stored_revision = self.claims.as_ref().map_or(0, |(revision, _)| *revision);
+        if self.lease_revision != Some(write.fence) || stored_revision != write.expected_revision {
             return None;
         }
         self.revision += 1;
@@ -178,612 +178,631 @@
 }
 
 /// What a leader has written down, as `gateway::claims` keeps it.
-struct Book {
+struct ClaimRecord {
     fence: u64,
     claims: Claims,
     revision: u64,
     ordered_at_ms: BTreeMap<u32, u64>,
 }
 
-impl Book {
-    fn recent(&mut self, now_ms: u64) -> BTreeSet<u32> {
-        self.ordered_at_ms.retain(|_, at_ms| now_ms < *at_ms + PAUSE_MS + CALL_MS);
+impl ClaimRecord {
+    fn retain_recent(&mut self, now_ms: u64) -> BTreeSet<u32> {
+        self.ordered_at_ms.retain(|_, at_ms| now_ms < *at_ms + PAUSE_MS + MAX_CALL_MS);
         self.ordered_at_ms.keys().copied().collect()
     }
 }
 
 /// An order that waits for its claim, of which the box was not told.
-struct Waiting {
+struct PendingClaim {
     write: ClaimWrite,
     engine: Option<(u32, u64)>,
     until_ms: u64,
 }
 
 #[derive(Clone, Copy)]
-struct Held {
+struct HeldLease {
     fence: u64,
     until_ms: u64,
-    renews_at_ms: u64,
+    renew_at_ms: u64,
     /// Its renewals fail.
-    is_cut: bool,
+    renewals_fail: bool,
 }
 
 /// A box, with what the model knows that it may go by.
 #[derive(Default)]
-struct OneBox {
+struct BoxState {
     view: Option<Store>,
     terms: LeaderTerms,
-    weights: NamedVersions,
-    held: Option<Held>,
-    book: Option<Book>,
-    waiting: Option<Waiting>,
+    named_versions: NamedVersions,
+    lease: Option<HeldLease>,
+    claim_record: Option<ClaimRecord>,
+    pending_claim: Option<PendingClaim>,
     paused_until_ms: u64,
     /// For each revision that it saw or was told of, when at the latest.
-    seen_at_ms: BTreeMap<u64, u64>,
+    revision_seen_at_ms: BTreeMap<u64, u64>,
     /// For each version, since when at the latest the box must count it as named.
-    named_by_ms: BTreeMap<u64, u64>,
+    latest_named_at_ms: BTreeMap<u64, u64>,
     /// Whether one that was there told it of versions.
-    was_told: bool,
+    has_peer_versions: bool,
 }
 
-impl OneBox {
-    fn leads(&self, now_ms: u64) -> bool {
-        self.held.is_some_and(|held| now_ms < held.until_ms)
+impl BoxState {
+    fn is_leading(&self, now_ms: u64) -> bool {
+        self.lease.is_some_and(|lease| now_ms < lease.until_ms)
     }
 
     /// Since when a leader is over, by all that it saw or was told.
-    fn over_by_ms(&self, fence: u64) -> Option<u64> {
-        self.seen_at_ms.range(fence + 1..).map(|(_, at_ms)| *at_ms).min()
+    fn latest_end_ms(&self, fence: u64) -> Option<u64> {
+        self.revision_seen_at_ms.range(fence + 1..).map(|(_, at_ms)| *at_ms).min()
     }
 
     /// Since when at the latest it must count weights as behind. What nobody told is long
     /// ago.
-    fn behind_by_ms(&self, version: u64) -> u64 {
-        let newer = || self.named_by_ms.range(version + 1..).map(|(_, by_ms)| *by_ms);
-        let mut told = newer().filter(|by_ms| *by_ms != UNKNOWN_TIME_MS);
-        let by_ms = if self.was_told { told.next() } else { newer().next() };
+    fn latest_behind_since_ms(&self, version: u64) -> u64 {
+        let newer = || self.latest_named_at_ms.range(version + 1..).map(|(_, by_ms)| *by_ms);
+        let mut reported = newer().filter(|by_ms| *by_ms != UNKNOWN_TIME_MS);
+        let by_ms = if self.has_peer_versions { reported.next() } else { newer().next() };
         by_ms.unwrap_or(UNKNOWN_TIME_MS)
     }
 
-    fn open(&mut self) {
-        let (Some(held), Some(view)) = (self.held, &self.view) else { return };
-        let is_open = self.book.as_ref().is_some_and(|book| book.fence == held.fence);
-        if is_open || view.revision < held.fence {
+    fn load_claims(&mut self) {
+        let (Some(lease), Some(view)) = (self.lease, &self.view) else { return };
+        let is_loaded =
+            self.claim_record.as_ref().is_some_and(|record| record.fence == lease.fence);
+        if is_loaded || view.revision < lease.fence {
             return;
         }
         let (revision, claims) = match &view.claims {
-            Some(written) => written.clone(),
-            None if self.terms.saw_leader_before(held.fence) => {
+            Some(stored) => stored.clone(),
+            None if self.terms.saw_leader_before(lease.fence) => {
                 let all = (0..ENGINES).collect();
-                (0, Claims::default().updated(0, (held.fence - 1, &all), &self.terms, 0))
+                (0, Claims::default().updated(0, (lease.fence - 1, &all), &self.terms, 0))
             }
             None => (0, Claims::default()),
         };
         let ordered_at_ms = BTreeMap::new();
-        self.book = Some(Book { fence: held.fence, claims, revision, ordered_at_ms });
+        self.claim_record =
+            Some(ClaimRecord { fence: lease.fence, claims, revision, ordered_at_ms });
     }
 
     fn may_order(&self, now_ms: u64, engine: u32) -> bool {
-        let Some(book) = &self.book else { return false };
-        let from_ms = book.claims.orderable_from_ms(engine, book.fence, &self.terms, PAUSE_MS);
+        let Some(record) = &self.claim_record else { return false };
+        let from_ms = record.claims.orderable_from_ms(engine, record.fence, &self.terms, PAUSE_MS);
         from_ms.is_some_and(|from_ms| now_ms >= from_ms)
     }
 
-    fn next_write(&mut self, now_ms: u64) -> Option<ClaimWrite> {
-        let book = self.book.as_mut()?;
-        let recent = book.recent(now_ms);
-        book.claims.retain(book.fence, &recent);
-        let claims = book.claims.updated(now_ms, (book.fence, &recent), &self.terms, PAUSE_MS);
-        Some(ClaimWrite { fence: book.fence, expected_revision: book.revision, claims })
+    fn next_claim_write(&mut self, now_ms: u64) -> Option<ClaimWrite> {
+        let record = self.claim_record.as_mut()?;
+        let recent = record.retain_recent(now_ms);
+        record.claims.retain(record.fence, &recent);
+        let claims = record.claims.updated(now_ms, (record.fence, &recent), &self.terms, PAUSE_MS);
+        Some(ClaimWrite { fence: record.fence, expected_revision: record.revision, claims })
     }
 
     fn note_written(&mut self, write: &ClaimWrite, revision: u64) {
-        if let Some(book) = self.book.as_mut().filter(|book| book.fence == write.fence) {
-            book.claims = write.claims.clone();
-            book.revision = revision;
+        if let Some(record) =
+            self.claim_record.as_mut().filter(|record| record.fence == write.fence)
+        {
+            record.claims = write.claims.clone();
+            record.revision = revision;
         }
     }
 
-    fn refresh(&mut self) {
-        let written = self.view.as_ref().and_then(|view| view.claims.clone());
-        if let (Some(book), Some((revision, claims))) = (&mut self.book, written)
-            && book.revision < revision
+    fn adopt_stored_claims(&mut self) {
+        let stored = self.view.as_ref().and_then(|view| view.claims.clone());
+        if let (Some(record), Some((revision, claims))) = (&mut self.claim_record, stored)
+            && record.revision < revision
         {
-            book.claims = claims;
-            book.revision = revision;
+            record.claims = claims;
+            record.revision = revision;
         }
     }
 
     fn stop_leading(&mut self) {
-        (self.held, self.book, self.waiting) = (None, None, None);
+        (self.lease, self.claim_record, self.pending_claim) = (None, None, None);
     }
 
-    fn take_view(&mut self, now_ms: u64, store: &Store) {
+    fn update_view(&mut self, now_ms: u64, store: &Store) {
         // What it finds at its start may have been named at any time.
         let (is_new, named_at_ms) = if self.view.is_some() {
-            (self.weights.add_named_at(now_ms, store.version), now_ms)
+            (self.named_versions.add_named_at(now_ms, store.version), now_ms)
         } else {
-            (self.weights.add_named_after(UNKNOWN_TIME_MS, store.version), UNKNOWN_TIME_MS)
+            (self.named_versions.add_named_after(UNKNOWN_TIME_MS, store.version), UNKNOWN_TIME_MS)
         };
         if is_new {
-            self.named_by_ms.insert(store.version, named_at_ms);
+            self.latest_named_at_ms.insert(store.version, named_at_ms);
         }
-        self.terms.note_leader(now_ms, store.lease, store.revision);
+        self.terms.note_leader(now_ms, store.lease_revision, store.revision);
         // One whose whole term fell between two views is not seen to be over until the next.
-        if self.view.as_ref().is_none_or(|view| view.lease != store.lease) {
-            self.seen_at_ms.entry(store.lease.unwrap_or(store.revision)).or_insert(now_ms);
+        if self.view.as_ref().is_none_or(|view| view.lease_revision != store.lease_revision) {
+            self.revision_seen_at_ms
+                .entry(store.lease_revision.unwrap_or(store.revision))
+                .or_insert(now_ms);
         }
         self.view = Some(store.clone());
     }
 }
 
 /// An order on its way.
-struct Flight {
-    from: usize,
+struct OrderInTransit {
+    sender: usize,
     engine: u32,
     fence: u64,
-    begun_at_ms: u64,
+    sent_at_ms: u64,
     arrives_at_ms: u64,
-    arrival_ms: u64,
+    transit_ms: u64,
     /// Its box had given the leadership back, and was then paused with the order: the
     /// platform does not count what comes just after a pause.
-    is_thawed: bool,
+    sent_by_paused_ex_leader: bool,
 }
 
 /// Gossip on its way: revisions and versions with their ages, and the same as the model has it.
-struct Message {
+struct GossipMessage {
     to: usize,
     arrives_at_ms: u64,
     delay_ms: u64,
     terms: Vec<(u64, u64)>,
-    named: Vec<NamedVersion>,
-    seen_at_ms: BTreeMap<u64, u64>,
-    named_by_ms: BTreeMap<u64, u64>,
+    named_versions: Vec<NamedVersion>,
+    revision_seen_at_ms: BTreeMap<u64, u64>,
+    latest_named_at_ms: BTreeMap<u64, u64>,
 }
 
 /// A late write to the store.
-enum LateWrite {
-    Take { asked_at_ms: u64 },
+enum DelayedWrite {
+    AcquireLease { requested_at_ms: u64 },
     Claim(ClaimWrite),
 }
 
-struct World {
+struct Simulation {
     now_ms: u64,
     store: Store,
-    boxes: Vec<OneBox>,
-    late: Vec<(u64, LateWrite)>,
-    flights: Vec<Flight>,
-    messages: Vec<Message>,
+    boxes: Vec<BoxState>,
+    delayed_writes: Vec<(u64, DelayedWrite)>,
+    orders_in_transit: Vec<OrderInTransit>,
+    messages: Vec<GossipMessage>,
     /// Holder, fence and time of each engine's last order.
-    arrived: BTreeMap<u32, (usize, u64, u64)>,
+    last_orders: BTreeMap<u32, (usize, u64, u64)>,
     /// Leaders that began a claim of an engine, with the last time.
-    claimed: BTreeMap<u32, BTreeMap<u64, u64>>,
+    claimed_at_ms: BTreeMap<u32, BTreeMap<u64, u64>>,
     /// When any box first learned of a version that was named before its eyes.
     learned_at_ms: BTreeMap<u64, u64>,
 }
 
-impl World {
-    fn runs(&self, at: usize) -> bool {
+impl Simulation {
+    fn is_running(&self, at: usize) -> bool {
         self.boxes[at].paused_until_ms <= self.now_ms
     }
 
     /// The box, or the next one that holds the leadership as far as it knows.
-    fn holder(&self, at: usize) -> usize {
-        let mut others = (0..BOXES).map(|after| (at + after) % BOXES);
-        others.find(|one| self.boxes[*one].held.is_some()).unwrap_or(at)
+    fn leader_from(&self, at: usize) -> usize {
+        let mut boxes_from_here = (0..BOXES).map(|after| (at + after) % BOXES);
+        boxes_from_here.find(|index| self.boxes[*index].lease.is_some()).unwrap_or(at)
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now_ms += 1;
-            if self.store.lease.is_some() && self.now_ms >= self.store.lapses_at_ms {
-                self.store.end(self.store.lease.unwrap());
+            if self.store.lease_revision.is_some() && self.now_ms >= self.store.expires_at_ms {
+                self.store.release_lease(self.store.lease_revision.unwrap());
             }
-            self.write_late();
+            self.apply_delayed_writes();
             for at in 0..BOXES {
-                self.renew(at);
+                self.renew_lease(at);
             }
-            self.arrive();
-            self.deliver();
+            self.deliver_orders();
+            self.deliver_messages();
         }
     }
 
-    fn write_late(&mut self) {
+    fn apply_delayed_writes(&mut self) {
         let now_ms = self.now_ms;
-        for (_, write) in self.late.extract_if(.., |(at_ms, _)| *at_ms <= now_ms) {
+        for (_, write) in self.delayed_writes.extract_if(.., |(at_ms, _)| *at_ms <= now_ms) {
             match write {
-                LateWrite::Take { asked_at_ms } => self.store.take(asked_at_ms, now_ms),
-                LateWrite::Claim(write) => self.store.claim(&write),
+                DelayedWrite::AcquireLease { requested_at_ms } => {
+                    self.store.acquire_lease(requested_at_ms, now_ms)
+                }
+                DelayedWrite::Claim(write) => self.store.write_claims(&write),
             };
         }
     }
 
-    fn renew(&mut self, at: usize) {
-        let (now_ms, runs) = (self.now_ms, self.runs(at));
-        let one = &mut self.boxes[at];
-        let Some(held) = one.held.as_mut().filter(|held| runs && now_ms >= held.renews_at_ms)
+    fn renew_lease(&mut self, at: usize) {
+        let (now_ms, is_running) = (self.now_ms, self.is_running(at));
+        let state = &mut self.boxes[at];
+        let Some(lease) =
+            state.lease.as_mut().filter(|lease| is_running && now_ms >= lease.renew_at_ms)
         else {
             return;
         };
-        held.renews_at_ms = now_ms + RENEW_MS;
-        if !held.is_cut && self.store.renew(held.fence, now_ms) {
-            held.until_ms = now_ms + TTL_MS - MARGIN_MS;
-        } else if !held.is_cut || now_ms >= held.until_ms {
-            one.stop_leading();
+        lease.renew_at_ms = now_ms + RENEW_PERIOD_MS;
+        if !lease.renewals_fail && self.store.renew_lease(lease.fence, now_ms) {
+            lease.until_ms = now_ms + LEASE_TTL_MS - LEASE_MARGIN_MS;
+        } else if !lease.renewals_fail || now_ms >= lease.until_ms {
+            state.stop_leading();
         }
     }
 
-    fn arrive(&mut self) {
+    fn deliver_orders(&mut self) {
         let now_ms = self.now_ms;
-        for flight in self.flights.extract_if(.., |flight| flight.arrives_at_ms <= now_ms) {
-            let before = self.arrived.get(&flight.engine).copied();
-            let (holder, fence, at_ms) = before.unwrap_or((flight.from, 0, 0));
-            assert!(fence <= flight.fence, "fence {} after {fence}", flight.fence);
-            if flight.is_thawed {
+        for order in self.orders_in_transit.extract_if(.., |order| order.arrives_at_ms <= now_ms) {
+            let before = self.last_orders.get(&order.engine).copied();
+            let (holder, fence, at_ms) = before.unwrap_or((order.sender, 0, 0));
+            assert!(fence <= order.fence, "fence {} after {fence}", order.fence);
+            if order.sent_by_paused_ex_leader {
                 continue;
             }
-            self.arrived.insert(flight.engine, (flight.from, flight.fence, now_ms));
-            let apart_ms = now_ms - at_ms;
-            assert!(holder == flight.from || apart_ms >= LEASE_MS, "{apart_ms} ms apart");
+            self.last_orders.insert(order.engine, (order.sender, order.fence, now_ms));
+            let gap_ms = now_ms - at_ms;
+            assert!(holder == order.sender || gap_ms >= MIN_ORDER_GAP_MS, "{gap_ms} ms apart");
         }
     }
 
-    fn deliver(&mut self) {
+    fn deliver_messages(&mut self) {
         let now_ms = self.now_ms;
-        for told in self.messages.extract_if(.., |told| told.arrives_at_ms <= now_ms) {
-            let one = &mut self.boxes[told.to];
-            if one.paused_until_ms > now_ms || one.view.is_none() {
+        for message in self.messages.extract_if(.., |message| message.arrives_at_ms <= now_ms) {
+            let state = &mut self.boxes[message.to];
+            if state.paused_until_ms > now_ms || state.view.is_none() {
                 continue;
             }
-            for (revision, age_ms) in told.terms {
-                one.terms.merge(revision, now_ms - age_ms);
+            for (revision, age_ms) in message.terms {
+                state.terms.merge(revision, now_ms - age_ms);
             }
-            for (revision, at_ms) in told.seen_at_ms {
-                let known = one.seen_at_ms.entry(revision).or_insert(u64::MAX);
-                *known = (*known).min(at_ms + told.delay_ms);
+            for (revision, at_ms) in message.revision_seen_at_ms {
+                let known = state.revision_seen_at_ms.entry(revision).or_insert(u64::MAX);
+                *known = (*known).min(at_ms + message.delay_ms);
             }
-            for naming in told.named {
-                let at_ms = naming.named_at_ms + told.delay_ms;
-                one.weights.merge(NamedVersion { named_at_ms: at_ms, ..naming });
+            for named_version in message.named_versions {
+                let at_ms = named_version.named_at_ms + message.delay_ms;
+                state.named_versions.merge(NamedVersion { named_at_ms: at_ms, ..named_version });
             }
-            for (version, by_ms) in told.named_by_ms {
-                if version > one.weights.newest() || by_ms == UNKNOWN_TIME_MS {
+            for (version, by_ms) in message.latest_named_at_ms {
+                if version > state.named_versions.newest() || by_ms == UNKNOWN_TIME_MS {
                     continue;
                 }
-                one.was_told = true;
-                let by_ms = by_ms + told.delay_ms;
-                let known = one.named_by_ms.entry(version).or_insert(by_ms);
+                state.has_peer_versions = true;
+                let by_ms = by_ms + message.delay_ms;
+                let known = state.latest_named_at_ms.entry(version).or_insert(by_ms);
                 *known = if *known == UNKNOWN_TIME_MS { by_ms } else { by_ms.min(*known) };
             }
         }
     }
 
-    fn take(&mut self, at: usize, fate: Fate) {
-        let one = &self.boxes[at];
-        let is_free = one.view.as_ref().is_some_and(|view| view.lease.is_none());
-        if !self.runs(at) || one.held.is_some() || !is_free {
+    fn acquire_lease(&mut self, at: usize, result: WriteResult) {
+        let state = &self.boxes[at];
+        let is_free = state.view.as_ref().is_some_and(|view| view.lease_revision.is_none());
+        if !self.is_running(at) || state.lease.is_some() || !is_free {
             return;
         }
-        let asked_at_ms = self.now_ms;
-        if let Fate::Late { by_ms } = fate {
-            self.late.push((asked_at_ms + by_ms, LateWrite::Take { asked_at_ms }));
+        let requested_at_ms = self.now_ms;
+        if let WriteResult::Delayed { by_ms } = result {
+            self.delayed_writes
+                .push((requested_at_ms + by_ms, DelayedWrite::AcquireLease { requested_at_ms }));
             return;
         }
-        let taken = self.store.take(asked_at_ms, asked_at_ms);
-        if let (Some(fence), Fate::Answered) = (taken, fate) {
-            let until_ms = asked_at_ms + TTL_MS - MARGIN_MS;
-            let renews_at_ms = asked_at_ms + RENEW_MS;
-            self.boxes[at].held = Some(Held { fence, until_ms, renews_at_ms, is_cut: false });
+        let acquired_fence = self.store.acquire_lease(requested_at_ms, requested_at_ms);
+        if let (Some(fence), WriteResult::Confirmed) = (acquired_fence, result) {
+            let until_ms = requested_at_ms + LEASE_TTL_MS - LEASE_MARGIN_MS;
+            let renew_at_ms = requested_at_ms + RENEW_PERIOD_MS;
+            self.boxes[at].lease =
+                Some(HeldLease { fence, until_ms, renew_at_ms, renewals_fail: false });
         }
     }
 
-    fn end(&mut self, at: usize) {
-        if let Some(held) = self.boxes[at].held.filter(|_| self.runs(at)) {
+    fn release_lease(&mut self, at: usize) {
+        if let Some(lease) = self.boxes[at].lease.filter(|_| self.is_running(at)) {
             self.boxes[at].stop_leading();
-            self.store.end(held.fence);
+            self.store.release_lease(lease.fence);
         }
     }
 
     /// What is on its way stays there; a box that is paused gives its orders when it goes on,
     /// or never.
     fn pause(&mut self, at: usize, ms: u64) {
-        if !self.runs(at) {
+        if !self.is_running(at) {
             return;
         }
         let until_ms = self.now_ms + ms;
-        let held = self.boxes[at].held;
+        let lease = self.boxes[at].lease;
         self.boxes[at].paused_until_ms = until_ms;
-        for flight in self.flights.iter_mut().filter(|flight| flight.from == at) {
-            let latest_ms = flight.begun_at_ms + CALL_MS;
-            flight.arrives_at_ms = latest_ms.min(until_ms + flight.arrival_ms);
-            flight.is_thawed |= held.is_none_or(|held| held.fence != flight.fence);
+        for order in self.orders_in_transit.iter_mut().filter(|order| order.sender == at) {
+            let latest_ms = order.sent_at_ms + MAX_CALL_MS;
+            order.arrives_at_ms = latest_ms.min(until_ms + order.transit_ms);
+            order.sent_by_paused_ex_leader |= lease.is_none_or(|lease| lease.fence != order.fence);
         }
-        self.flights.retain(|flight| flight.from != at || flight.arrives_at_ms >= until_ms);
+        self.orders_in_transit
+            .retain(|order| order.sender != at || order.arrives_at_ms >= until_ms);
     }
 
-    fn order(&mut self, at: usize, engine: u32, fate: Fate, arrival_ms: u64) {
+    fn order_load(&mut self, at: usize, engine: u32, result: WriteResult, transit_ms: u64) {
         let now_ms = self.now_ms;
-        if !self.runs(at) || !self.boxes[at].leads(now_ms) {
+        if !self.is_running(at) || !self.boxes[at].is_leading(now_ms) {
             return;
         }
-        let one = &mut self.boxes[at];
-        one.open();
-        if !one.may_order(now_ms, engine) {
+        let state = &mut self.boxes[at];
+        state.load_claims();
+        if !state.may_order(now_ms, engine) {
             return;
         }
-        let book = one.book.as_mut().unwrap();
-        let is_claimed = book.claims.claimant(engine) == Some(book.fence);
-        if is_claimed || self.write(at, Some((engine, arrival_ms)), fate) {
-            self.give(at, engine, arrival_ms);
+        let record = state.claim_record.as_mut().unwrap();
+        let is_claimed = record.claims.claimant(engine) == Some(record.fence);
+        if is_claimed || self.claim(at, Some((engine, transit_ms)), result) {
+            self.send_order(at, engine, transit_ms);
         }
     }
 
     /// Writes what is to be claimed; whether the box is told that it was done.
-    fn write(&mut self, at: usize, engine: Option<(u32, u64)>, fate: Fate) -> bool {
+    fn claim(&mut self, at: usize, engine: Option<(u32, u64)>, result: WriteResult) -> bool {
         let now_ms = self.now_ms;
-        let one = &mut self.boxes[at];
-        if one.waiting.as_ref().is_some_and(|waiting| now_ms < waiting.until_ms) {
+        let state = &mut self.boxes[at];
+        if state.pending_claim.as_ref().is_some_and(|pending_claim| now_ms < pending_claim.until_ms)
+        {
             return false;
         }
-        one.waiting = None;
-        let Some(book) = &mut one.book else { return false };
-        if book.revision == 0 {
+        state.pending_claim = None;
+        let Some(record) = &mut state.claim_record else { return false };
+        if record.revision == 0 {
             // What nobody wrote down counts as claimed by the leader before.
-            for engine in book.claims.targets_of(book.fence - 1) {
-                self.claimed.entry(engine).or_default().insert(book.fence - 1, now_ms);
+            for engine in record.claims.targets_of(record.fence - 1) {
+                self.claimed_at_ms.entry(engine).or_default().insert(record.fence - 1, now_ms);
             }
         }
         if let Some((engine, _)) = engine {
-            book.ordered_at_ms.insert(engine, now_ms);
-            self.claimed.entry(engine).or_default().insert(book.fence, now_ms);
+            record.ordered_at_ms.insert(engine, now_ms);
+            self.claimed_at_ms.entry(engine).or_default().insert(record.fence, now_ms);
         }
-        let Some(write) = one.next_write(now_ms) else { return false };
-        let written = match fate {
-            Fate::Late { by_ms } => {
-                self.late.push((now_ms + by_ms, LateWrite::Claim(write.clone())));
+        let Some(write) = state.next_claim_write(now_ms) else { return false };
+        let stored = match result {
+            WriteResult::Delayed { by_ms } => {
+                self.delayed_writes.push((now_ms + by_ms, DelayedWrite::Claim(write.clone())));
                 None
             }
-            Fate::Answered | Fate::AnswerLost => self.store.claim(&write),
+            WriteResult::Confirmed | WriteResult::ResponseLost => self.store.write_claims(&write),
         };
-        match (written, fate) {
-            (Some(revision), Fate::Answered) => one.note_written(&write, revision),
-            (None, Fate::Answered) => one.refresh(),
-            _ => one.waiting = Some(Waiting { write, engine, until_ms: now_ms + CLAIM_MS }),
+        match (stored, result) {
+            (Some(revision), WriteResult::Confirmed) => state.note_written(&write, revision),
+            (None, WriteResult::Confirmed) => state.adopt_stored_claims(),
+            _ => {
+                state.pending_claim =
+                    Some(PendingClaim { write, engine, until_ms: now_ms + CLAIM_TIMEOUT_MS });
+            }
         }
-        written.is_some() && matches!(fate, Fate::Answered)
+        stored.is_some() && matches!(result, WriteResult::Confirmed)
     }
 
     /// Gives an order that was claimed, if the box still leads.
-    fn give(&mut self, from: usize, engine: u32, arrival_ms: u64) {
+    fn send_order(&mut self, sender: usize, engine: u32, transit_ms: u64) {
         let now_ms = self.now_ms;
-        let one = &mut self.boxes[from];
-        if !one.leads(now_ms) {
+        let state = &mut self.boxes[sender];
+        if !state.is_leading(now_ms) {
             return;
         }
-        let Some(book) = &mut one.book else { return };
-        book.ordered_at_ms.insert(engine, now_ms);
-        let fence = book.fence;
-        self.claimed.entry(engine).or_default().insert(fence, now_ms);
-        let arrives_at_ms = now_ms + arrival_ms;
-        let begun_at_ms = now_ms;
-        self.flights.push(Flight {
-            from,
+        let Some(record) = &mut state.claim_record else { return };
+        record.ordered_at_ms.insert(engine, now_ms);
+        let fence = record.fence;
+        self.claimed_at_ms.entry(engine).or_default().insert(fence, now_ms);
+        let arrives_at_ms = now_ms + transit_ms;
+        let sent_at_ms = now_ms;
+        self.orders_in_transit.push(OrderInTransit {
+            sender,
             engine,
             fence,
-            begun_at_ms,
+            sent_at_ms,
             arrives_at_ms,
-            arrival_ms,
-            is_thawed: false,
+            transit_ms,
+            sent_by_paused_ex_leader: false,
         });
     }
 
-    fn tidy(&mut self, at: usize, fate: Fate) {
+    fn clean_up(&mut self, at: usize, result: WriteResult) {
         let now_ms = self.now_ms;
-        if !self.runs(at) || !self.boxes[at].leads(now_ms) {
+        if !self.is_running(at) || !self.boxes[at].is_leading(now_ms) {
             return;
         }
-        let one = &mut self.boxes[at];
-        one.open();
-        let Some(book) = &mut one.book else { return };
-        let recent = book.recent(now_ms);
-        if book.revision == 0
-            || book.claims.targets_of(book.fence).any(|one| !recent.contains(&one))
+        let state = &mut self.boxes[at];
+        state.load_claims();
+        let Some(record) = &mut state.claim_record else { return };
+        let recent = record.retain_recent(now_ms);
+        if record.revision == 0
+            || record.claims.targets_of(record.fence).any(|engine| !recent.contains(&engine))
         {
-            self.write(at, None, fate);
+            self.claim(at, None, result);
         }
     }
 
-    fn view(&mut self, at: usize) {
-        if !self.runs(at) {
+    fn read_store(&mut self, at: usize) {
+        if !self.is_running(at) {
             return;
         }
         let now_ms = self.now_ms;
-        let one = &mut self.boxes[at];
-        let was_there = one.view.is_some();
-        one.take_view(now_ms, &self.store);
-        if was_there {
+        let state = &mut self.boxes[at];
+        let was_running = state.view.is_some();
+        state.update_view(now_ms, &self.store);
+        if was_running {
             self.learned_at_ms.entry(self.store.version).or_insert(now_ms);
         }
-        let told = one.view.as_ref().and_then(|view| view.claims.clone());
-        let known = one.book.as_ref().map_or(u64::MAX, |book| book.revision);
-        let Some((revision, claims)) = told.filter(|(revision, _)| *revision > known) else {
+        let stored_claims = state.view.as_ref().and_then(|view| view.claims.clone());
+        let known = state.claim_record.as_ref().map_or(u64::MAX, |record| record.revision);
+        let Some((revision, claims)) = stored_claims.filter(|(revision, _)| *revision > known)
+        else {
             return;
         };
         // It is told of its write, whose answer was lost.
-        let is_told =
-            |waiting: &mut Waiting| now_ms < waiting.until_ms && waiting.write.claims == claims;
-        if let Some(waiting) = one.waiting.take_if(is_told) {
-            one.note_written(&waiting.write, revision);
-            if let Some((engine, arrival_ms)) = waiting.engine {
-                self.give(at, engine, arrival_ms);
+        let is_own_write = |pending_claim: &mut PendingClaim| {
+            now_ms < pending_claim.until_ms && pending_claim.write.claims == claims
+        };
+        if let Some(pending_claim) = state.pending_claim.take_if(is_own_write) {
+            state.note_written(&pending_claim.write, revision);
+            if let Some((engine, transit_ms)) = pending_claim.engine {
+                self.send_order(at, engine, transit_ms);
             }
         }
     }
 
     fn gossip(&mut self, from: usize, to: usize, delay_ms: u64) {
-        if from == to || !self.runs(from) || self.boxes[from].view.is_none() {
+        if from == to || !self.is_running(from) || self.boxes[from].view.is_none() {
             return;
         }
-        let (now_ms, one) = (self.now_ms, &self.boxes[from]);
-        self.messages.push(Message {
+        let (now_ms, state) = (self.now_ms, &self.boxes[from]);
+        self.messages.push(GossipMessage {
             to,
             arrives_at_ms: now_ms + delay_ms,
             delay_ms,
-            terms: one
+            terms: state
                 .terms
                 .recent(now_ms, PAUSE_MS)
                 .map(|(revision, at_ms)| (revision, now_ms - at_ms))
                 .collect(),
-            named: one.weights.named_after(UNKNOWN_TIME_MS).collect(),
-            seen_at_ms: one.seen_at_ms.clone(),
-            named_by_ms: one.named_by_ms.clone(),
+            named_versions: state.named_versions.named_after(UNKNOWN_TIME_MS).collect(),
+            revision_seen_at_ms: state.revision_seen_at_ms.clone(),
+            latest_named_at_ms: state.latest_named_at_ms.clone(),
         });
         if delay_ms == 0 {
-            self.deliver();
+            self.deliver_messages();
         }
     }
 
     /// Boxes that run are told all, and the leader among them claims what it may order.
-    fn settle(&mut self) {
+    fn synchronize(&mut self) {
         for at in 0..BOXES {
-            self.view(at);
+            self.read_store(at);
         }
         let now_ms = self.now_ms;
-        let leads = |at: &usize| self.runs(*at) && self.boxes[*at].leads(now_ms);
-        let Some(leader) = (0..BOXES).find(leads) else { return };
+        let is_leading = |at: &usize| self.is_running(*at) && self.boxes[*at].is_leading(now_ms);
+        let Some(leader) = (0..BOXES).find(is_leading) else { return };
         for from in 0..BOXES {
             self.gossip(from, leader, 0);
         }
-        self.boxes[leader].open();
+        self.boxes[leader].load_claims();
         for engine in 0..ENGINES {
-            self.assert_soon_ordered(leader, engine);
+            self.assert_orderable_or_paused(leader, engine);
         }
-        self.assert_claimed(leader);
+        self.assert_claims_written(leader);
     }
 
     /// The leader may order an engine unless another did so lately.
-    fn assert_soon_ordered(&self, leader: usize, engine: u32) {
-        let one = &self.boxes[leader];
-        let Some(book) = &one.book else { panic!("what is written is known") };
+    fn assert_orderable_or_paused(&self, leader: usize, engine: u32) {
+        let state = &self.boxes[leader];
+        let Some(record) = &state.claim_record else { panic!("what is written is known") };
         // Without an item, a leader before may have ordered all.
-        let unwritten = (book.revision == 0).then_some(book.fence - 1);
-        let claimed = self.claimed.get(&engine).into_iter().flatten();
-        let mut others = claimed.map(|(fence, _)| *fence).chain(unwritten);
+        let unrecorded_leader = (record.revision == 0).then_some(record.fence - 1);
+        let claimed_at_ms = self.claimed_at_ms.get(&engine).into_iter().flatten();
+        let mut claimants = claimed_at_ms.map(|(fence, _)| *fence).chain(unrecorded_leader);
         // A claim of a leader that was over for long, when the next one took over, is gone.
-        let over_by_ms = |fence: u64| one.over_by_ms(fence).unwrap_or(u64::MAX);
-        let waits = others.any(|fence| {
-            fence != book.fence && self.now_ms < over_by_ms(fence).saturating_add(PAUSE_MS)
+        let latest_end_ms = |fence: u64| state.latest_end_ms(fence).unwrap_or(u64::MAX);
+        let must_pause = claimants.any(|fence| {
+            fence != record.fence && self.now_ms < latest_end_ms(fence).saturating_add(PAUSE_MS)
         });
-        let may_order = one.may_order(self.now_ms, engine);
-        assert!(may_order || waits, "engine {engine} waits for nobody");
+        let may_order = state.may_order(self.now_ms, engine);
+        assert!(may_order || must_pause, "engine {engine} waits for nobody");
     }
 
     /// With a store that answers, the leader claims what it may order in a few writes.
-    fn assert_claimed(&mut self, leader: usize) {
+    fn assert_claims_written(&mut self, leader: usize) {
         let now_ms = self.now_ms;
         let may_order = |engine: &u32| self.boxes[leader].may_order(now_ms, *engine);
         let engines: Vec<u32> = (0..ENGINES).filter(may_order).collect();
-        let is_waiting = |one: &Waiting| now_ms < one.until_ms;
-        if self.store.lease != self.boxes[leader].held.map(|held| held.fence)
-            || self.boxes[leader].waiting.as_ref().is_some_and(is_waiting)
+        let is_pending = |claim: &PendingClaim| now_ms < claim.until_ms;
+        if self.store.lease_revision != self.boxes[leader].lease.map(|lease| lease.fence)
+            || self.boxes[leader].pending_claim.as_ref().is_some_and(is_pending)
         {
             return;
         }
         for engine in engines {
             let is_claimed = (0..2).any(|_| {
-                let book = self.boxes[leader].book.as_ref();
-                book.is_some_and(|book| book.claims.claimant(engine) == Some(book.fence))
-                    || self.write(leader, Some((engine, 0)), Fate::Answered)
+                let record = self.boxes[leader].claim_record.as_ref();
+                record.is_some_and(|record| record.claims.claimant(engine) == Some(record.fence))
+                    || self.claim(leader, Some((engine, 0)), WriteResult::Confirmed)
             });
             assert!(is_claimed, "engine {engine} cannot be claimed");
-            self.give(leader, engine, ARRIVAL_MS);
+            self.send_order(leader, engine, MAX_TRANSIT_MS);
         }
     }
 
     /// No box takes a version for named later than it was, as far as it was told.
-    fn assert_known(&self) {
-        for one in &self.boxes {
-            for version in 0..one.weights.newest() {
-                let since_ms = one.weights.behind_since_ms(version).expect("it is behind");
-                let by_ms = one.behind_by_ms(version);
+    fn assert_version_times(&self) {
+        for state in &self.boxes {
+            for version in 0..state.named_versions.newest() {
+                let since_ms = state.named_versions.behind_since_ms(version).expect("it is behind");
+                let by_ms = state.latest_behind_since_ms(version);
                 assert!(
                     since_ms <= by_ms,
                     "version {version} is behind since {since_ms}, not {by_ms}"
                 );
                 // It is not made up, either.
-                let first_ms =
+                let first_learned_ms =
                     self.learned_at_ms.range(version + 1..).map(|(_, at_ms)| *at_ms).min();
                 assert!(
                     since_ms == UNKNOWN_TIME_MS
-                        || first_ms.is_some_and(|first_ms| first_ms <= since_ms),
-                    "version {version} is behind since {since_ms}, learned at {first_ms:?}"
+                        || first_learned_ms
+                            .is_some_and(|first_learned_ms| first_learned_ms <= since_ms),
+                    "version {version} is behind since {since_ms}, learned at {first_learned_ms:?}"
                 );
             }
         }
     }
 }
 
-impl StateMachineTest for World {
+impl StateMachineTest for Simulation {
     type SystemUnderTest = Self;
     type Reference = Steps;
 
     fn init_test((): &()) -> Self {
         let store = Store { revision: 1, version: 1, ..Store::default() };
-        let mut world = Self {
-            now_ms: BEGIN_MS,
+        let mut simulation = Self {
+            now_ms: START_MS,
             store,
-            boxes: (0..BOXES).map(|_| OneBox::default()).collect(),
-            late: Vec::new(),
-            flights: Vec::new(),
+            boxes: (0..BOXES).map(|_| BoxState::default()).collect(),
+            delayed_writes: Vec::new(),
+            orders_in_transit: Vec::new(),
             messages: Vec::new(),
-            arrived: BTreeMap::new(),
-            claimed: BTreeMap::new(),
+            last_orders: BTreeMap::new(),
+            claimed_at_ms: BTreeMap::new(),
             learned_at_ms: BTreeMap::new(),
         };
-        (0..BOXES).for_each(|at| world.view(at));
-        world
+        (0..BOXES).for_each(|at| simulation.read_store(at));
+        simulation
     }
 
-    fn apply(mut world: Self, (): &(), step: Step) -> Self {
+    fn apply(mut simulation: Self, (): &(), step: Step) -> Self {
         match step {
-            Step::Pass { ms } => world.pass(ms),
-            Step::Take { at, fate } => world.take(at, fate),
-            Step::Lapse { at } => {
-                let at = world.holder(at);
-                if let Some(held) = &mut world.boxes[at].held {
-                    held.is_cut = true;
+            Step::Advance { ms } => simulation.advance(ms),
+            Step::AcquireLease { at, result } => simulation.acquire_lease(at, result),
+            Step::FailRenewals { at } => {
+                let at = simulation.leader_from(at);
+                if let Some(lease) = &mut simulation.boxes[at].lease {
+                    lease.renewals_fail = true;
                 }
             }
-            Step::End { at } => world.end(world.holder(at)),
-            Step::Succeed { at, fate } => {
-                world.end(world.holder(at));
-                world.view(at);
-                world.take(at, fate);
-                world.view(at);
+            Step::ReleaseLease { at } => simulation.release_lease(simulation.leader_from(at)),
+            Step::ReplaceLeader { at, result } => {
+                simulation.release_lease(simulation.leader_from(at));
+                simulation.read_store(at);
+                simulation.acquire_lease(at, result);
+                simulation.read_store(at);
             }
-            Step::Kill { at } => world.boxes[at] = OneBox::default(),
-            Step::Pause { at, ms } => world.pause(at, ms),
-            Step::Order { at, engine, fate, arrival_ms } => {
-                world.order(world.holder(at), engine, fate, arrival_ms);
+            Step::Restart { at } => simulation.boxes[at] = BoxState::default(),
+            Step::Pause { at, ms } => simulation.pause(at, ms),
+            Step::Order { at, engine, result, transit_ms } => {
+                simulation.order_load(simulation.leader_from(at), engine, result, transit_ms);
             }
-            Step::Tidy { at, fate } => world.tidy(world.holder(at), fate),
-            Step::View { at } => world.view(at),
-            Step::Gossip { from, to, delay_ms } => world.gossip(from, to, delay_ms),
-            Step::Name { skips } if world.store.version < VERSIONS => {
-                world.store.revision += 1 + skips;
-                world.store.version += 1 + skips;
+            Step::CleanUp { at, result } => simulation.clean_up(simulation.leader_from(at), result),
+            Step::ReadStore { at } => simulation.read_store(at),
+            Step::Gossip { from, to, delay_ms } => simulation.gossip(from, to, delay_ms),
+            Step::NameVersion { skipped } if simulation.store.version < MAX_VERSION => {
+                simulation.store.revision += 1 + skipped;
+                simulation.store.version += 1 + skipped;
             }
-            Step::Name { .. } => {}
-            Step::Settle => world.settle(),
+            Step::NameVersion { .. } => {}
+            Step::Synchronize => simulation.synchronize(),
         }
-        world.assert_known();
-        world
+        simulation.assert_version_times();
+        simulation
     }
 }
 
 #[test]
 fn one_holder_gets_on() {
-    model::run_state_machine::<World>(1000, 120);
+    model::run_state_machine::<Simulation>(1000, 120);
 }
 
 fn engines(numbers: &[u32]) -> BTreeSet<u32> {
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -16,15 +16,15 @@
     /// An operator reads and prepares a change of a model.
     Prepare { operator: usize, model: u8 },
     /// It writes; the answer may be lost, so that it sends the change again.
-    Write { operator: usize, answer_lost: bool },
+    Write { operator: usize, response_lost: bool },
     /// A box hears entries from the log.
-    Hear { at: usize, from: usize, count: usize },
+    ReceiveEntries { at: usize, from: usize, count: usize },
     /// A box hears a whole state, new or old.
-    HearState { at: usize, revision: usize },
+    ReceiveState { at: usize, revision: usize },
     /// A box tells another what it has.
-    Tell { from: usize, to: usize },
+    Gossip { from: usize, to: usize },
     /// A box is replaced.
-    Replace { at: usize },
+    Restart { at: usize },
 }
 
 #[derive(Clone, Debug)]
@@ -44,12 +44,12 @@
         prop_oneof![
             4 => (operator(), 0..3_u8).prop_map(|(operator, model)| Step::Prepare { operator, model }),
             6 => (operator(), any::<bool>())
-                .prop_map(|(operator, answer_lost)| Step::Write { operator, answer_lost }),
+                .prop_map(|(operator, response_lost)| Step::Write { operator, response_lost }),
             5 => (at(), 0..20_usize, 0..5_usize)
-                .prop_map(|(at, from, count)| Step::Hear { at, from, count }),
-            2 => (at(), 0..20_usize).prop_map(|(at, revision)| Step::HearState { at, revision }),
-            4 => (at(), at()).prop_map(|(from, to)| Step::Tell { from, to }),
-            1 => at().prop_map(|at| Step::Replace { at }),
+                .prop_map(|(at, from, count)| Step::ReceiveEntries { at, from, count }),
+            2 => (at(), 0..20_usize).prop_map(|(at, revision)| Step::ReceiveState { at, revision }),
+            4 => (at(), at()).prop_map(|(from, to)| Step::Gossip { from, to }),
+            1 => at().prop_map(|at| Step::Restart { at }),
         ]
         .boxed()
     }
@@ -57,17 +57,17 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct World {
+struct Simulation {
     /// Each state that ever was, by revision.
     states: Vec<ConfigState>,
     log: Vec<ConfigEntry>,
-    prepared: Vec<Option<ChangeProposal>>,
+    proposals: Vec<Option<ChangeProposal>>,
     boxes: Vec<ConfigLog>,
     next_id: u64,
 }
 
-impl World {
-    fn newest(&self) -> &ConfigState {
+impl Simulation {
+    fn newest_state(&self) -> &ConfigState {
         self.states.last().unwrap()
     }
 
@@ -75,18 +75,18 @@
         self.next_id += 1;
         let version = format!("v{}", self.next_id);
         let change = Change::SetModel { model: format!("m{model}"), version };
-        let expects_revision = self.newest().object_revision(&change.object());
+        let expects_revision = self.newest_state().object_revision(&change.object());
         let (id, name) = (self.next_id.to_string(), operator.to_string());
         let proposal = ChangeProposal { id, operator: name, at_ms: 0, expects_revision, change };
-        self.prepared[operator] = Some(proposal);
+        self.proposals[operator] = Some(proposal);
     }
 
     /// The write of an operator's tool, as one compare-and-swap.
-    fn write(&mut self, operator: usize, answer_lost: bool) {
-        let Some(proposal) = self.prepared[operator].clone() else {
+    fn write(&mut self, operator: usize, response_lost: bool) {
+        let Some(proposal) = self.proposals[operator].clone() else {
             return;
         };
-        let newest = self.newest().clone();
+        let newest = self.newest_state().clone();
         if newest.accepted_at(&proposal.id).is_none() {
             match newest.accept(&proposal) {
                 Ok(entry) => {
@@ -96,27 +96,28 @@
                     self.log.push(entry);
                 }
                 // Another one was faster: it learns so, and nothing is overwritten.
-                Err(_) => self.prepared[operator] = None,
+                Err(_) => self.proposals[operator] = None,
             }
         }
-        if !answer_lost {
-            self.prepared[operator] = None;
+        if !response_lost {
+            self.proposals[operator] = None;
         }
-        let times = self.log.iter().filter(|entry| entry.proposal.id == proposal.id).count();
-        assert!(times <= 1, "a change applied {times} times");
+        let applied_count =
+            self.log.iter().filter(|entry| entry.proposal.id == proposal.id).count();
+        assert!(applied_count <= 1, "a change applied {applied_count} times");
     }
 
-    fn hear(&mut self, at: usize, what: impl FnOnce(&mut ConfigLog)) {
+    fn update_box(&mut self, at: usize, update: impl FnOnce(&mut ConfigLog)) {
         let before = self.boxes[at].revision();
-        what(&mut self.boxes[at]);
+        update(&mut self.boxes[at]);
         let after = self.boxes[at].revision();
         assert!(after >= before, "box {at} went back from {before} to {after}");
-        let truth = &self.states[usize::try_from(after).unwrap()];
-        assert_eq!(self.boxes[at].state(), truth, "box {at} serves what was accepted");
+        let accepted_state = &self.states[usize::try_from(after).unwrap()];
+        assert_eq!(self.boxes[at].state(), accepted_state, "box {at} serves what was accepted");
     }
 }
 
-impl StateMachineTest for World {
+impl StateMachineTest for Simulation {
     type SystemUnderTest = Self;
     type Reference = Steps;
 
@@ -124,43 +125,44 @@
         Self {
             states: vec![ConfigState::default()],
             log: Vec::new(),
-            prepared: vec![None; OPERATORS],
+            proposals: vec![None; OPERATORS],
             boxes: (0..BOXES).map(|_| ConfigLog::default()).collect(),
             next_id: 0,
         }
     }
 
-    fn apply(mut world: Self, (): &(), step: Step) -> Self {
+    fn apply(mut simulation: Self, (): &(), step: Step) -> Self {
         match step {
-            Step::Prepare { operator, model } => world.prepare(operator, model),
-            Step::Write { operator, answer_lost } => world.write(operator, answer_lost),
-            Step::Hear { at, from, count } => {
-                let entries: Vec<_> = world.log.iter().skip(from).take(count).cloned().collect();
-                world.hear(at, |log| {
+            Step::Prepare { operator, model } => simulation.prepare(operator, model),
+            Step::Write { operator, response_lost } => simulation.write(operator, response_lost),
+            Step::ReceiveEntries { at, from, count } => {
+                let entries: Vec<_> =
+                    simulation.log.iter().skip(from).take(count).cloned().collect();
+                simulation.update_box(at, |log| {
                     log.adopt_entries(&entries);
                 });
             }
-            Step::HearState { at, revision } => {
-                let state = world.states[revision.min(world.states.len() - 1)].clone();
-                world.hear(at, |log| {
+            Step::ReceiveState { at, revision } => {
+                let state = simulation.states[revision.min(simulation.states.len() - 1)].clone();
+                simulation.update_box(at, |log| {
                     log.adopt_state(state);
                 });
             }
-            Step::Tell { from, to } => {
-                let after = world.boxes[to].revision();
-                if let Some(entries) = world.boxes[from].entries_after(after) {
-                    world.hear(to, |log| {
+            Step::Gossip { from, to } => {
+                let after = simulation.boxes[to].revision();
+                if let Some(entries) = simulation.boxes[from].entries_after(after) {
+                    simulation.update_box(to, |log| {
                         log.adopt_entries(&entries);
                     });
                 }
             }
-            Step::Replace { at } => world.boxes[at] = ConfigLog::default(),
+            Step::Restart { at } => simulation.boxes[at] = ConfigLog::default(),
         }
-        world
+        simulation
     }
 }
 
 #[test]
 fn never_reverts() {
-    model::run_state_machine::<World>(400, 80);
+    model::run_state_machine::<Simulation>(400, 80);
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -42,14 +42,17 @@
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
     let platform = Consul::new(&fleet.platform.url());
     let (_, state) = read_config(&platform).await.unwrap();
-    let seen = state.object_revision(&Object::Model("summary".to_owned()));
-    let (one, other) = (set_version("one", seen, "v2"), set_version("other", seen, "v3"));
-    let (one, other) =
-        tokio::join!(submit_proposal(&platform, &one), submit_proposal(&platform, &other));
-    let won = [&one, &other].iter().filter(|result| result.is_ok()).count();
-    assert_eq!(won, 1, "{one:?} {other:?}");
-    let lost = one.err().or(other.err()).unwrap();
-    assert!(matches!(lost, Error::Conflict { .. }), "{lost}");
+    let expected_revision = state.object_revision(&Object::Model("summary".to_owned()));
+    let (first, second) = (
+        set_version("one", expected_revision, "v2"),
+        set_version("other", expected_revision, "v3"),
+    );
+    let (first, second) =
+        tokio::join!(submit_proposal(&platform, &first), submit_proposal(&platform, &second));
+    let accepted = [&first, &second].iter().filter(|result| result.is_ok()).count();
+    assert_eq!(accepted, 1, "{first:?} {second:?}");
+    let rejection = first.err().or(second.err()).unwrap();
+    assert!(matches!(rejection, Error::Conflict { .. }), "{rejection}");
 }
 
 #[tokio::test]
@@ -107,9 +110,11 @@
     let platform = Consul::new(&fleet.platform.url());
     for number in 0..90 {
         let (_, state) = read_config(&platform).await.unwrap();
-        let seen = state.object_revision(&Object::Model("summary".to_owned()));
+        let expected_revision = state.object_revision(&Object::Model("summary".to_owned()));
         let version = if number == 89 { "v1" } else { "v2" };
-        submit_proposal(&platform, &set_version(&number.to_string(), seen, version)).await.unwrap();
+        submit_proposal(&platform, &set_version(&number.to_string(), expected_revision, version))
+            .await
+            .unwrap();
         // The service takes a hundred writes a second.
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -129,11 +134,11 @@
     assert_eq!((code, text.contains("no template 'none'")), (1, true), "{text}");
     let (code, text) = fleet.operate(&["template", "remove", "group"]);
     assert_eq!((code, text.contains("account 'petra' uses")), (1, true), "{text}");
-    let bad = ["template", "set", "t!", "--share", "-1", "--priority", "9"];
-    let (code, text) = fleet.operate(&bad);
+    let invalid_args = ["template", "set", "t!", "--share", "-1", "--priority", "9"];
+    let (code, text) = fleet.operate(&invalid_args);
     assert_eq!(code, 1);
-    for finding in ["'t!' is not a name", "share -1", "priority 9"] {
-        assert!(text.contains(finding), "{text}");
+    for message in ["'t!' is not a name", "share -1", "priority 9"] {
+        assert!(text.contains(message), "{text}");
     }
     assert_eq!(fleet.operate(&["account", "fly"]).0, 2);
 }
--- a/tests/courses.rs
+++ b/tests/courses.rs
@@ -15,7 +15,7 @@
     letters.chars().map(|letter| letter.to_string().repeat(BLOCK_BYTES)).collect()
 }
 
-fn course(letters: &str) -> PrefixChain {
+fn chain(letters: &str) -> PrefixChain {
     PrefixChain::new(&scope("a", "v1"), &prompt(letters))
 }
 
@@ -26,15 +26,15 @@
 #[case("abcd", "xbcd", 0, false)]
 #[case("abcd", "", 0, false)]
 fn common_start(
-    #[case] left: &str,
-    #[case] right: &str,
+    #[case] first: &str,
+    #[case] second: &str,
     #[case] blocks: u32,
     #[case] continues: bool,
 ) {
-    let (left, right) = (course(left), course(right));
-    assert_eq!(left.common_tokens(&right), blocks * 256);
-    assert_eq!(right.common_tokens(&left), blocks * 256);
-    assert_eq!(left.continues(&right), continues);
+    let (first, second) = (chain(first), chain(second));
+    assert_eq!(first.common_tokens(&second), blocks * 256);
+    assert_eq!(second.common_tokens(&first), blocks * 256);
+    assert_eq!(first.continues(&second), continues);
 }
 
 #[rstest]
@@ -44,7 +44,7 @@
 #[case(63, 130, 56)]
 fn strides_differ(#[case] short: usize, #[case] long: usize, #[case] blocks: u32) {
     let letters: String = ('a'..='z').cycle().take(long).collect();
-    let (short, long) = (course(&letters[..short]), course(&letters));
+    let (short, long) = (chain(&letters[..short]), chain(&letters));
     assert_eq!(short.root, long.root, "a prompt keeps its root while it grows");
     assert_eq!(short.common_tokens(&long), blocks * 256);
     assert!(short.continues(&long) && long.continues(&short));
@@ -53,11 +53,11 @@
 #[test]
 fn scopes_apart() {
     let text = prompt("abcd");
-    let own = PrefixChain::new(&scope("a", "v1"), &text);
+    let own_chain = PrefixChain::new(&scope("a", "v1"), &text);
     for other in [scope("b", "v1"), scope("a", "v2")] {
-        let other_course = PrefixChain::new(&other, &text);
-        assert_ne!(own.root, other_course.root);
-        assert_eq!(own.common_tokens(&other_course), 0);
+        let other_chain = PrefixChain::new(&other, &text);
+        assert_ne!(own_chain.root, other_chain.root);
+        assert_eq!(own_chain.common_tokens(&other_chain), 0);
         assert_ne!(cache_salt(&scope("a", "v1")), cache_salt(&other));
     }
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -11,10 +11,10 @@
 
 const KEY: &str = "sanam-key";
 /// Upstreams that one request may crash.
-const CRASHES: usize = 3;
+const MAX_CRASHES: usize = 3;
 
 /// A hall of two boxes whose upstreams all end when they begin with deadly work.
-async fn deadly_hall() -> Fleet {
+async fn start_hall() -> Fleet {
     let fleet = start_fleet(&Plan::one_hall(2, 8, 8)).await;
     for upstream in fleet.engines.iter().chain(&fleet.workers) {
         fleet.fault(upstream, json!({ "die_on": "deadly" })).await;
@@ -22,7 +22,7 @@
     fleet
 }
 
-async fn alive(fleet: &Fleet, upstreams: &[Process]) -> usize {
+async fn running_count(fleet: &Fleet, upstreams: &[Process]) -> usize {
     let mut count = 0;
     for upstream in upstreams {
         count += usize::from(fleet.get(&format!("{}/runs", upstream.url())).await.is_some());
@@ -30,42 +30,43 @@
     count
 }
 
-async fn is_held_back(answer: Response) -> bool {
-    let status = answer.status();
-    let comes_back = answer.headers().contains_key("retry-after");
-    let body: Value = answer.json().await.unwrap();
-    status == 503 && comes_back && body["error"]["ran"] == "not run"
+async fn is_quarantined(response: Response) -> bool {
+    let status = response.status();
+    let has_retry_after = response.headers().contains_key("retry-after");
+    let body: Value = response.json().await.unwrap();
+    status == 503 && has_retry_after && body["error"]["ran"] == "not run"
 }
 
 #[tokio::test]
 async fn completion_crashes() {
-    let fleet = deadly_hall().await;
-    let answer = completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap();
-    let body: Value = answer.json().await.unwrap();
+    let fleet = start_hall().await;
+    let response = completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap();
+    let body: Value = response.json().await.unwrap();
     assert_eq!(body["error"]["ran"], "outcome unknown", "{body}");
-    assert_eq!(alive(&fleet, &fleet.engines).await, 8 - CRASHES);
+    assert_eq!(running_count(&fleet, &fleet.engines).await, 8 - MAX_CRASHES);
     eventually("the other box knows", async || {
-        let answer = completion_request(&fleet, 1, KEY, "deadly", 10).send().await.unwrap();
-        is_held_back(answer).await
+        let response = completion_request(&fleet, 1, KEY, "deadly", 10).send().await.unwrap();
+        is_quarantined(response).await
     })
     .await;
     assert!(
-        is_held_back(completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap()).await
+        is_quarantined(completion_request(&fleet, 0, KEY, "deadly", 10).send().await.unwrap())
+            .await
     );
-    assert_eq!(alive(&fleet, &fleet.engines).await, 8 - CRASHES);
+    assert_eq!(running_count(&fleet, &fleet.engines).await, 8 - MAX_CRASHES);
     check_completion(&fleet, 1, KEY, "sound", 10).await;
 }
 
 #[tokio::test]
 async fn call_crashes() {
-    let fleet = deadly_hall().await;
-    let answer = service_call(&fleet, 0, KEY, "/fixtures/deadly").send().await.unwrap();
-    assert_eq!(answer.status(), 502);
-    assert_eq!(alive(&fleet, &fleet.workers).await, 8 - CRASHES);
+    let fleet = start_hall().await;
+    let response = service_call(&fleet, 0, KEY, "/fixtures/deadly").send().await.unwrap();
+    assert_eq!(response.status(), 502);
+    assert_eq!(running_count(&fleet, &fleet.workers).await, 8 - MAX_CRASHES);
     eventually("the other box knows", async || {
-        is_held_back(service_call(&fleet, 1, KEY, "/fixtures/deadly").send().await.unwrap()).await
+        is_quarantined(service_call(&fleet, 1, KEY, "/fixtures/deadly").send().await.unwrap()).await
     })
     .await;
-    assert_eq!(alive(&fleet, &fleet.workers).await, 8 - CRASHES);
+    assert_eq!(running_count(&fleet, &fleet.workers).await, 8 - MAX_CRASHES);
     assert_eq!(service_call(&fleet, 1, KEY, "/fixtures/sound").send().await.unwrap().status(), 200);
 }
