--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -1,8 +1,9 @@
-//! Claims of leaders, and what boxes know of terms and of named weights: several boxes and
-//! a store with random takes, lapses, ends, kills and pauses, lost and late writes, late
-//! gossip. No two holders order an engine too closely, whoever leads may order soon, and no
-//! box takes a version for newer than it is, once others have told it. The store's calls are
-//! the model's; the time is whatever it says.
+//! The claims of leaders, and what boxes know of leaders' terms and of named weight versions,
+//! in a simulation of several boxes and a metadata store. Leases are acquired, released and
+//! lost, boxes are restarted and paused, and writes and gossip are lost or delayed, all at
+//! random. Three things must hold: orders of two leaders to an engine keep their minimum
+//! distance, a leader may soon give orders, and a box that was told by its peers does not take
+//! a version for newer than it is. Store and time are simulated.
 
 #[path = "common/model.rs"]
 mod model;
@@ -16,63 +17,66 @@
 
 const BOXES: usize = 3;
 const ENGINES: u32 = 2;
-/// Time for which orders of two holders must not follow each other.
+/// Minimum time between the arrivals of orders of two leaders at one engine.
 const MIN_ORDER_GAP_MS: u64 = 1000;
-/// Time that an order takes to arrive while its box runs.
+/// Maximum time that an order takes to arrive while its sender is not paused.
 const MAX_TRANSIT_MS: u64 = 200;
-/// Pause between the orders of two leaders.
+/// Pause before a leader orders an engine that another leader has claimed.
 const PAUSE_MS: u64 = MIN_ORDER_GAP_MS + MAX_TRANSIT_MS;
-/// Longest time after which an order that was begun arrives, also if its box is paused.
+/// Maximum time from sending an order to its arrival, even if its sender is paused meanwhile.
 const MAX_CALL_MS: u64 = 600;
-/// Time after which a claim that was not written is given up.
+/// Time after which an order is given up if its claim is not known to be written.
 const CLAIM_TIMEOUT_MS: u64 = 1000;
-/// Time for which a renewal of the leadership holds, and by how much its holder stops earlier.
+/// Time for which the store keeps a lease after its last renewal.
 const LEASE_TTL_MS: u64 = 1500;
+/// The holder stops to lead this long before its lease expires in the store.
 const LEASE_MARGIN_MS: u64 = 400;
 const RENEW_PERIOD_MS: u64 = 400;
-/// When a model's time begins: all ages are less.
+/// Start of the simulated time. It exceeds all ages, so that they can be subtracted from it.
 const START_MS: u64 = 1_000_000;
-/// Versions that are named at most: all are remembered.
+/// Newest version that is named; boxes remember this many versions.
 const MAX_VERSION: u64 = 12;
 
-/// What becomes of a write.
+/// What happens to a write.
 #[derive(Clone, Copy, Debug)]
 enum WriteResult {
-    /// It is done or refused, and the box is told so.
+    /// The store accepts or rejects it, and the box gets the response.
     Confirmed,
-    /// It is done or refused, and the box is not told.
+    /// The store accepts or rejects it, and the response is lost.
     ResponseLost,
-    /// It is done later, if its condition holds then; the box is not told.
+    /// It reaches the store later and is accepted if its condition holds then; the response is
+    /// lost.
     Delayed { by_ms: u64 },
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes.
+    /// Advances the simulated time.
     Advance { ms: u64 },
-    /// A box takes the leadership, if it is free for all that it knows.
+    /// A box tries to acquire the lease, if its view shows it as free.
     AcquireLease { at: usize, result: WriteResult },
-    /// A leader's renewals fail from now on.
+    /// All further renewals of a leader fail.
     FailRenewals { at: usize },
-    /// A leader gives the leadership back.
+    /// A leader releases its lease.
     ReleaseLease { at: usize },
-    /// It does, and a box is told so and takes it.
+    /// A leader releases its lease, and a box reads that and tries to acquire it.
     ReplaceLeader { at: usize, result: WriteResult },
-    /// A box forgets all and starts again.
+    /// A box restarts and loses its state.
     Restart { at: usize },
-    /// A box stands still.
+    /// A box is paused.
     Pause { at: usize, ms: u64 },
-    /// A leader claims an engine and orders it.
+    /// A leader claims an engine and sends it an order.
     Order { at: usize, engine: u32, result: WriteResult, transit_ms: u64 },
-    /// A leader strikes out what lies back.
+    /// A leader removes the claims of its past orders.
     CleanUp { at: usize, result: WriteResult },
-    /// A box is told what the store has.
+    /// A box reads the store.
     ReadStore { at: usize },
-    /// A box tells another what it knows.
+    /// A box sends gossip to another one.
     Gossip { from: usize, to: usize, delay_ms: u64 },
-    /// An operator names the next version, or the one after it.
+    /// An operator names a new version; the boxes may not see the one before it.
     NameVersion { skipped: u64 },
-    /// All boxes that run are told all; the leader must get on.
+    /// All running boxes read the store and send gossip to the leader, which must then be able to
+    /// give orders.
     Synchronize,
 }
 
@@ -121,18 +125,20 @@
     fn apply((): (), _: &Step) {}
 }
 
-/// What the store has.
+/// Content of the metadata store.
 #[derive(Clone, Debug, Default)]
 struct Store {
     revision: u64,
-    /// The revision of the leadership's item.
+    /// Revision of the lease, which is the fencing token of its holder; `None` while it is free.
     lease_revision: Option<u64>,
     expires_at_ms: u64,
+    /// The claims, with their revision.
     claims: Option<(u64, Claims)>,
+    /// Newest named version.
     version: u64,
 }
 
-/// A write of claims, under the condition that it came with.
+/// A write of claims on condition that the lease and the stored claims are unchanged.
 #[derive(Clone, Debug)]
 struct ClaimWrite {
     fence: u64,
@@ -177,7 +183,7 @@
     }
 }
 
-/// What a leader has written down, as `gateway::claims` keeps it.
+/// The claims as the leader knows them; corresponds to `gateway::claims::ClaimRecord`.
 struct ClaimRecord {
     fence: u64,
     claims: Claims,
@@ -192,9 +198,10 @@
     }
 }
 
-/// An order that waits for its claim, of which the box was not told.
+/// A write of claims without response, and the order that depends on it.
 struct PendingClaim {
     write: ClaimWrite,
+    /// Engine and transit time of the order.
     engine: Option<(u32, u64)>,
     until_ms: u64,
 }
@@ -204,11 +211,10 @@
     fence: u64,
     until_ms: u64,
     renew_at_ms: u64,
-    /// Its renewals fail.
     renewals_fail: bool,
 }
 
-/// A box, with what the model knows that it may go by.
+/// State of a box, and the times that the simulation expects it to know.
 #[derive(Default)]
 struct BoxState {
     view: Option<Store>,
@@ -218,11 +224,12 @@
     claim_record: Option<ClaimRecord>,
     pending_claim: Option<PendingClaim>,
     paused_until_ms: u64,
-    /// For each revision that it saw or was told of, when at the latest.
+    /// For each revision that the box saw or was told of, the latest time that it may take for
+    /// its beginning.
     revision_seen_at_ms: BTreeMap<u64, u64>,
-    /// For each version, since when at the latest the box must count it as named.
+    /// For each version, the latest time at which the box may believe that it was named.
     latest_named_at_ms: BTreeMap<u64, u64>,
-    /// Whether one that was there told it of versions.
+    /// Whether a peer that knows when a version was named has told the box.
     has_peer_versions: bool,
 }
 
@@ -231,13 +238,14 @@
         self.lease.is_some_and(|lease| now_ms < lease.until_ms)
     }
 
-    /// Since when a leader is over, by all that it saw or was told.
+    /// Latest time that the box may take for the end of a leader's term, by what it saw and was
+    /// told.
     fn latest_end_ms(&self, fence: u64) -> Option<u64> {
         self.revision_seen_at_ms.range(fence + 1..).map(|(_, at_ms)| *at_ms).min()
     }
 
-    /// Since when at the latest it must count weights as behind. What nobody told is long
-    /// ago.
+    /// Latest time since which the box may take `version` for outdated. An unknown time counts as
+    /// long ago.
     fn latest_behind_since_ms(&self, version: u64) -> u64 {
         let newer = || self.latest_named_at_ms.range(version + 1..).map(|(_, by_ms)| *by_ms);
         let mut reported = newer().filter(|by_ms| *by_ms != UNKNOWN_TIME_MS);
@@ -303,7 +311,7 @@
     }
 
     fn update_view(&mut self, now_ms: u64, store: &Store) {
-        // What it finds at its start may have been named at any time.
+        // A version that the box finds when it starts may have been named at any earlier time.
         let (is_new, named_at_ms) = if self.view.is_some() {
             (self.named_versions.add_named_at(now_ms, store.version), now_ms)
         } else {
@@ -313,7 +321,7 @@
             self.latest_named_at_ms.insert(store.version, named_at_ms);
         }
         self.terms.note_leader(now_ms, store.lease_revision, store.revision);
-        // One whose whole term fell between two views is not seen to be over until the next.
+        // If a leader's whole term falls between two reads, its end is seen with the next leader.
         if self.view.as_ref().is_none_or(|view| view.lease_revision != store.lease_revision) {
             self.revision_seen_at_ms
                 .entry(store.lease_revision.unwrap_or(store.revision))
@@ -323,7 +331,7 @@
     }
 }
 
-/// An order on its way.
+/// An order that has not arrived yet.
 struct OrderInTransit {
     sender: usize,
     engine: u32,
@@ -331,12 +339,13 @@
     sent_at_ms: u64,
     arrives_at_ms: u64,
     transit_ms: u64,
-    /// Its box had given the leadership back, and was then paused with the order: the
-    /// platform does not count what comes just after a pause.
+    /// The sender was paused after it had released its lease. The platform does not count orders
+    /// that arrive just after such a pause.
     sent_by_paused_ex_leader: bool,
 }
 
-/// Gossip on its way: revisions and versions with their ages, and the same as the model has it.
+/// Gossip that has not arrived yet: leaders' terms and named versions with their times, and the
+/// sender's expected times of both.
 struct GossipMessage {
     to: usize,
     arrives_at_ms: u64,
@@ -347,7 +356,7 @@
     latest_named_at_ms: BTreeMap<u64, u64>,
 }
 
-/// A late write to the store.
+/// A write that reaches the store late.
 enum DelayedWrite {
     AcquireLease { requested_at_ms: u64 },
     Claim(ClaimWrite),
@@ -360,11 +369,12 @@
     delayed_writes: Vec<(u64, DelayedWrite)>,
     orders_in_transit: Vec<OrderInTransit>,
     messages: Vec<GossipMessage>,
-    /// Holder, fence and time of each engine's last order.
+    /// Sender, fencing token and arrival time of each engine's last order.
     last_orders: BTreeMap<u32, (usize, u64, u64)>,
-    /// Leaders that began a claim of an engine, with the last time.
+    /// For each engine, the fencing tokens of the leaders that tried to claim it, with the time of
+    /// the last attempt.
     claimed_at_ms: BTreeMap<u32, BTreeMap<u64, u64>>,
-    /// When any box first learned of a version that was named before its eyes.
+    /// When the first running box saw a version in the store that it had not found at its start.
     learned_at_ms: BTreeMap<u64, u64>,
 }
 
@@ -373,7 +383,7 @@
         self.boxes[at].paused_until_ms <= self.now_ms
     }
 
-    /// The box, or the next one that holds the leadership as far as it knows.
+    /// The first box from `at` on that believes it holds the lease; `at` if there is none.
     fn leader_from(&self, at: usize) -> usize {
         let mut boxes_from_here = (0..BOXES).map(|after| (at + after) % BOXES);
         boxes_from_here.find(|index| self.boxes[*index].lease.is_some()).unwrap_or(at)
@@ -495,8 +505,8 @@
         }
     }
 
-    /// What is on its way stays there; a box that is paused gives its orders when it goes on,
-    /// or never.
+    /// Pauses a box. Its orders in transit arrive after the pause, or never; gossip and delayed
+    /// writes are not affected.
     fn pause(&mut self, at: usize, ms: u64) {
         if !self.is_running(at) {
             return;
@@ -530,7 +540,7 @@
         }
     }
 
-    /// Writes what is to be claimed; whether the box is told that it was done.
+    /// Writes the claims of the leader; returns whether it got the response that they are stored.
     fn claim(&mut self, at: usize, engine: Option<(u32, u64)>, result: WriteResult) -> bool {
         let now_ms = self.now_ms;
         let state = &mut self.boxes[at];
@@ -541,7 +551,7 @@
         state.pending_claim = None;
         let Some(record) = &mut state.claim_record else { return false };
         if record.revision == 0 {
-            // What nobody wrote down counts as claimed by the leader before.
+            // Without stored claims, the previous leader counts as claimant of these targets.
             for engine in record.claims.targets_of(record.fence - 1) {
                 self.claimed_at_ms.entry(engine).or_default().insert(record.fence - 1, now_ms);
             }
@@ -569,7 +579,7 @@
         stored.is_some() && matches!(result, WriteResult::Confirmed)
     }
 
-    /// Gives an order that was claimed, if the box still leads.
+    /// Sends an order to a claimed engine, if the box still leads.
     fn send_order(&mut self, sender: usize, engine: u32, transit_ms: u64) {
         let now_ms = self.now_ms;
         let state = &mut self.boxes[sender];
@@ -626,7 +636,7 @@
         else {
             return;
         };
-        // It is told of its write, whose answer was lost.
+        // The box sees its own write, whose response was lost.
         let is_own_write = |pending_claim: &mut PendingClaim| {
             now_ms < pending_claim.until_ms && pending_claim.write.claims == claims
         };
@@ -661,7 +671,8 @@
         }
     }
 
-    /// Boxes that run are told all, and the leader among them claims what it may order.
+    /// All running boxes read the store and tell the leader what they know; the leader then claims
+    /// the engines that it may order.
     fn synchronize(&mut self) {
         for at in 0..BOXES {
             self.read_store(at);
@@ -679,15 +690,15 @@
         self.assert_claims_written(leader);
     }
 
-    /// The leader may order an engine unless another did so lately.
+    /// The leader may order an engine unless another leader claimed it recently.
     fn assert_orderable_or_paused(&self, leader: usize, engine: u32) {
         let state = &self.boxes[leader];
         let Some(record) = &state.claim_record else { panic!("what is written is known") };
-        // Without an item, a leader before may have ordered all.
+        // Without stored claims, the previous leader may have ordered every engine.
         let unrecorded_leader = (record.revision == 0).then_some(record.fence - 1);
         let claimed_at_ms = self.claimed_at_ms.get(&engine).into_iter().flatten();
         let mut claimants = claimed_at_ms.map(|(fence, _)| *fence).chain(unrecorded_leader);
-        // A claim of a leader that was over for long, when the next one took over, is gone.
+        // The claims of a leader whose term ended at least a pause ago do not count.
         let latest_end_ms = |fence: u64| state.latest_end_ms(fence).unwrap_or(u64::MAX);
         let must_pause = claimants.any(|fence| {
             fence != record.fence && self.now_ms < latest_end_ms(fence).saturating_add(PAUSE_MS)
@@ -696,7 +707,7 @@
         assert!(may_order || must_pause, "engine {engine} waits for nobody");
     }
 
-    /// With a store that answers, the leader claims what it may order in a few writes.
+    /// While the store responds, at most two writes claim an engine that the leader may order.
     fn assert_claims_written(&mut self, leader: usize) {
         let now_ms = self.now_ms;
         let may_order = |engine: &u32| self.boxes[leader].may_order(now_ms, *engine);
@@ -718,7 +729,8 @@
         }
     }
 
-    /// No box takes a version for named later than it was, as far as it was told.
+    /// A box does not take a version for outdated later than it should by what it was told, nor
+    /// earlier than anybody knew, unless the time is unknown.
     fn assert_version_times(&self) {
         for state in &self.boxes {
             for version in 0..state.named_versions.newest() {
@@ -728,7 +740,6 @@
                     since_ms <= by_ms,
                     "version {version} is behind since {since_ms}, not {by_ms}"
                 );
-                // It is not made up, either.
                 let first_learned_ms =
                     self.learned_at_ms.range(version + 1..).map(|(_, at_ms)| *at_ms).min();
                 assert!(
@@ -836,7 +847,7 @@
     terms.note_leader(10, None, 2);
     terms.note_leader(20, Some(3), 3);
     assert!(!terms.saw_leader_before(3) && terms.saw_leader_before(7));
-    // What peers tell was not seen here.
+    // A term that a peer reports does not count as seen by this box.
     let mut told = LeaderTerms::default();
     told.merge(3, 20);
     assert!(!told.saw_leader_before(7));
--- a/tests/config_model.rs
+++ b/tests/config_model.rs
@@ -1,5 +1,6 @@
-//! The configuration log against a service that loses answers, with racing
-//! operators and boxes that hear late, twice and out of order.
+//! The configuration log in a simulation: operators compete, the configuration service loses
+//! responses, and boxes receive entries and states late, twice and out of order. A box must
+//! never go back to an older revision, nor serve a state that was not accepted.
 
 #[path = "common/model.rs"]
 mod model;
@@ -13,17 +14,18 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator reads and prepares a change of a model.
+    /// An operator reads the configuration and prepares a change of a model.
     Prepare { operator: usize, model: u8 },
-    /// It writes; the answer may be lost, so that it sends the change again.
+    /// An operator submits the prepared change. If the response is lost, it submits it again
+    /// later.
     Write { operator: usize, response_lost: bool },
-    /// A box hears entries from the log.
+    /// A box receives entries of the log.
     ReceiveEntries { at: usize, from: usize, count: usize },
-    /// A box hears a whole state, new or old.
+    /// A box receives a whole state, current or old.
     ReceiveState { at: usize, revision: usize },
-    /// A box tells another what it has.
+    /// A box sends another one the entries that it lacks.
     Gossip { from: usize, to: usize },
-    /// A box is replaced.
+    /// A box restarts with an empty log.
     Restart { at: usize },
 }
 
@@ -58,7 +60,7 @@
 }
 
 struct Simulation {
-    /// Each state that ever was, by revision.
+    /// All accepted states, by revision.
     states: Vec<ConfigState>,
     log: Vec<ConfigEntry>,
     proposals: Vec<Option<ChangeProposal>>,
@@ -81,7 +83,7 @@
         self.proposals[operator] = Some(proposal);
     }
 
-    /// The write of an operator's tool, as one compare-and-swap.
+    /// Submits a proposal with one compare-and-swap, as the operators' tool does.
     fn write(&mut self, operator: usize, response_lost: bool) {
         let Some(proposal) = self.proposals[operator].clone() else {
             return;
@@ -95,7 +97,7 @@
                     self.states.push(state);
                     self.log.push(entry);
                 }
-                // Another one was faster: it learns so, and nothing is overwritten.
+                // Another operator was faster: this one is told, and nothing is overwritten.
                 Err(_) => self.proposals[operator] = None,
             }
         }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! An accepted change is in force everywhere within seconds, applies once and
-//! never reverts.
+//! An accepted change is in force at all boxes within seconds, is applied once and never
+//! reverted.
 
 mod common;
 
@@ -73,7 +73,7 @@
 async fn platform_out() {
     let fleet = start_fleet(&Plan::one_hall(3, 1, 0)).await;
     fleet.fault(&fleet.platform, json!({ "outage": true })).await;
-    // All boxes but one are replaced while the platform is out.
+    // All boxes but one are restarted during the platform's outage.
     for at in [0, 1] {
         fleet.boxes[at].process.restart();
         fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
@@ -115,7 +115,7 @@
         submit_proposal(&platform, &set_version(&number.to_string(), expected_revision, version))
             .await
             .unwrap();
-        // The service takes a hundred writes a second.
+        // The service accepts a hundred writes per second.
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let (head, state) = read_config(&platform).await.unwrap();
--- a/tests/courses.rs
+++ b/tests/courses.rs
@@ -1,4 +1,5 @@
-//! Courses of prompts: what they have in common, and what they do not.
+//! Prefix chains of prompts: how much of two prompts is known to be equal, and which prompts
+//! must not be found to share anything.
 
 use coursestile::context::{PrefixChain, Scope, cache_salt};
 use rstest::rstest;
@@ -10,7 +11,7 @@
     Scope { account, model: "m".to_owned(), version }
 }
 
-/// A prompt of blocks, each filled with one letter.
+/// A prompt with one block of equal letters for each letter.
 fn prompt(letters: &str) -> String {
     letters.chars().map(|letter| letter.to_string().repeat(BLOCK_BYTES)).collect()
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -1,5 +1,5 @@
-//! A completion that crashed the engine that began with it was sent to the next one, up to
-//! sixteen times, and so was a call that may be repeated; and both came again at another box.
+//! A completion or a repeatable call that crashes its upstream must not be retried at all the
+//! others: they were tried at up to sixteen, and once more through each further box.
 
 mod common;
 
@@ -10,10 +10,10 @@
 use serde_json::{Value, json};
 
 const KEY: &str = "sanam-key";
-/// Upstreams that one request may crash.
+/// Number of upstreams that one request may crash before it is quarantined.
 const MAX_CRASHES: usize = 3;
 
-/// A hall of two boxes whose upstreams all end when they begin with deadly work.
+/// Starts a hall of two boxes whose upstreams all crash on requests that contain "deadly".
 async fn start_hall() -> Fleet {
     let fleet = start_fleet(&Plan::one_hall(2, 8, 8)).await;
     for upstream in fleet.engines.iter().chain(&fleet.workers) {
