--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -22,25 +22,26 @@
     let engine = |name: &str| Engine::new(name, "http://127.0.0.1:1", 8, 65_536, 0.05);
     let store = Store::new("http://127.0.0.1:2", 4_000_000_000, 2e6);
     let stores = BTreeMap::from([("store1".to_owned(), store)]);
-    let keeper = ContextManager::new(RetentionPolicy::default(), stores, 100, 20_000, "b1");
-    Dispatcher::new(Policies::default(), vec![engine("e1"), engine("e2")], keeper)
+    let context_manager =
+        ContextManager::new(RetentionPolicy::default(), stores, 100, 20_000, "b1");
+    Dispatcher::new(Policies::default(), vec![engine("e1"), engine("e2")], context_manager)
 }
 
 /// A store whose link moves 2 GB/s keeps the context of `ask`.
-fn keep(dispatcher: &mut Dispatcher, ask: &SlotRequest) {
+fn add_stored_context(dispatcher: &mut Dispatcher, request: &SlotRequest) {
     let meta = BlockMeta {
-        scope: ask.scope.clone(),
-        prefix: ask.prefix.clone(),
-        worthless_at_ms: ask.worthless_at_ms,
+        scope: request.scope.clone(),
+        prefix: request.prefix.clone(),
+        worthless_at_ms: request.worthless_at_ms,
     };
     let seal = Seal { len_bytes: 1, checksum: "c".to_owned() };
-    let size_bytes = u64::from(ask.prefix.tokens()) * 20_000;
-    let listed = StoredBlock { id: BlockId("kept".to_owned()), size_bytes, seal, meta };
-    dispatcher.context.adopt_block(NOW_MS, "store1", listed);
+    let size_bytes = u64::from(request.prefix.tokens()) * 20_000;
+    let stored_block = StoredBlock { id: BlockId("kept".to_owned()), size_bytes, seal, meta };
+    dispatcher.context.adopt_block(NOW_MS, "store1", stored_block);
 }
 
 /// An ask with always the same prompt.
-fn ask(number: u64, avoid: &[&str]) -> SlotRequest {
+fn slot_request(number: u64, excluded_engines: &[&str]) -> SlotRequest {
     let text = |text: &str| text.to_owned();
     let scope = Scope { account: text("sanam"), model: text("summary"), version: text("v1") };
     let entry = BoxRef { name: text("b1"), incarnation: 1 };
@@ -55,16 +56,16 @@
         weights: Weights::default(),
         worthless_at_ms: NOW_MS + 1_000_000,
         deadline_ms: NOW_MS + 30_000,
-        excluded_engines: avoid.iter().map(|name| text(name)).collect(),
+        excluded_engines: excluded_engines.iter().map(|name| text(name)).collect(),
         no_wait: false,
         trace: TraceId(1),
     }
 }
 
 /// Runs an ask to its end; the engine that ran it.
-fn run(dispatcher: &mut Dispatcher, ask: SlotRequest) -> String {
-    let id = ask.id.clone();
-    let actions = dispatcher.request_slot(NOW_MS, ask);
+fn run_request(dispatcher: &mut Dispatcher, request: SlotRequest) -> String {
+    let id = request.id.clone();
+    let actions = dispatcher.request_slot(NOW_MS, request);
     let [Action::Respond { response: SlotResponse::Granted(grant), .. }] = actions.as_slice()
     else {
         panic!("not placed: {actions:?}");
@@ -76,7 +77,7 @@
     grant.engine.clone()
 }
 
-fn report(dispatcher: &mut Dispatcher, version: &str) {
+fn report_versions(dispatcher: &mut Dispatcher, version: &str) {
     for name in ["e1", "e2"] {
         let report = EngineReport { version: version.to_owned(), leaving: false, loading: false };
         dispatcher.record_engine_report(NOW_MS, name, Some(&report));
@@ -94,11 +95,11 @@
 #[case::loaded_between(&["v1", "v2", "v1"], "e1")]
 fn report_kept(#[case] versions: &[&str], #[case] expected: &str) {
     let mut dispatcher = dispatcher();
-    assert_eq!(run(&mut dispatcher, ask(1, &["e1"])), "e2");
+    assert_eq!(run_request(&mut dispatcher, slot_request(1, &["e1"])), "e2");
     for version in versions {
-        report(&mut dispatcher, version);
+        report_versions(&mut dispatcher, version);
     }
-    assert_eq!(run(&mut dispatcher, ask(2, &[])), expected);
+    assert_eq!(run_request(&mut dispatcher, slot_request(2, &[])), expected);
 }
 
 // An import that was given up 50 ms after it was due was followed by 140 ms of reading
@@ -106,9 +107,9 @@
 #[test]
 fn import_patience() {
     let mut dispatcher = dispatcher();
-    let ask = ask(1, &[]);
-    keep(&mut dispatcher, &ask);
-    let actions = dispatcher.request_slot(NOW_MS, ask);
+    let request = slot_request(1, &[]);
+    add_stored_context(&mut dispatcher, &request);
+    let actions = dispatcher.request_slot(NOW_MS, request);
     let [Action::Respond { response: SlotResponse::Granted(grant), .. }] = actions.as_slice()
     else {
         panic!("not placed: {actions:?}");
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -22,7 +22,7 @@
         fixture.gateway.logged().contains("answered request=r-good")
     })
     .await;
-    for (id, told) in [
+    for (id, expected_parts) in [
         ("r-lost", ["event=routed", "end=unknown cause=", "reason=\"upstream failed\" status=502"]),
         (
             "r-full",
@@ -37,7 +37,7 @@
             .unwrap();
         let text = String::from_utf8(output.stdout).unwrap();
         assert!(
-            output.status.success() && told.iter().all(|one| text.contains(one)),
+            output.status.success() && expected_parts.iter().all(|part| text.contains(part)),
             "{id}: {text}"
         );
         assert!(text.contains("event=upstream_seen upstream=s-0"), "what was believed: {text}");
@@ -60,14 +60,14 @@
 /// Why a request is held back stands in no line of its own.
 #[test]
 fn quarantine_told() {
-    let read = |number, text: &str| {
+    let parse = |number, text: &str| {
         LogLine::parse(number, "a", &format!("2026-12-02T14:1{number}:00.000Z INFO {text}"))
             .unwrap()
     };
     let lines = [
-        read(0, "quarantine: event=request_quarantined fingerprint=00000000000000aa"),
-        read(1, "quarantine: event=request_quarantined fingerprint=00000000000000bb"),
-        read(2, "serve: event=refused request=r-1 fingerprint=00000000000000aa status=503"),
+        parse(0, "quarantine: event=request_quarantined fingerprint=00000000000000aa"),
+        parse(1, "quarantine: event=request_quarantined fingerprint=00000000000000bb"),
+        parse(2, "serve: event=refused request=r-1 fingerprint=00000000000000aa status=503"),
     ];
     assert_eq!(request_timeline(&lines, "r-1"), [&lines[0], &lines[2]]);
 }
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -19,18 +19,18 @@
 
 /// A peer played by the test, that forwards calls to the first box.
 struct Forwarder {
-    me: BoxRef,
+    id: BoxRef,
     address: String,
     spender: BoxRef,
-    to: String,
+    box_address: String,
     sockets: PeerSockets,
     received: mpsc::Receiver<Vec<u8>>,
     _network: Network,
 }
 
 fn cluster_key() -> ClusterKey {
-    let digit = |at: usize| u8::from_str_radix(&CLUSTER_KEY[at..at + 2], 16).unwrap();
-    std::array::from_fn(|byte| digit(2 * byte))
+    let byte_at = |at: usize| u8::from_str_radix(&CLUSTER_KEY[at..at + 2], 16).unwrap();
+    std::array::from_fn(|byte| byte_at(2 * byte))
 }
 
 impl Forwarder {
@@ -43,11 +43,11 @@
         let incarnation = u64::from_str_radix(incarnation, 16).unwrap();
         let host = fleet.boxes[0].process.address.replace(":8000", ":7000");
         Self {
-            me: BoxRef { name: "other".to_owned(), incarnation: 1 },
+            id: BoxRef { name: "other".to_owned(), incarnation: 1 },
             received: listen(&address).unwrap(),
             address,
             spender: BoxRef { name: name.to_owned(), incarnation },
-            to: host,
+            box_address: host,
             sockets: PeerSockets::new(std::collections::BTreeMap::new()),
             _network: network,
         }
@@ -71,18 +71,18 @@
 
     fn send(&self, message: Message) {
         let envelope = Envelope {
-            from: self.me.clone(),
+            from: self.id.clone(),
             reply_to: self.address.clone(),
-            to: self.to.clone(),
+            to: self.box_address.clone(),
             sent_at_ms: now_ms(),
             config_revision: 0,
             message,
         };
-        self.sockets.send(&self.to, &encode(&cluster_key(), &envelope).unwrap());
+        self.sockets.send(&self.box_address, &encode(&cluster_key(), &envelope).unwrap());
     }
 
     /// The next end of a call, with its number.
-    async fn end(&mut self) -> (u64, CallEnd) {
+    async fn next_call_end(&mut self) -> (u64, CallEnd) {
         loop {
             let bytes = self.received.recv().await.unwrap();
             let envelope = decode(&cluster_key(), &bytes).unwrap();
@@ -99,18 +99,18 @@
     let mut forwarder = Forwarder::new(&fleet).await;
     fleet.workers.iter().for_each(Process::kill);
     forwarder.forward(1, "lost");
-    let (_, first) = forwarder.end().await;
+    let (_, first) = forwarder.next_call_end().await;
     assert_eq!(first.outcome, Outcome::NotRun);
     fleet.workers.iter().for_each(Process::restart);
     fleet.wait_for(&format!("{}/runs", fleet.workers[0].url())).await;
     tokio::time::sleep(Duration::from_millis(1200)).await;
     // The answer was lost on its way, so the call comes again under its number.
     forwarder.forward(1, "lost");
-    assert_eq!(forwarder.end().await, (1, first));
+    assert_eq!(forwarder.next_call_end().await, (1, first));
     assert_eq!(run_count(&fleet, "lost").await, 0);
     // Its caller heard that it has not run, and makes it again.
     forwarder.forward(2, "lost");
-    let (number, second) = forwarder.end().await;
+    let (number, second) = forwarder.next_call_end().await;
     assert!(matches!((number, second.outcome), (2, Outcome::Answered(_))));
     assert_eq!(run_count(&fleet, "lost").await, 1);
 }
@@ -125,10 +125,10 @@
         forwarder.forward(1, "again");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let (_, first) = forwarder.end().await;
+    let (_, first) = forwarder.next_call_end().await;
     assert!(matches!(first.outcome, Outcome::Answered(_)), "{first:?}");
     forwarder.forward(1, "again");
-    assert_eq!(forwarder.end().await, (1, first));
+    assert_eq!(forwarder.next_call_end().await, (1, first));
     assert_eq!(run_count(&fleet, "again").await, 1);
 }
 
@@ -139,7 +139,7 @@
     let fleet = start_fleet(&Plan::one_hall(2, 1, 1)).await;
     let leaver = Forwarder::new(&fleet).await;
     let member = Member {
-        id: leaver.me.clone(),
+        id: leaver.id.clone(),
         hall: "north".to_owned(),
         region: "home".to_owned(),
         address: leaver.address.clone(),
@@ -150,23 +150,23 @@
     leaver.send(Message::Gossip(Gossip::Join { member }));
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_in_force(&boxes, 4, 3).await;
-    let ticket = Ticket { spender: leaver.me.clone(), expires_at_ms: now_ms() + 60_000, serial: 1 };
+    let ticket = Ticket { spender: leaver.id.clone(), expires_at_ms: now_ms() + 60_000, serial: 1 };
     let key = format!("{}/1", ticket.sign(&cluster_key(), "petra"));
-    let order = |at: usize| {
-        let order =
+    let post_order = |at: usize| {
+        let request =
             service_call(&fleet, at, "petra-key", "/orders/1").header("idempotency-key", &key);
-        order.header("x-timeout-ms", 8000).send()
+        request.header("x-timeout-ms", 8000).send()
     };
     // An empty ledger is not kept.
     let mut ledger = Ledger::default();
-    let other = CallKey { account: "petra".to_owned(), key: "other".to_owned() };
-    ledger.begin(now_ms(), &other, 0, now_ms() + 60_000);
+    let other_key = CallKey { account: "petra".to_owned(), key: "other".to_owned() };
+    ledger.begin(now_ms(), &other_key, 0, now_ms() + 60_000);
     let ledger = ledger.handover_copy();
-    let (of, ledger) = (leaver.me.clone(), Box::new(ledger));
+    let (of, ledger) = (leaver.id.clone(), Box::new(ledger));
     leaver.send(Message::Handover { of, ledger });
     for at in [0, 1] {
         // A closed ledger that does not know a call says that it has not run.
-        let answer = order(at).await.unwrap();
-        assert_eq!(answer.headers()["x-coursestile-ran"], "not run", "asked at {at}");
+        let response = post_order(at).await.unwrap();
+        assert_eq!(response.headers()["x-coursestile-ran"], "not run", "asked at {at}");
     }
 }
--- a/tests/halls_cut.rs
+++ b/tests/halls_cut.rs
@@ -47,13 +47,15 @@
     let fleet = three_halls().await;
     fleet.cut_hall("east", true).await;
     // All of the hall's boxes are replaced while it is cut off.
-    let east: Vec<_> = fleet.boxes.iter().filter(|one| one.process.hall == "east").collect();
+    let east: Vec<_> =
+        fleet.boxes.iter().filter(|entry_box| entry_box.process.hall == "east").collect();
     for entry_box in &east {
         entry_box.process.restart();
     }
     fleet.must_operate(&["account", "set", "petra", "--drop-key", "petra-key"]);
-    let others: Vec<_> = fleet.boxes.iter().filter(|one| one.process.hall != "east").collect();
-    fleet.wait_in_force(&others, 5, 4).await;
+    let other_halls: Vec<_> =
+        fleet.boxes.iter().filter(|entry_box| entry_box.process.hall != "east").collect();
+    fleet.wait_in_force(&other_halls, 5, 4).await;
     // The platform is reached from each hall, so that a cut hall hears of it too.
     fleet.wait_in_force(&east, 5, 2).await;
     fleet.cut_hall("east", false).await;
@@ -65,18 +67,18 @@
 async fn ticket_across() {
     let fleet = three_halls().await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
-    let order = |at: usize, key: String| {
-        let order = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", key);
-        async { order.header("x-timeout-ms", 800).send().await.unwrap() }
+    let post_order = |at: usize, key: String| {
+        let request = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", key);
+        async { request.header("x-timeout-ms", 800).send().await.unwrap() }
     };
     let key = format!("{prefix}/1");
-    assert_eq!(order(0, key.clone()).await.status(), 200);
+    assert_eq!(post_order(0, key.clone()).await.status(), 200);
     fleet.cut_hall("north", true).await;
-    let cut = order(2, key.clone()).await;
-    assert_eq!(cut.headers()["x-coursestile-ran"], "outcome unknown");
-    assert_eq!(order(1, key.clone()).await.status(), 200, "the own hall is not cut");
+    let response = post_order(2, key.clone()).await;
+    assert_eq!(response.headers()["x-coursestile-ran"], "outcome unknown");
+    assert_eq!(post_order(1, key.clone()).await.status(), 200, "the own hall is not cut");
     fleet.cut_hall("north", false).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(order(2, key.clone()).await.status(), 200);
+    assert_eq!(post_order(2, key.clone()).await.status(), 200);
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/kept_context.rs
+++ b/tests/kept_context.rs
@@ -9,44 +9,44 @@
 use serde_json::{Value, json};
 
 /// Engines that hold two contexts of 3,000 tokens, and one store.
-fn plan() -> Plan {
+fn small_cache_plan() -> Plan {
     let mut plan = Plan::one_hall(2, 1, 0);
     plan.stores = 1;
     plan.cache_tokens = 6400;
     plan
 }
 
-async fn ask(fleet: &Fleet, key: &str, book: &str) -> u64 {
-    let prompt = format!("{}What now?", context_text(book, 3000));
-    let answer = completion_request(fleet, 0, key, &prompt, 5).send().await.unwrap();
-    let body: Value = answer.json().await.unwrap();
+async fn send_prompt(fleet: &Fleet, key: &str, context_seed: &str) -> u64 {
+    let prompt = format!("{}What now?", context_text(context_seed, 3000));
+    let response = completion_request(fleet, 0, key, &prompt, 5).send().await.unwrap();
+    let body: Value = response.json().await.unwrap();
     let expected = coursestile_standins::answer::whole("v1", &prompt, 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
     body["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap()
 }
 
 /// Uses a book often enough to be kept, then pushes it out of the engine.
-async fn keep_and_forget(fleet: &Fleet, key: &str, book: &str) {
+async fn store_and_evict(fleet: &Fleet, key: &str, context_seed: &str) {
     for _ in 0..3 {
-        ask(fleet, key, book).await;
+        send_prompt(fleet, key, context_seed).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     for other in 0..4 {
-        ask(fleet, "petra-key", &format!("other {other}")).await;
+        send_prompt(fleet, "petra-key", &format!("other {other}")).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
 
-async fn blocks(fleet: &Fleet) -> Vec<Value> {
-    let listed = fleet.get(&format!("{}/blocks", fleet.stores[0].url())).await.unwrap();
-    listed.as_array().unwrap().clone()
+async fn stored_blocks(fleet: &Fleet) -> Vec<Value> {
+    let blocks = fleet.get(&format!("{}/blocks", fleet.stores[0].url())).await.unwrap();
+    blocks.as_array().unwrap().clone()
 }
 
 #[tokio::test]
 async fn context_returns() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "rulebook").await;
-    let cached = ask(&fleet, "sanam-key", "rulebook").await;
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "rulebook").await;
+    let cached = send_prompt(&fleet, "sanam-key", "rulebook").await;
     assert!(cached >= 2560, "only {cached} tokens came back");
     let load = fleet.get(&format!("{}/load", fleet.stores[0].url())).await.unwrap();
     assert!(load["link_bytes"].as_u64().unwrap() > 0);
@@ -54,27 +54,31 @@
 
 #[tokio::test]
 async fn accounts_apart() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "shared text").await;
-    ask(&fleet, "sanam-key", "shared text").await;
-    assert_eq!(ask(&fleet, "petra-key", "shared text").await, 0, "equal text, nothing shared");
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "shared text").await;
+    send_prompt(&fleet, "sanam-key", "shared text").await;
+    assert_eq!(
+        send_prompt(&fleet, "petra-key", "shared text").await,
+        0,
+        "equal text, nothing shared"
+    );
 }
 
 #[tokio::test]
 async fn content_checked() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "rulebook").await;
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "rulebook").await;
     // The store hands out other bytes than were sealed.
     fleet.fault(&fleet.stores[0], json!({ "corrupt_reads": true })).await;
     for _ in 0..2 {
-        assert_eq!(ask(&fleet, "sanam-key", "rulebook").await % 3000, 0);
-        keep_and_forget(&fleet, "sanam-key", "pushed out").await;
+        assert_eq!(send_prompt(&fleet, "sanam-key", "rulebook").await % 3000, 0);
+        store_and_evict(&fleet, "sanam-key", "pushed out").await;
     }
 }
 
 #[tokio::test]
 async fn half_written() {
-    let fleet = start_fleet(&plan()).await;
+    let fleet = start_fleet(&small_cache_plan()).await;
     // The engine dies in the middle of a write; the store serves what it has.
     fleet.fault(&fleet.stores[0], json!({ "slowdown": 40, "serve_unsealed": true })).await;
     let prompt = format!("{}What now?", context_text("rulebook", 3000));
@@ -85,7 +89,7 @@
     fleet.engines[0].restart();
     fleet.wait_for(&format!("{}/load", fleet.engines[0].url())).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(blocks(&fleet).await.len(), 0, "nothing was sealed");
+    assert_eq!(stored_blocks(&fleet).await.len(), 0, "nothing was sealed");
     for _ in 0..3 {
         check_completion(&fleet, 1, "sanam-key", &prompt, 5).await;
     }
@@ -93,36 +97,36 @@
 
 #[tokio::test]
 async fn block_freed() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "rulebook").await;
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "rulebook").await;
     // Another holder freed the blocks, which the dispatcher has not heard.
-    for block in blocks(&fleet).await {
+    for block in stored_blocks(&fleet).await {
         let id = block["id"].as_str().unwrap();
         let url = format!("{}/blocks/{id}?force=true", fleet.stores[0].url());
         fleet.http.delete(url).send().await.unwrap();
     }
-    assert_eq!(ask(&fleet, "sanam-key", "rulebook").await, 0, "recomputed, not read");
+    assert_eq!(send_prompt(&fleet, "sanam-key", "rulebook").await, 0, "recomputed, not read");
 }
 
 #[tokio::test]
 async fn store_dead() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "rulebook").await;
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "rulebook").await;
     fleet.stores[0].signal("-STOP");
     for _ in 0..3 {
-        ask(&fleet, "sanam-key", "rulebook").await;
+        send_prompt(&fleet, "sanam-key", "rulebook").await;
     }
     fleet.stores[0].signal("-CONT");
 }
 
 #[tokio::test]
 async fn store_full() {
-    let mut plan = plan();
+    let mut plan = small_cache_plan();
     plan.store_bytes = 100_000_000;
     let fleet = start_fleet(&plan).await;
-    for book in 0..6 {
+    for number in 0..6 {
         for _ in 0..2 {
-            ask(&fleet, "sanam-key", &format!("book {book}")).await;
+            send_prompt(&fleet, "sanam-key", &format!("book {number}")).await;
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
@@ -132,8 +136,8 @@
 
 #[tokio::test]
 async fn directory_rebuilt() {
-    let fleet = start_fleet(&plan()).await;
-    keep_and_forget(&fleet, "sanam-key", "rulebook").await;
+    let fleet = start_fleet(&small_cache_plan()).await;
+    store_and_evict(&fleet, "sanam-key", "rulebook").await;
     for at in 0..2 {
         fleet.boxes[at].process.restart();
     }
@@ -142,13 +146,13 @@
     // The first request makes the new dispatcher ask the store what it keeps.
     check_completion(&fleet, 0, "sanam-key", "Wake up.", 2).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let cached = ask(&fleet, "sanam-key", "rulebook").await;
+    let cached = send_prompt(&fleet, "sanam-key", "rulebook").await;
     assert!(cached >= 2560, "only {cached} tokens came back");
 }
 
 #[tokio::test]
 async fn start_shared() {
-    let fleet = start_fleet(&plan()).await;
+    let fleet = start_fleet(&small_cache_plan()).await;
     let prompt =
         |page: &str| format!("{}{}", context_text("style pack", 2048), context_text(page, 1024));
     for _ in 0..3 {
@@ -156,13 +160,13 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     for other in 0..4 {
-        ask(&fleet, "petra-key", &format!("other {other}")).await;
+        send_prompt(&fleet, "petra-key", &format!("other {other}")).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     // The kept block goes on with another page than this prompt.
-    let answer =
+    let response =
         completion_request(&fleet, 0, "sanam-key", &prompt("page two"), 5).send().await.unwrap();
-    let body: Value = answer.json().await.unwrap();
+    let body: Value = response.json().await.unwrap();
     let expected = coursestile_standins::answer::whole("v1", &prompt("page two"), 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
     let cached = &body["usage"]["prompt_tokens_details"]["cached_tokens"];
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -4,11 +4,11 @@
 use coursestile::ticket::BoxRef;
 use rstest::rstest;
 
-fn run(name: &str, incarnation: u64) -> BoxRef {
+fn box_ref(name: &str, incarnation: u64) -> BoxRef {
     BoxRef { name: name.to_owned(), incarnation }
 }
 
-fn held(session: &str, holder: Option<BoxRef>) -> LeaseRecord {
+fn lease_record(session: &str, holder: Option<BoxRef>) -> LeaseRecord {
     LeaseRecord { session: session.to_owned(), holder }
 }
 
@@ -18,25 +18,26 @@
 
 #[rstest]
 #[case::free(None, LeaseStatus::Free)]
-#[case::own(Some(held("mine", Some(run("b1", 7)))), LeaseStatus::HeldByThisBox)]
-#[case::taken_unheard(Some(held("mine", None)), LeaseStatus::HeldByThisBox)]
-#[case::answer_lost(Some(held("given up", Some(run("b1", 7)))), orphaned("given up"))]
-#[case::before_restart(Some(held("old", Some(run("b1", 6)))), orphaned("old"))]
-#[case::gone(Some(held("old", Some(run("b2", 1)))), orphaned("old"))]
-#[case::alive(Some(held("theirs", Some(run("b3", 1)))), LeaseStatus::HeldByOtherBox)]
-#[case::unreadable(Some(held("theirs", None)), LeaseStatus::HeldByOtherBox)]
-fn whose_lease(#[case] held: Option<LeaseRecord>, #[case] expected: LeaseStatus) {
-    let gone = [run("b1", 6), run("b2", 1)];
-    let found = lease_status(held, &run("b1", 7), Some("mine"), |holder| gone.contains(holder));
-    assert_eq!(found, expected);
+#[case::own(Some(lease_record("mine", Some(box_ref("b1", 7)))), LeaseStatus::HeldByThisBox)]
+#[case::taken_unheard(Some(lease_record("mine", None)), LeaseStatus::HeldByThisBox)]
+#[case::answer_lost(Some(lease_record("given up", Some(box_ref("b1", 7)))), orphaned("given up"))]
+#[case::before_restart(Some(lease_record("old", Some(box_ref("b1", 6)))), orphaned("old"))]
+#[case::gone(Some(lease_record("old", Some(box_ref("b2", 1)))), orphaned("old"))]
+#[case::alive(Some(lease_record("theirs", Some(box_ref("b3", 1)))), LeaseStatus::HeldByOtherBox)]
+#[case::unreadable(Some(lease_record("theirs", None)), LeaseStatus::HeldByOtherBox)]
+fn whose_lease(#[case] record: Option<LeaseRecord>, #[case] expected: LeaseStatus) {
+    let gone = [box_ref("b1", 6), box_ref("b2", 1)];
+    let status =
+        lease_status(record, &box_ref("b1", 7), Some("mine"), |holder| gone.contains(holder));
+    assert_eq!(status, expected);
 }
 
 // Late orders of a holder that has gone are refused by engines that check only.
 #[test]
 fn lapse_awaited() {
-    let others = held("old", Some(run("b2", 1)));
+    let record = lease_record("old", Some(box_ref("b2", 1)));
     assert_eq!(
-        lease_status(Some(others), &run("b1", 7), None, |_| false),
+        lease_status(Some(record), &box_ref("b1", 7), None, |_| false),
         LeaseStatus::HeldByOtherBox
     );
 }
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -15,10 +15,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Call { key: u8, fingerprint: u64 },
-    End { key: u8, end: u8 },
+    Complete { key: u8, end_kind: u8 },
     Expire,
-    Pass { ms: u64 },
-    Handover,
+    Advance { ms: u64 },
+    HandOver,
 }
 
 #[derive(Clone, Debug)]
@@ -35,77 +35,77 @@
     fn transitions(_: &u64) -> BoxedStrategy<Step> {
         prop_oneof![
             8 => (0..6_u8, 0..2_u64).prop_map(|(key, fingerprint)| Step::Call { key, fingerprint }),
-            6 => (0..6_u8, 0..3_u8).prop_map(|(key, end)| Step::End { key, end }),
+            6 => (0..6_u8, 0..3_u8).prop_map(|(key, end_kind)| Step::Complete { key, end_kind }),
             1 => Just(Step::Expire),
-            1 => (0..200_u64).prop_map(|ms| Step::Pass { ms }),
-            1 => Just(Step::Handover),
+            1 => (0..200_u64).prop_map(|ms| Step::Advance { ms }),
+            1 => Just(Step::HandOver),
         ]
         .boxed()
     }
 
     fn apply(now_ms: u64, step: &Step) -> u64 {
-        if let Step::Pass { ms } = step { now_ms + ms } else { now_ms }
+        if let Step::Advance { ms } = step { now_ms + ms } else { now_ms }
     }
 }
 
 /// What is true of a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Truth {
+struct KeyFacts {
     runs: u32,
     fingerprint: Option<u64>,
-    running: bool,
-    answered: bool,
+    is_running: bool,
+    is_answered: bool,
 }
 
-struct World {
+struct Simulation {
     ledger: Ledger,
     closed: bool,
-    truth: HashMap<u8, Truth>,
+    facts: HashMap<u8, KeyFacts>,
 }
 
 fn call_key(key: u8) -> CallKey {
     CallKey { account: format!("a{}", key % 2), key: key.to_string() }
 }
 
-impl World {
+impl Simulation {
     fn call(&mut self, now_ms: u64, key: u8, fingerprint: u64) {
-        let begin = self.ledger.begin(now_ms, &call_key(key), fingerprint, EXPIRES_AT_MS);
-        let truth = self.truth.entry(key).or_default();
-        match begin {
+        let decision = self.ledger.begin(now_ms, &call_key(key), fingerprint, EXPIRES_AT_MS);
+        let facts = self.facts.entry(key).or_default();
+        match decision {
             CallDecision::Run => {
                 assert!(!self.closed && now_ms < EXPIRES_AT_MS);
-                *truth = Truth {
-                    runs: truth.runs + 1,
+                *facts = KeyFacts {
+                    runs: facts.runs + 1,
                     fingerprint: Some(fingerprint),
-                    running: true,
-                    answered: false,
+                    is_running: true,
+                    is_answered: false,
                 };
-                assert_eq!(truth.runs, 1, "key {key} ran twice");
+                assert_eq!(facts.runs, 1, "key {key} ran twice");
             }
-            CallDecision::Wait => assert!(truth.running),
-            CallDecision::Replay(answer) => assert!(truth.answered && answer.body == [key]),
-            CallDecision::Unknown => assert!(truth.runs == 1 && !truth.answered),
-            CallDecision::Mismatch => assert_ne!(truth.fingerprint, Some(fingerprint)),
+            CallDecision::Wait => assert!(facts.is_running),
+            CallDecision::Replay(answer) => assert!(facts.is_answered && answer.body == [key]),
+            CallDecision::Unknown => assert!(facts.runs == 1 && !facts.is_answered),
+            CallDecision::Mismatch => assert_ne!(facts.fingerprint, Some(fingerprint)),
             CallDecision::Expired => assert!(now_ms >= EXPIRES_AT_MS),
-            CallDecision::Closed => assert!(self.closed && truth.runs == 0, "'not run' is true"),
+            CallDecision::Closed => assert!(self.closed && facts.runs == 0, "'not run' is true"),
             CallDecision::Full => panic!("six keys are not too many"),
         }
     }
 
-    fn end(&mut self, key: u8, end: u8) {
-        let truth = self.truth.entry(key).or_default();
-        if !truth.running {
+    fn complete(&mut self, key: u8, end_kind: u8) {
+        let facts = self.facts.entry(key).or_default();
+        if !facts.is_running {
             return;
         }
-        truth.running = false;
-        let outcome = match end {
+        facts.is_running = false;
+        let outcome = match end_kind {
             0 => Outcome::NotRun,
             1 => Outcome::Unknown,
             _ => Outcome::Answered(Answer { status: 200, content_type: None, body: vec![key] }),
         };
-        truth.answered = end == 2;
-        if end == 0 {
-            *truth = Truth::default();
+        facts.is_answered = end_kind == 2;
+        if end_kind == 0 {
+            *facts = KeyFacts::default();
         }
         self.ledger.record_outcome(&call_key(key), &outcome);
     }
@@ -113,33 +113,33 @@
     fn hand_over(&mut self) {
         self.ledger = self.ledger.handover_copy();
         self.closed = true;
-        for truth in self.truth.values_mut() {
-            truth.running = false;
+        for facts in self.facts.values_mut() {
+            facts.is_running = false;
         }
     }
 }
 
-impl StateMachineTest for World {
+impl StateMachineTest for Simulation {
     type SystemUnderTest = Self;
     type Reference = Steps;
 
     fn init_test(_: &u64) -> Self {
-        Self { ledger: Ledger::default(), closed: false, truth: HashMap::new() }
+        Self { ledger: Ledger::default(), closed: false, facts: HashMap::new() }
     }
 
-    fn apply(mut world: Self, now_ms: &u64, step: Step) -> Self {
+    fn apply(mut simulation: Self, now_ms: &u64, step: Step) -> Self {
         match step {
-            Step::Call { key, fingerprint } => world.call(*now_ms, key, fingerprint),
-            Step::End { key, end } => world.end(key, end),
-            Step::Expire => world.ledger.expire(*now_ms),
-            Step::Pass { .. } => {}
-            Step::Handover => world.hand_over(),
+            Step::Call { key, fingerprint } => simulation.call(*now_ms, key, fingerprint),
+            Step::Complete { key, end_kind } => simulation.complete(key, end_kind),
+            Step::Expire => simulation.ledger.expire(*now_ms),
+            Step::Advance { .. } => {}
+            Step::HandOver => simulation.hand_over(),
         }
-        world
+        simulation
     }
 }
 
 #[test]
 fn spent_once() {
-    model::run_state_machine::<World>(400, 60);
+    model::run_state_machine::<Simulation>(400, 60);
 }
