--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Where the dispatcher of a model sends its requests.
+//! How the dispatcher of a model chooses engines and imports of stored context.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     Dispatcher::new(Policies::default(), vec![engine("e1"), engine("e2")], context_manager)
 }
 
-/// A store whose link moves 2 GB/s keeps the context of `ask`.
+/// Adds the context of a request to the store, whose link moves 2 GB/s.
 fn add_stored_context(dispatcher: &mut Dispatcher, request: &SlotRequest) {
     let meta = BlockMeta {
         scope: request.scope.clone(),
@@ -40,7 +40,7 @@
     dispatcher.context.adopt_block(NOW_MS, "store1", stored_block);
 }
 
-/// An ask with always the same prompt.
+/// A slot request; the prompt is always the same.
 fn slot_request(number: u64, excluded_engines: &[&str]) -> SlotRequest {
     let text = |text: &str| text.to_owned();
     let scope = Scope { account: text("sanam"), model: text("summary"), version: text("v1") };
@@ -62,7 +62,7 @@
     }
 }
 
-/// Runs an ask to its end; the engine that ran it.
+/// Has a request run to its end and returns the engine that ran it.
 fn run_request(dispatcher: &mut Dispatcher, request: SlotRequest) -> String {
     let id = request.id.clone();
     let actions = dispatcher.request_slot(NOW_MS, request);
@@ -84,10 +84,9 @@
     }
 }
 
-// A request that ran before its engine had reported for the first time was forgotten
-// with that report. Its context was brought from a store to the engine that held it
-// already; when that took too long, the store counted as failed and the next prompt
-// was read again.
+// The first report of an engine must not clear the record of what it has cached. When it did,
+// context was imported from a store to an engine that had it already; when the import took too
+// long, the store counted as failed and the next prompt was recomputed.
 #[rstest]
 #[case::before(&[], "e2")]
 #[case::reported(&["v1"], "e2")]
@@ -102,8 +101,8 @@
     assert_eq!(run_request(&mut dispatcher, slot_request(2, &[])), expected);
 }
 
-// An import that was given up 50 ms after it was due was followed by 140 ms of reading
-// again: giving up earlier than that costs more than going on may.
+// An import must not be abandoned before it is late by the time that recomputing the prompt
+// takes. Abandoned 50 ms after it was due, it was followed by 140 ms of recomputation.
 #[test]
 fn import_patience() {
     let mut dispatcher = dispatcher();
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -1,4 +1,4 @@
-//! From a request's id to its cause, by logs alone.
+//! `coursestile explain` finds in the logs why a request ended as it did.
 
 #[path = "common/site.rs"]
 mod common;
@@ -57,7 +57,8 @@
     assert_eq!(request_timeline(&[other, line.clone()], "r-1"), [&line]);
 }
 
-/// Why a request is held back stands in no line of its own.
+/// The log lines that say why a request is quarantined do not name it: they are found by its
+/// fingerprint.
 #[test]
 fn quarantine_told() {
     let parse = |number, text: &str| {
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -1,5 +1,5 @@
-//! A call that is forwarded again is the same call: it does not run twice, and one
-//! of which it was said that it has not run does not run later.
+//! A call that a box forwards to another one a second time is the same call: it must not run
+//! twice, and must not run after a response that says that it has not run.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use coursestile_standins::loopback::Network;
 use tokio::sync::mpsc;
 
-/// A peer played by the test, that forwards calls to the first box.
+/// A simulated peer that forwards calls to the first box.
 struct Forwarder {
     id: BoxRef,
     address: String,
@@ -81,7 +81,7 @@
         self.sockets.send(&self.box_address, &encode(&cluster_key(), &envelope).unwrap());
     }
 
-    /// The next end of a call, with its number.
+    /// Waits for the end of a call, and returns it with the call's number.
     async fn next_call_end(&mut self) -> (u64, CallEnd) {
         loop {
             let bytes = self.received.recv().await.unwrap();
@@ -104,11 +104,11 @@
     fleet.workers.iter().for_each(Process::restart);
     fleet.wait_for(&format!("{}/runs", fleet.workers[0].url())).await;
     tokio::time::sleep(Duration::from_millis(1200)).await;
-    // The answer was lost on its way, so the call comes again under its number.
+    // If this end were lost, the peer would forward the call again under its number.
     forwarder.forward(1, "lost");
     assert_eq!(forwarder.next_call_end().await, (1, first));
     assert_eq!(run_count(&fleet, "lost").await, 0);
-    // Its caller heard that it has not run, and makes it again.
+    // The client was told that the call has not run, and makes it again.
     forwarder.forward(2, "lost");
     let (number, second) = forwarder.next_call_end().await;
     assert!(matches!((number, second.outcome), (2, Outcome::Answered(_))));
@@ -132,8 +132,8 @@
     assert_eq!(run_count(&fleet, "again").await, 1);
 }
 
-// A box gave its ledger to a peer and was gone before it had told anyone. The others
-// sent its calls to where it had been.
+// A box that takes over a ledger must announce it. When the previous holder stopped before it had
+// told anyone, the other boxes went on forwarding calls to that holder.
 #[tokio::test]
 async fn heir_speaks() {
     let fleet = start_fleet(&Plan::one_hall(2, 1, 1)).await;
@@ -157,7 +157,7 @@
             service_call(&fleet, at, "petra-key", "/orders/1").header("idempotency-key", &key);
         request.header("x-timeout-ms", 8000).send()
     };
-    // An empty ledger is not kept.
+    // An empty ledger is not taken over.
     let mut ledger = Ledger::default();
     let other_key = CallKey { account: "petra".to_owned(), key: "other".to_owned() };
     ledger.begin(now_ms(), &other_key, 0, now_ms() + 60_000);
@@ -165,7 +165,7 @@
     let (of, ledger) = (leaver.id.clone(), Box::new(ledger));
     leaver.send(Message::Handover { of, ledger });
     for at in [0, 1] {
-        // A closed ledger that does not know a call says that it has not run.
+        // A call whose key is not in a closed ledger has not run.
         let response = post_order(at).await.unwrap();
         assert_eq!(response.headers()["x-coursestile-ran"], "not run", "asked at {at}");
     }
--- a/tests/halls_cut.rs
+++ b/tests/halls_cut.rs
@@ -1,4 +1,5 @@
-//! Halls that are cut off from each other and from the platform go on serving.
+//! Data halls that are disconnected from each other and from the platform go on serving, and
+//! agree on the configuration again afterwards.
 
 mod common;
 
@@ -46,7 +47,7 @@
 async fn boxes_agree() {
     let fleet = three_halls().await;
     fleet.cut_hall("east", true).await;
-    // All of the hall's boxes are replaced while it is cut off.
+    // All boxes of the hall are restarted while it is cut off.
     let east: Vec<_> =
         fleet.boxes.iter().filter(|entry_box| entry_box.process.hall == "east").collect();
     for entry_box in &east {
@@ -56,7 +57,7 @@
     let other_halls: Vec<_> =
         fleet.boxes.iter().filter(|entry_box| entry_box.process.hall != "east").collect();
     fleet.wait_in_force(&other_halls, 5, 4).await;
-    // The platform is reached from each hall, so that a cut hall hears of it too.
+    // The platform is still reached from each hall, so that the hall gets the change from there.
     fleet.wait_in_force(&east, 5, 2).await;
     fleet.cut_hall("east", false).await;
     let all: Vec<_> = fleet.boxes.iter().collect();
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats show a silent way to a peer, and cost little where it is sound.
+//! Heartbeats detect a connection that has gone silent, and are not sent while the peer answers
+//! anyway.
 
 use coursestile::heartbeat::{HeartbeatAction, Heartbeats};
 
@@ -8,7 +9,7 @@
     vec![HeartbeatAction::SendHeartbeat(PEER.to_owned())]
 }
 
-/// The steps of each 100 ms up to `until_ms`, with the time of each.
+/// Calls `tick` every 100 ms until `until_ms`; returns the actions with their times.
 fn tick_until(
     heartbeats: &mut Heartbeats,
     from_ms: u64,
@@ -54,7 +55,7 @@
 #[test]
 fn answers_end() {
     let (mut first_box, mut second_box) = (Heartbeats::default(), Heartbeats::default());
-    // One says something, and what each asks is answered at once.
+    // The first box sends a message; each heartbeat is answered at once.
     first_box.record_sent(0, PEER);
     let mut heartbeat_count = 0;
     for now_ms in (0..60_000).step_by(100) {
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -1,4 +1,4 @@
-//! Kept context: what is written, brought and given up, on pure state.
+//! Which context is exported to stores, imported from them and deleted.
 
 use std::collections::BTreeMap;
 
@@ -22,7 +22,8 @@
     ContextManager::new(policy, stores, 1000, TOKEN_BYTES, "box")
 }
 
-/// An ask for a prompt of 4,000 tokens; context is worth keeping until 1,000 s.
+/// A slot request with one of several prompts of 4,000 tokens, whose context is worth storing
+/// until 1,000 s.
 fn slot_request(account: &str, prompt_number: usize) -> SlotRequest {
     let (model, version) = ("m".to_owned(), "v1".to_owned());
     let scope = Scope { account: account.to_owned(), model, version };
@@ -44,7 +45,7 @@
     }
 }
 
-/// Uses a prompt and has its context written; false when it is not worth it.
+/// Records the use of a prompt and exports its context; returns false if it is not worth it.
 fn export(manager: &mut ContextManager, now_ms: u64, request: &SlotRequest) -> bool {
     let account = &request.scope.account;
     manager.directory.record_use(now_ms, account, &request.prefix, request.worthless_at_ms);
@@ -77,7 +78,7 @@
     }
     let slowed_down = manager.best_import(10_000, &request).unwrap().1;
     assert!(slowed_down.link_ms > first.link_ms * 3.0, "{slowed_down:?}");
-    // Nothing is brought meanwhile, so nothing is measured either.
+    // Without imports the rate is not measured, and must recover by itself.
     for second in 11..60 {
         manager.tick(second * 1000);
     }
@@ -95,7 +96,7 @@
     for use_number in 0..10 {
         export(&mut manager, 1000 + use_number * 1000, &returning);
     }
-    // Ten prompts that never come back, used later.
+    // Ten prompts that are used once, all of them later.
     for prompt_number in 2..12 {
         export(
             &mut manager,
--- a/tests/kept_context.rs
+++ b/tests/kept_context.rs
@@ -1,4 +1,4 @@
-//! Kept context comes back as it was written, to its own account only.
+//! Stored context is imported unchanged, and only for the account that it belongs to.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
 
-/// Engines that hold two contexts of 3,000 tokens, and one store.
+/// An engine whose cache holds two contexts of 3,000 tokens, and one store.
 fn small_cache_plan() -> Plan {
     let mut plan = Plan::one_hall(2, 1, 0);
     plan.stores = 1;
@@ -25,7 +25,7 @@
     body["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap()
 }
 
-/// Uses a book often enough to be kept, then pushes it out of the engine.
+/// Uses a context often enough to be stored, then evicts it from the engine's cache.
 async fn store_and_evict(fleet: &Fleet, key: &str, context_seed: &str) {
     for _ in 0..3 {
         send_prompt(fleet, key, context_seed).await;
@@ -68,7 +68,7 @@
 async fn content_checked() {
     let fleet = start_fleet(&small_cache_plan()).await;
     store_and_evict(&fleet, "sanam-key", "rulebook").await;
-    // The store hands out other bytes than were sealed.
+    // The store returns other bytes than were sealed.
     fleet.fault(&fleet.stores[0], json!({ "corrupt_reads": true })).await;
     for _ in 0..2 {
         assert_eq!(send_prompt(&fleet, "sanam-key", "rulebook").await % 3000, 0);
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn half_written() {
     let fleet = start_fleet(&small_cache_plan()).await;
-    // The engine dies in the middle of a write; the store serves what it has.
+    // The engine restarts in the middle of an export; the store also serves partial blocks.
     fleet.fault(&fleet.stores[0], json!({ "slowdown": 40, "serve_unsealed": true })).await;
     let prompt = format!("{}What now?", context_text("rulebook", 3000));
     for _ in 0..3 {
@@ -99,7 +99,7 @@
 async fn block_freed() {
     let fleet = start_fleet(&small_cache_plan()).await;
     store_and_evict(&fleet, "sanam-key", "rulebook").await;
-    // Another holder freed the blocks, which the dispatcher has not heard.
+    // The blocks are deleted without the dispatcher's knowledge.
     for block in stored_blocks(&fleet).await {
         let id = block["id"].as_str().unwrap();
         let url = format!("{}/blocks/{id}?force=true", fleet.stores[0].url());
@@ -143,7 +143,7 @@
     }
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_in_force(&boxes, 4, 2).await;
-    // The first request makes the new dispatcher ask the store what it keeps.
+    // On the first request, the new dispatcher reads the list of blocks from the store.
     check_completion(&fleet, 0, "sanam-key", "Wake up.", 2).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
     let cached = send_prompt(&fleet, "sanam-key", "rulebook").await;
@@ -163,7 +163,7 @@
         send_prompt(&fleet, "petra-key", &format!("other {other}")).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    // The kept block goes on with another page than this prompt.
+    // The stored block and this prompt have the same beginning and different ends.
     let response =
         completion_request(&fleet, 0, "sanam-key", &prompt("page two"), 5).send().await.unwrap();
     let body: Value = response.json().await.unwrap();
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Whose a hall's lease is.
+//! Who holds a hall's lease: this box, another one, or none that still runs.
 
 use coursestile::lease::{LeaseRecord, LeaseStatus, lease_status};
 use coursestile::ticket::BoxRef;
@@ -32,7 +32,8 @@
     assert_eq!(status, expected);
 }
 
-// Late orders of a holder that has gone are refused by engines that check only.
+// Only engines that check fencing tokens refuse late orders of a holder that is gone. With
+// engines that don't, its lease counts as held until it lapses.
 #[test]
 fn lapse_awaited() {
     let record = lease_record("old", Some(box_ref("b2", 1)));
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -1,5 +1,5 @@
-//! The ledger against an upstream that counts runs: random calls, ends,
-//! expiries and handovers never run a key twice.
+//! The ledger in a simulation that counts runs: whatever the order of calls, outcomes, expiries
+//! and handovers, a call with a given key runs at most once.
 
 #[path = "common/model.rs"]
 mod model;
@@ -14,10 +14,22 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Call { key: u8, fingerprint: u64 },
-    Complete { key: u8, end_kind: u8 },
+    /// A call with a key arrives; calls with the same fingerprint are equal.
+    Call {
+        key: u8,
+        fingerprint: u64,
+    },
+    /// A running call ends: not run, with unknown outcome, or with an answer.
+    Complete {
+        key: u8,
+        end_kind: u8,
+    },
+    /// The ledger removes expired keys.
     Expire,
-    Advance { ms: u64 },
+    Advance {
+        ms: u64,
+    },
+    /// Another box takes over the ledger and closes it to new keys.
     HandOver,
 }
 
@@ -48,7 +60,7 @@
     }
 }
 
-/// What is true of a key.
+/// What has happened to the calls with a key.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct KeyFacts {
     runs: u32,
