--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -54,7 +54,8 @@
             3 => (0..2_u8).prop_map(|account| Step::Write { account }),
             3 => index().prop_map(|index| Step::Seal { index }),
             5 => (index(), 0..2_u8, 0..5000_u64)
-                .prop_map(|(index, account, duration_ms)| Step::Pin { index, account, duration_ms }),
+                .prop_map(|(index, account, duration_ms)|
+                    Step::Pin { index, account, duration_ms }),
             2 => index().prop_map(|index| Step::Free { index }),
             2 => Just(Step::DeleteFreed),
             2 => (0..4000_u64).prop_map(|ms| Step::Advance { ms }),
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -13,13 +13,13 @@
 
 const KEY: &str = "sanam-key";
 
-async fn started(fleet: &Fleet, engine: usize) -> usize {
+async fn started_runs(fleet: &Fleet, engine: usize) -> usize {
     let runs = fleet.get(&format!("{}/runs", fleet.engines[engine].url())).await.unwrap();
     runs["started"].as_array().unwrap().len()
 }
 
 /// Sends short requests through each box in turn; returns their number.
-async fn send_some(fleet: &Fleet, count: usize) {
+async fn send_short_requests(fleet: &Fleet, count: usize) {
     for number in 0..count {
         let at = number % fleet.boxes.len();
         check_completion(fleet, at, KEY, &format!("Question {number}?"), 3).await;
@@ -30,44 +30,48 @@
 async fn upstream_leaves() {
     let halls = vec![HallPlan::new("north", 2, 2, 0), HallPlan::new("east", 2, 1, 0)];
     let fleet = start_fleet(&Plan::new(halls)).await;
-    let long = completion_request(&fleet, 0, KEY, "A long one.", 600);
-    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
-    send_some(&fleet, 8).await;
+    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 600);
+    let long_completion =
+        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
+    send_short_requests(&fleet, 8).await;
     fleet.must_operate(&["upstream", "leave", "north-e1"]);
     // The change is accepted; from here on the platform is out.
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.fault(&fleet.platform, json!({ "outage": true })).await;
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    let before = started(&fleet, 0).await;
-    send_some(&fleet, 40).await;
-    assert_eq!(started(&fleet, 0).await, before, "no new work after 3 s");
-    assert_eq!(long.await.unwrap(), whole("v1", "A long one.", 600));
+    let runs_before = started_runs(&fleet, 0).await;
+    send_short_requests(&fleet, 40).await;
+    assert_eq!(started_runs(&fleet, 0).await, runs_before, "no new work after 3 s");
+    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 600));
 }
 
 #[tokio::test]
 async fn engine_says_so() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    send_some(&fleet, 4).await;
-    let leave = json!({ "fence": 999, "leave": true });
-    let order = fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&leave);
-    assert!(order.send().await.unwrap().status().is_success());
-    let before = started(&fleet, 0).await;
-    send_some(&fleet, 20).await;
-    assert_eq!(started(&fleet, 0).await, before);
+    send_short_requests(&fleet, 4).await;
+    let order_body = json!({ "fence": 999, "leave": true });
+    let order_request =
+        fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&order_body);
+    assert!(order_request.send().await.unwrap().status().is_success());
+    let runs_before = started_runs(&fleet, 0).await;
+    send_short_requests(&fleet, 20).await;
+    assert_eq!(started_runs(&fleet, 0).await, runs_before);
 }
 
 #[tokio::test]
 async fn box_stops() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long = completion_request(&fleet, 0, KEY, "A long one.", 900);
-    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
+    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 900);
+    let long_completion =
+        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.boxes[0].process.signal("-TERM");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let ready = fleet.http.get(format!("http://{}/ready", fleet.boxes[0].operators)).send().await;
-    assert_eq!(ready.unwrap().status(), 503, "the balancer is told");
+    let readiness =
+        fleet.http.get(format!("http://{}/ready", fleet.boxes[0].operators)).send().await;
+    assert_eq!(readiness.unwrap().status(), 503, "the balancer is told");
     check_completion(&fleet, 0, KEY, "Still taken?", 3).await;
-    assert_eq!(long.await.unwrap(), whole("v1", "A long one.", 900));
+    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 900));
     for _ in 0..100 {
         if fleet.boxes[0].process.ended() {
             return;
@@ -80,31 +84,35 @@
 #[tokio::test]
 async fn rolling_restart() {
     let fleet = start_fleet(&Plan::one_hall(3, 3, 0)).await;
-    let urls: Vec<_> = fleet.boxes.iter().map(|one| one.process.url()).collect();
-    let ready: Vec<_> =
-        fleet.boxes.iter().map(|one| format!("http://{}/ready", one.operators)).collect();
-    let over = Arc::new(AtomicBool::new(false));
-    let sent = Arc::new(AtomicU64::new(0));
+    let urls: Vec<_> = fleet.boxes.iter().map(|entry_box| entry_box.process.url()).collect();
+    let ready: Vec<_> = fleet
+        .boxes
+        .iter()
+        .map(|entry_box| format!("http://{}/ready", entry_box.operators))
+        .collect();
+    let is_done = Arc::new(AtomicBool::new(false));
+    let served_count = Arc::new(AtomicU64::new(0));
     let callers: Vec<_> = (0..6)
         .map(|caller| {
             let (urls, ready) = (urls.clone(), ready.clone());
-            let (over, sent, http) = (over.clone(), sent.clone(), fleet.http.clone());
+            let (is_done, served_count, http) =
+                (is_done.clone(), served_count.clone(), fleet.http.clone());
             tokio::spawn(async move {
                 let mut number = 0;
-                while !over.load(Ordering::Relaxed) {
+                while !is_done.load(Ordering::Relaxed) {
                     number += 1;
                     // The balancer sends to a box that was ready a moment ago.
                     let at = (caller + number) % urls.len();
                     let probe = http.get(&ready[at]).send().await;
-                    if !probe.is_ok_and(|answer| answer.status().is_success()) {
+                    if !probe.is_ok_and(|response| response.status().is_success()) {
                         continue;
                     }
                     let prompt = format!("Caller {caller} asks {number}");
                     let body = json!({ "model": "summary", "prompt": prompt, "max_tokens": 40 });
                     let call = http.post(format!("{}/v1/completions", urls[at])).bearer_auth(KEY);
-                    let answer = call.json(&body).send().await.expect("the request was cut");
-                    assert_eq!(completion_text(answer).await, whole("v1", &prompt, 40));
-                    sent.fetch_add(1, Ordering::Relaxed);
+                    let response = call.json(&body).send().await.expect("the request was cut");
+                    assert_eq!(completion_text(response).await, whole("v1", &prompt, 40));
+                    served_count.fetch_add(1, Ordering::Relaxed);
                 }
             })
         })
@@ -118,9 +126,9 @@
         fleet.boxes[at].process.restart();
         fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
     }
-    over.store(true, Ordering::Relaxed);
+    is_done.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await.unwrap();
     }
-    assert!(sent.load(Ordering::Relaxed) > 50);
+    assert!(served_count.load(Ordering::Relaxed) > 50);
 }
--- a/tests/loads.rs
+++ b/tests/loads.rs
@@ -10,7 +10,11 @@
 }
 
 /// Plans and begins the loads of `version` on engines that have v1.
-fn order(loads: &mut WeightLoads, now_ms: u64, engines: &[ObservedEngine]) -> Vec<String> {
+fn begin_planned_loads(
+    loads: &mut WeightLoads,
+    now_ms: u64,
+    engines: &[ObservedEngine],
+) -> Vec<String> {
     let planned = loads.plan(now_ms, engines, |_| Some("v2".to_owned()));
     for load in &planned {
         assert_eq!((load.expect_version.as_str(), load.version.as_str()), ("v1", "v2"));
@@ -19,24 +23,27 @@
     planned.into_iter().map(|load| load.engine).collect()
 }
 
-fn all() -> Vec<ObservedEngine> {
+fn engines_on_v1() -> Vec<ObservedEngine> {
     NAMES.iter().map(|name| observed(name, "v1", false)).collect()
 }
 
 #[test]
 fn three_at_once() {
     let mut loads = WeightLoads::default();
-    assert_eq!(order(&mut loads, 1000, &all()), NAMES[..MAX_LOADS]);
-    assert!(order(&mut loads, 1001, &all()[MAX_LOADS..]).is_empty());
+    assert_eq!(begin_planned_loads(&mut loads, 1000, &engines_on_v1()), NAMES[..MAX_LOADS]);
+    assert!(begin_planned_loads(&mut loads, 1001, &engines_on_v1()[MAX_LOADS..]).is_empty());
     loads.end("e2");
-    assert_eq!(order(&mut loads, 1002, &all()[MAX_LOADS..]), ["e4"]);
+    assert_eq!(begin_planned_loads(&mut loads, 1002, &engines_on_v1()[MAX_LOADS..]), ["e4"]);
 }
 
 #[test]
 fn hanging_passed() {
     let mut loads = WeightLoads::default();
-    order(&mut loads, 1000, &all());
-    assert_eq!(order(&mut loads, 1000 + LOAD_SLOT_MS, &all()[MAX_LOADS..]), NAMES[MAX_LOADS..]);
+    begin_planned_loads(&mut loads, 1000, &engines_on_v1());
+    assert_eq!(
+        begin_planned_loads(&mut loads, 1000 + LOAD_SLOT_MS, &engines_on_v1()[MAX_LOADS..]),
+        NAMES[MAX_LOADS..]
+    );
 }
 
 #[test]
@@ -44,9 +51,9 @@
     let mut loads = WeightLoads::default();
     let expected = [&NAMES[..MAX_LOADS], &NAMES[MAX_LOADS..], &NAMES[..MAX_LOADS]];
     for (now_ms, expected) in (1000..).step_by(1000).zip(expected) {
-        let ordered = order(&mut loads, now_ms, &all());
-        assert_eq!(ordered, expected);
-        for engine in &ordered {
+        let begun = begin_planned_loads(&mut loads, now_ms, &engines_on_v1());
+        assert_eq!(begun, expected);
+        for engine in &begun {
             loads.end(engine);
         }
     }
@@ -54,8 +61,11 @@
 
 #[test]
 fn loading_left() {
-    let mut engines = all();
+    let mut engines = engines_on_v1();
     engines[0].loading = true;
     engines[1].version = "v2".to_owned();
-    assert_eq!(order(&mut WeightLoads::default(), 1000, &engines), ["e3", "e4", "e5"]);
+    assert_eq!(
+        begin_planned_loads(&mut WeightLoads::default(), 1000, &engines),
+        ["e3", "e4", "e5"]
+    );
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -12,8 +12,8 @@
 /// Boxes on a network that loses messages and can be cut.
 struct Network {
     boxes: Vec<Membership>,
-    up: Vec<bool>,
-    cut_halls: bool,
+    is_up: Vec<bool>,
+    halls_are_cut: bool,
     loss_percent: u64,
     now_ms: u64,
     rng: fastrand::Rng,
@@ -39,9 +39,9 @@
                 Membership::new(member(number, halls, 1), seeds.clone(), seed + number as u64)
             })
             .collect();
-        let up = vec![true; count];
+        let is_up = vec![true; count];
         let rng = fastrand::Rng::with_seed(seed);
-        Self { boxes, up, cut_halls: false, loss_percent, now_ms: 1000, rng }
+        Self { boxes, is_up, halls_are_cut: false, loss_percent, now_ms: 1000, rng }
     }
 
     fn run(&mut self, seconds: u64) {
@@ -49,9 +49,11 @@
             self.now_ms += STEP_MS;
             let mut queue: VecDeque<(usize, String, Gossip)> = VecDeque::new();
             for number in 0..self.boxes.len() {
-                if self.up[number] {
+                if self.is_up[number] {
                     let outgoing = self.boxes[number].tick(self.now_ms);
-                    queue.extend(outgoing.into_iter().map(|one| (number, one.to, one.gossip)));
+                    queue.extend(
+                        outgoing.into_iter().map(|message| (number, message.to, message.gossip)),
+                    );
                 }
             }
             while let Some((from, to, gossip)) = queue.pop_front() {
@@ -60,15 +62,15 @@
                     continue;
                 }
                 let answers = self.boxes[to].receive(self.now_ms, &from.to_string(), gossip);
-                queue.extend(answers.into_iter().map(|one| (to, one.to, one.gossip)));
+                queue.extend(answers.into_iter().map(|message| (to, message.to, message.gossip)));
             }
         }
     }
 
     fn delivers(&mut self, from: usize, to: usize) -> bool {
         let halls_differ = self.boxes[from].view().me().hall != self.boxes[to].view().me().hall;
-        let cut = self.cut_halls && halls_differ;
-        self.up[to] && !cut && self.rng.u64(0..100) >= self.loss_percent
+        let cut = self.halls_are_cut && halls_differ;
+        self.is_up[to] && !cut && self.rng.u64(0..100) >= self.loss_percent
     }
 
     fn health(&self, at: usize, of: usize) -> Option<Health> {
@@ -76,11 +78,11 @@
     }
 
     /// Pairs of boxes of which the first does not see the second alive.
-    fn unseen(&self) -> Vec<(usize, usize, Option<Health>)> {
+    fn not_seen_alive(&self) -> Vec<(usize, usize, Option<Health>)> {
         let count = self.boxes.len();
         let pairs = (0..count).flat_map(|at| (0..count).map(move |of| (at, of)));
-        let seen = pairs.map(|(at, of)| (at, of, self.health(at, of)));
-        seen.filter(|(_, _, health)| *health != Some(Health::Alive)).collect()
+        let health_pairs = pairs.map(|(at, of)| (at, of, self.health(at, of)));
+        health_pairs.filter(|(_, _, health)| *health != Some(Health::Alive)).collect()
     }
 }
 
@@ -91,7 +93,7 @@
         network.run(30);
         network.loss_percent = 0;
         network.run(10);
-        assert_eq!(network.unseen(), [], "seed {seed}");
+        assert_eq!(network.not_seen_alive(), [], "seed {seed}");
     }
 }
 
@@ -101,34 +103,34 @@
     network.run(60);
     network.loss_percent = 0;
     network.run(15);
-    assert_eq!(network.unseen(), []);
+    assert_eq!(network.not_seen_alive(), []);
 }
 
 #[test]
 fn death_noticed() {
     let mut network = Network::new(9, 3, 5, 3);
     network.run(20);
-    network.up[4] = false;
+    network.is_up[4] = false;
     network.run(25);
     let live = (0..9).filter(|number| *number != 4);
     assert!(live.clone().all(|at| network.health(at, 4) == Some(Health::Dead)));
-    network.up[4] = true;
+    network.is_up[4] = true;
     network.loss_percent = 0;
     network.run(60);
-    assert_eq!(network.unseen(), [], "a thawed box refutes its death");
+    assert_eq!(network.not_seen_alive(), [], "a thawed box refutes its death");
 }
 
 #[test]
 fn cut_heals() {
     let mut network = Network::new(9, 3, 0, 5);
     network.run(20);
-    network.cut_halls = true;
+    network.halls_are_cut = true;
     network.run(40);
     assert_eq!(network.health(0, 1), Some(Health::Dead));
     assert_eq!(network.health(0, 3), Some(Health::Alive));
-    network.cut_halls = false;
+    network.halls_are_cut = false;
     network.run(90);
-    assert_eq!(network.unseen(), []);
+    assert_eq!(network.not_seen_alive(), []);
 }
 
 #[test]
@@ -146,9 +148,9 @@
     }
     let old = BoxRef { name: "b0".to_owned(), incarnation: 1 };
     for at in 0..6 {
-        let keeper =
+        let holder =
             network.boxes[at].view().ledger_holder(&old).map(|member| member.id.name.as_str());
-        assert_eq!(keeper, Some("b4"), "as b{at} sees it");
+        assert_eq!(holder, Some("b4"), "as b{at} sees it");
     }
 }
 
@@ -161,9 +163,12 @@
         view.merge(1000, Member { health, ..member(1, 1, 1) });
     }
     view.merge(1000, member(2, 1, 1));
-    let (left, heir) = (member(1, 1, 1), member(2, 1, 1).id);
-    view.merge(2000, Member { health: Health::Leaving, heir: Some(heir.clone()), ..left.clone() });
-    assert_eq!(view.ledger_holder(&left.id).map(|member| &member.id), Some(&heir));
+    let (leaver, heir) = (member(1, 1, 1), member(2, 1, 1).id);
+    view.merge(
+        2000,
+        Member { health: Health::Leaving, heir: Some(heir.clone()), ..leaver.clone() },
+    );
+    assert_eq!(view.ledger_holder(&leaver.id).map(|member| &member.id), Some(&heir));
     assert!(!view.member("b1").unwrap().takes_work());
 }
 
@@ -195,7 +200,7 @@
     for seed in 0..20 {
         let mut started = Membership::new(member(0, 1, 1), seeds(), seed);
         let outgoing = started.tick(1000);
-        let asked = outgoing.iter().any(|one| matches!(one.gossip, Gossip::Join { .. }));
-        assert!(asked, "seed {seed}");
+        let joins = outgoing.iter().any(|message| matches!(message.gossip, Gossip::Join { .. }));
+        assert!(joins, "seed {seed}");
     }
 }
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -12,29 +12,29 @@
 const KEY: &str = "petra-key";
 
 /// Three boxes, and two workers that take their time.
-async fn slow_worker(work_ms: u64) -> Fleet {
+async fn start_slow_workers(work_ms: u64) -> Fleet {
     let mut plan = Plan::one_hall(3, 1, 2);
     plan.worker_args = vec![("work-ms".to_owned(), work_ms.to_string())];
     start_fleet(&plan).await
 }
 
-async fn order(fleet: &Fleet, at: usize, key: &str, timeout_ms: u64) -> Option<Response> {
-    let order = service_call(fleet, at, KEY, "/orders/7").header("idempotency-key", key);
-    order.header("x-timeout-ms", timeout_ms).send().await.ok()
+async fn post_order(fleet: &Fleet, at: usize, key: &str, timeout_ms: u64) -> Option<Response> {
+    let request = service_call(fleet, at, KEY, "/orders/7").header("idempotency-key", key);
+    request.header("x-timeout-ms", timeout_ms).send().await.ok()
 }
 
-fn ran(response: &Response) -> &str {
+fn run_status(response: &Response) -> &str {
     response.headers()["x-coursestile-ran"].to_str().unwrap()
 }
 
-async fn run_of(response: Response) -> u64 {
+async fn run_number(response: Response) -> u64 {
     assert_eq!(response.status(), 200);
     response.json::<serde_json::Value>().await.unwrap()["run"].as_u64().unwrap()
 }
 
 #[tokio::test]
 async fn spender_killed() {
-    let fleet = slow_worker(600).await;
+    let fleet = start_slow_workers(600).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     let first = service_call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
     let first = tokio::spawn(first);
@@ -42,69 +42,69 @@
     fleet.boxes[0].process.kill();
     assert!(first.await.unwrap().is_err(), "the first connection broke");
     for at in [1, 2, 1] {
-        let again = order(&fleet, at, &key, 700).await.unwrap();
-        assert_eq!((again.status().as_u16(), ran(&again)), (502, "outcome unknown"));
+        let repeated = post_order(&fleet, at, &key, 700).await.unwrap();
+        assert_eq!((repeated.status().as_u16(), run_status(&repeated)), (502, "outcome unknown"));
     }
     fleet.boxes[0].process.restart();
     fleet.wait_for(&format!("http://{}/live", fleet.boxes[0].operators)).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for at in 0..3 {
-        let again = order(&fleet, at, &key, 700).await.unwrap();
-        assert_ne!(again.status(), 200, "a new incarnation does not spend an old ticket");
+        let repeated = post_order(&fleet, at, &key, 700).await.unwrap();
+        assert_ne!(repeated.status(), 200, "a new incarnation does not spend an old ticket");
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn spender_frozen() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
-    let (spent, fresh) = (format!("{prefix}/1"), format!("{prefix}/2"));
-    assert_eq!(run_of(order(&fleet, 0, &spent, 1000).await.unwrap()).await, 1);
+    let (used_key, unused_key) = (format!("{prefix}/1"), format!("{prefix}/2"));
+    assert_eq!(run_number(post_order(&fleet, 0, &used_key, 1000).await.unwrap()).await, 1);
     fleet.boxes[0].process.signal("-STOP");
-    for key in [&spent, &fresh] {
-        let frozen = order(&fleet, 1, key, 600).await.unwrap();
-        assert_eq!(ran(&frozen), "outcome unknown");
+    for key in [&used_key, &unused_key] {
+        let response = post_order(&fleet, 1, key, 600).await.unwrap();
+        assert_eq!(run_status(&response), "outcome unknown");
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.boxes[0].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(1)).await;
     // The forwarded call was past its deadline when the box woke.
-    assert_eq!(run_count(&fleet, &fresh).await, 0);
-    assert_eq!(run_of(order(&fleet, 1, &spent, 2000).await.unwrap()).await, 1);
-    assert_eq!(run_of(order(&fleet, 2, &fresh, 2000).await.unwrap()).await, 1);
-    assert_eq!((run_count(&fleet, &spent).await, run_count(&fleet, &fresh).await), (1, 1));
+    assert_eq!(run_count(&fleet, &unused_key).await, 0);
+    assert_eq!(run_number(post_order(&fleet, 1, &used_key, 2000).await.unwrap()).await, 1);
+    assert_eq!(run_number(post_order(&fleet, 2, &unused_key, 2000).await.unwrap()).await, 1);
+    assert_eq!((run_count(&fleet, &used_key).await, run_count(&fleet, &unused_key).await), (1, 1));
 }
 
 #[tokio::test]
 async fn answer_lost() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     for worker in &fleet.workers {
         fleet.fault(worker, json!({ "lose_answers": 1 })).await;
     }
     for at in [0, 1, 0] {
-        let lost = order(&fleet, at, &key, 500).await.unwrap();
-        assert_eq!(ran(&lost), "outcome unknown");
+        let response = post_order(&fleet, at, &key, 500).await.unwrap();
+        assert_eq!(run_status(&response), "outcome unknown");
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn worker_killed() {
-    let fleet = slow_worker(600).await;
+    let fleet = start_slow_workers(600).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    let order = service_call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
-    let order = tokio::spawn(order);
+    let request = service_call(&fleet, 0, KEY, "/orders/7").header("idempotency-key", &key).send();
+    let response = tokio::spawn(request);
     tokio::time::sleep(Duration::from_millis(250)).await;
     for worker in &fleet.workers {
-        let ran = fleet.get(&format!("{}/runs", worker.url())).await.unwrap();
-        if ran[&key] == 1 {
+        let runs_by_key = fleet.get(&format!("{}/runs", worker.url())).await.unwrap();
+        if runs_by_key[&key] == 1 {
             worker.kill();
         }
     }
-    let broken = order.await.unwrap().unwrap();
-    assert_eq!((broken.status().as_u16(), ran(&broken)), (502, "outcome unknown"));
+    let response = response.await.unwrap().unwrap();
+    assert_eq!((response.status().as_u16(), run_status(&response)), (502, "outcome unknown"));
     fleet.workers.iter().for_each(Process::restart);
     for worker in &fleet.workers {
         fleet.wait_for(&format!("{}/runs", worker.url())).await;
@@ -114,60 +114,60 @@
 
 #[tokio::test]
 async fn sent_twice() {
-    let fleet = slow_worker(300).await;
+    let fleet = start_slow_workers(300).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    let sent = [0, 0, 1, 2].map(|at| order(&fleet, at, &key, 5000));
-    for answer in futures_util::future::join_all(sent).await {
-        assert_eq!(run_of(answer.unwrap()).await, 1);
+    let responses = [0, 0, 1, 2].map(|at| post_order(&fleet, at, &key, 5000));
+    for response in futures_util::future::join_all(responses).await {
+        assert_eq!(run_number(response.unwrap()).await, 1);
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
 #[tokio::test]
 async fn key_refused() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
     let forged = format!("{}/1", prefix.replace("north-b1", "north-b2"));
     for key in ["no-prefix", "a/b", &forged] {
-        let refused = order(&fleet, 0, key, 1000).await.unwrap();
-        assert_eq!((refused.status().as_u16(), ran(&refused)), (400, "not run"));
+        let refused = post_order(&fleet, 0, key, 1000).await.unwrap();
+        assert_eq!((refused.status().as_u16(), run_status(&refused)), (400, "not run"));
     }
-    let others = service_call(&fleet, 0, "sanam-key", "/orders/7")
+    let other_account = service_call(&fleet, 0, "sanam-key", "/orders/7")
         .header("idempotency-key", format!("{prefix}/1"));
-    assert_eq!(others.send().await.unwrap().status(), 400, "another account's ticket");
+    assert_eq!(other_account.send().await.unwrap().status(), 400, "another account's ticket");
     let key = format!("{prefix}/2");
-    assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
-    let other = service_call(&fleet, 0, KEY, "/orders/8")
+    assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
+    let other_target = service_call(&fleet, 0, KEY, "/orders/8")
         .header("idempotency-key", &key)
         .send()
         .await
         .unwrap();
-    assert_eq!((other.status().as_u16(), ran(&other)), (409, "not run"));
+    assert_eq!((other_target.status().as_u16(), run_status(&other_target)), (409, "not run"));
     assert_eq!(run_count(&fleet, &key).await, 1);
     assert_eq!(run_count(&fleet, &forged).await, 0);
 }
 
 #[tokio::test]
 async fn worker_gone() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     fleet.workers.iter().for_each(Process::kill);
-    let refused = order(&fleet, 1, &key, 1000).await.unwrap();
-    assert_eq!((refused.status().as_u16(), ran(&refused)), (503, "not run"));
+    let refused = post_order(&fleet, 1, &key, 1000).await.unwrap();
+    assert_eq!((refused.status().as_u16(), run_status(&refused)), (503, "not run"));
     assert!(refused.headers().contains_key("retry-after"));
     fleet.workers.iter().for_each(Process::restart);
     for worker in &fleet.workers {
         fleet.wait_for(&format!("{}/runs", worker.url())).await;
     }
-    assert_eq!(run_of(order(&fleet, 1, &key, 3000).await.unwrap()).await, 1);
+    assert_eq!(run_number(post_order(&fleet, 1, &key, 3000).await.unwrap()).await, 1);
 }
 
 #[tokio::test]
 async fn ledger_inherited() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
-    let (spent, fresh) = (format!("{prefix}/1"), format!("{prefix}/2"));
-    assert_eq!(run_of(order(&fleet, 0, &spent, 1000).await.unwrap()).await, 1);
+    let (used_key, unused_key) = (format!("{prefix}/1"), format!("{prefix}/2"));
+    assert_eq!(run_number(post_order(&fleet, 0, &used_key, 1000).await.unwrap()).await, 1);
     // Every box is replaced, one after another; the ledger goes along.
     for at in 0..3 {
         fleet.boxes[at].process.signal("-TERM");
@@ -178,39 +178,47 @@
         fleet.wait_for(&format!("http://{}/live", fleet.boxes[at].operators)).await;
         fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
-        for ask in 0..3 {
-            let again = order(&fleet, ask, &spent, 1500).await.unwrap();
-            assert_eq!(run_of(again).await, 1, "asked at {ask} after {at} was replaced");
-            let refused = order(&fleet, ask, &fresh, 1500).await.unwrap();
-            assert_eq!(ran(&refused), "not run", "asked at {ask} after {at} was replaced");
+        for asked_box in 0..3 {
+            let repeated = post_order(&fleet, asked_box, &used_key, 1500).await.unwrap();
+            assert_eq!(
+                run_number(repeated).await,
+                1,
+                "asked at {asked_box} after {at} was replaced"
+            );
+            let refused = post_order(&fleet, asked_box, &unused_key, 1500).await.unwrap();
+            assert_eq!(
+                run_status(&refused),
+                "not run",
+                "asked at {asked_box} after {at} was replaced"
+            );
         }
     }
-    assert_eq!((run_count(&fleet, &spent).await, run_count(&fleet, &fresh).await), (1, 0));
+    assert_eq!((run_count(&fleet, &used_key).await, run_count(&fleet, &unused_key).await), (1, 0));
 }
 
 // A box that stopped took both others for failing, since they had stood still, and gave its
 // ledger to nobody: the outcomes of its calls were unknown from then on.
 #[tokio::test]
 async fn heirs_suspected() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
-    let (leaver, others) = fleet.boxes.split_first().unwrap();
-    for other in others {
-        other.process.signal("-STOP");
+    assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
+    let (leaving_box, other_boxes) = fleet.boxes.split_first().unwrap();
+    for other_box in other_boxes {
+        other_box.process.signal("-STOP");
     }
     tokio::time::sleep(Duration::from_millis(900)).await;
-    leaver.process.signal("-TERM");
+    leaving_box.process.signal("-TERM");
     // Both are suspects when the ledger is given away, and answer soon after.
     tokio::time::sleep(Duration::from_millis(2900)).await;
-    for other in others {
-        other.process.signal("-CONT");
+    for other_box in other_boxes {
+        other_box.process.signal("-CONT");
     }
-    while !leaver.process.ended() {
+    while !leaving_box.process.ended() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let again = order(&fleet, 1, &key, 3000).await.unwrap();
-    assert_eq!(run_of(again).await, 1, "the kept answer");
+    let repeated = post_order(&fleet, 1, &key, 3000).await.unwrap();
+    assert_eq!(run_number(repeated).await, 1, "the kept answer");
 }
 
 // A box that was replaced was asked for a call of its predecessor before a peer had
@@ -218,28 +226,28 @@
 // kept.
 #[tokio::test]
 async fn asked_before_joining() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
-    let (replaced, others) = fleet.boxes.split_first().unwrap();
-    replaced.process.signal("-TERM");
-    while !replaced.process.ended() {
+    assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
+    let (restarted_box, other_boxes) = fleet.boxes.split_first().unwrap();
+    restarted_box.process.signal("-TERM");
+    while !restarted_box.process.ended() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    for other in others {
-        other.process.signal("-STOP");
+    for other_box in other_boxes {
+        other_box.process.signal("-STOP");
     }
-    replaced.process.restart();
-    fleet.wait_for(&format!("http://{}/live", replaced.operators)).await;
-    fleet.wait_in_force(&[replaced], 4, 1).await;
-    let thaw = async {
+    restarted_box.process.restart();
+    fleet.wait_for(&format!("http://{}/live", restarted_box.operators)).await;
+    fleet.wait_in_force(&[restarted_box], 4, 1).await;
+    let resume = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        for other in others {
-            other.process.signal("-CONT");
+        for other_box in other_boxes {
+            other_box.process.signal("-CONT");
         }
     };
-    let (again, ()) = tokio::join!(order(&fleet, 0, &key, 5000), thaw);
-    assert_eq!(run_of(again.unwrap()).await, 1);
+    let (repeated, ()) = tokio::join!(post_order(&fleet, 0, &key, 5000), resume);
+    assert_eq!(run_number(repeated.unwrap()).await, 1);
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
@@ -248,25 +256,29 @@
 // the outcome is unknown, though the answer was kept.
 #[tokio::test]
 async fn heir_missed() {
-    let fleet = slow_worker(5).await;
+    let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    assert_eq!(run_of(order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
-    let replaced = &fleet.boxes[0];
+    assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
+    let restarted_box = &fleet.boxes[0];
     // Until then, a box that started asks for all that the others know.
     tokio::time::sleep(Duration::from_secs(7)).await;
     fleet.boxes[2].process.signal("-STOP");
-    replaced.process.signal("-TERM");
-    while !replaced.process.ended() {
+    restarted_box.process.signal("-TERM");
+    while !restarted_box.process.ended() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    replaced.process.restart();
-    fleet.wait_for(&format!("http://{}/live", replaced.operators)).await;
+    restarted_box.process.restart();
+    fleet.wait_for(&format!("http://{}/live", restarted_box.operators)).await;
     tokio::time::sleep(Duration::from_secs(11)).await;
     fleet.boxes[2].process.signal("-CONT");
-    fleet.wait_in_force(&[&fleet.boxes[2], replaced], 4, 3).await;
+    fleet.wait_in_force(&[&fleet.boxes[2], restarted_box], 4, 3).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     for at in [0, 1, 2] {
-        assert_eq!(run_of(order(&fleet, at, &key, 3000).await.unwrap()).await, 1, "at {at}");
+        assert_eq!(
+            run_number(post_order(&fleet, at, &key, 3000).await.unwrap()).await,
+            1,
+            "at {at}"
+        );
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -11,15 +11,15 @@
 use serde_json::{Value, json};
 
 /// An accepted configuration is in force everywhere after this time.
-const IN_FORCE: Duration = Duration::from_secs(15);
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(15);
 /// Time after which a test gives up.
-const PATIENCE: Duration = Duration::from_secs(40);
+const LOAD_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time between a stop of a box and that of the next.
 const STOP_PERIOD: Duration = Duration::from_secs(1);
 /// Time between two looks at engines or boxes.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+const POLL_PERIOD: Duration = Duration::from_millis(50);
 
-async fn is_on(fleet: &Fleet, engine: usize, version: &str) -> bool {
+async fn has_loaded(fleet: &Fleet, engine: usize, version: &str) -> bool {
     let load = fleet.get(&format!("{}/load", fleet.engines[engine].url())).await;
     load.is_some_and(|load| load["version"] == version && load["loading"] == false)
 }
@@ -27,97 +27,98 @@
 /// Names a version; how long it took until each of `engines` has it.
 async fn load_time(fleet: &Fleet, engines: &[usize], version: &str) -> Duration {
     fleet.must_operate(&["model", "set", "summary", version]);
-    let began_at = Instant::now();
+    let started_at = Instant::now();
     for engine in engines {
-        while !is_on(fleet, *engine, version).await && began_at.elapsed() < PATIENCE {
-            tokio::time::sleep(LOOK_PERIOD).await;
+        while !has_loaded(fleet, *engine, version).await && started_at.elapsed() < LOAD_TIMEOUT {
+            tokio::time::sleep(POLL_PERIOD).await;
         }
     }
-    let took = began_at.elapsed();
-    println!("{version} on every engine after {} ms", took.as_millis());
-    took
+    let elapsed = started_at.elapsed();
+    println!("{version} on every engine after {} ms", elapsed.as_millis());
+    elapsed
 }
 
 /// Orders in the order in which the engines took them: no holder's comes after one
 /// of its successor.
-async fn check_fences(fleet: &Fleet) {
+async fn check_fence_order(fleet: &Fleet) {
     for engine in &fleet.engines {
-        let record = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
+        let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
         let fence = |order: &Value| order["fence"].as_u64().unwrap();
-        let fences: Vec<_> = record["orders"].as_array().unwrap().iter().map(fence).collect();
+        let fences: Vec<_> = runs["orders"].as_array().unwrap().iter().map(fence).collect();
         println!("{} took orders with tokens {fences:?}", engine.name);
         assert!(fences.is_sorted(), "{}: {fences:?}", engine.name);
     }
 }
 
 /// How often a box has taken the lease.
-fn times_held(fleet: &Fleet, at: usize) -> usize {
+fn lease_count(fleet: &Fleet, at: usize) -> usize {
     let log = fleet.dir().join(format!("{}.log", fleet.boxes[at].process.name));
     std::fs::read_to_string(log).unwrap_or_default().matches("Holds the lease").count()
 }
 
-async fn wait_held(fleet: &Fleet) {
-    while (0..fleet.boxes.len()).all(|at| times_held(fleet, at) == 0) {
-        tokio::time::sleep(LOOK_PERIOD).await;
+async fn wait_lease_held(fleet: &Fleet) {
+    while (0..fleet.boxes.len()).all(|at| lease_count(fleet, at) == 0) {
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
 /// Stops a box each second, in turn, and starts it again once it has stopped.
-async fn stop_in_turn(fleet: &Fleet, over: &AtomicBool) {
-    let replace = async |at: usize| {
+async fn restart_in_turn(fleet: &Fleet, is_done: &AtomicBool) {
+    let restart_periodically = async |at: usize| {
         let process = &fleet.boxes[at].process;
-        while !over.load(Ordering::Relaxed) {
-            let begun_at = tokio::time::Instant::now();
+        while !is_done.load(Ordering::Relaxed) {
+            let stopped_at = tokio::time::Instant::now();
             let pid = process.pid();
             process.try_signal("-TERM");
             process.start_again(pid).await;
-            let turn = STOP_PERIOD * u32::try_from(fleet.boxes.len()).unwrap();
-            tokio::time::sleep_until(begun_at + turn).await;
+            let period = STOP_PERIOD * u32::try_from(fleet.boxes.len()).unwrap();
+            tokio::time::sleep_until(stopped_at + period).await;
         }
     };
     let boxes = (0..fleet.boxes.len()).map(async |at| {
         tokio::time::sleep(STOP_PERIOD * u32::try_from(at).unwrap()).await;
-        replace(at).await;
+        restart_periodically(at).await;
     });
     futures_util::future::join_all(boxes).await;
 }
 
 /// Kills whichever box takes the lease, some time after it has.
-async fn kill_holders(fleet: &Fleet, after: Duration, over: &AtomicBool) {
-    let mut seen: Vec<_> = (0..fleet.boxes.len()).map(|_| 0).collect();
-    while !over.load(Ordering::Relaxed) {
-        for (at, seen) in seen.iter_mut().enumerate() {
-            let held = times_held(fleet, at);
-            if held > *seen {
-                *seen = held;
-                tokio::time::sleep(after).await;
+async fn kill_holders(fleet: &Fleet, delay: Duration, is_done: &AtomicBool) {
+    let mut known_counts: Vec<_> = (0..fleet.boxes.len()).map(|_| 0).collect();
+    while !is_done.load(Ordering::Relaxed) {
+        for (at, known_count) in known_counts.iter_mut().enumerate() {
+            let lease_count_now = lease_count(fleet, at);
+            if lease_count_now > *known_count {
+                *known_count = lease_count_now;
+                tokio::time::sleep(delay).await;
                 fleet.boxes[at].process.restart();
             }
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
 
 /// Names versions while something goes on; the longest time until all engines had one.
-async fn worst_load_time(fleet: &Fleet, over: &AtomicBool) -> Duration {
+async fn longest_load_time(fleet: &Fleet, is_done: &AtomicBool) -> Duration {
     let engines: Vec<_> = (0..fleet.engines.len()).collect();
-    let mut worst = Duration::ZERO;
+    let mut longest = Duration::ZERO;
     for version in ["v2", "v3", "v4"] {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        worst = worst.max(load_time(fleet, &engines, version).await);
+        longest = longest.max(load_time(fleet, &engines, version).await);
     }
-    over.store(true, Ordering::Relaxed);
-    worst
+    is_done.store(true, Ordering::Relaxed);
+    longest
 }
 
 #[tokio::test]
 async fn boxes_stopped() {
     let fleet = start_fleet(&Plan::one_hall(5, 6, 0)).await;
-    wait_held(&fleet).await;
-    let over = AtomicBool::new(false);
-    let (worst, ()) = tokio::join!(worst_load_time(&fleet, &over), stop_in_turn(&fleet, &over));
-    check_fences(&fleet).await;
-    assert!(worst < IN_FORCE, "an engine had a version after {} ms", worst.as_millis());
+    wait_lease_held(&fleet).await;
+    let is_done = AtomicBool::new(false);
+    let (longest, ()) =
+        tokio::join!(longest_load_time(&fleet, &is_done), restart_in_turn(&fleet, &is_done));
+    check_fence_order(&fleet).await;
+    assert!(longest < IN_FORCE_WITHIN, "an engine had a version after {} ms", longest.as_millis());
 }
 
 // Each box that held the lease was killed half a second later. The next one had to wait
@@ -126,13 +127,13 @@
 #[tokio::test]
 async fn holders_killed() {
     let fleet = start_fleet(&Plan::one_hall(3, 6, 0)).await;
-    wait_held(&fleet).await;
-    let over = AtomicBool::new(false);
-    let after = Duration::from_millis(500);
-    let (worst, ()) =
-        tokio::join!(worst_load_time(&fleet, &over), kill_holders(&fleet, after, &over));
-    check_fences(&fleet).await;
-    assert!(worst < IN_FORCE, "an engine had a version after {} ms", worst.as_millis());
+    wait_lease_held(&fleet).await;
+    let is_done = AtomicBool::new(false);
+    let delay = Duration::from_millis(500);
+    let (longest, ()) =
+        tokio::join!(longest_load_time(&fleet, &is_done), kill_holders(&fleet, delay, &is_done));
+    check_fence_order(&fleet).await;
+    assert!(longest < IN_FORCE_WITHIN, "an engine had a version after {} ms", longest.as_millis());
 }
 
 // Engines that do not check who orders get nothing of a successor before the lease of
@@ -143,12 +144,12 @@
     plan.checks_orders = false;
     plan.engine_args = vec![("check-orders".to_owned(), "false".to_owned())];
     let fleet = start_fleet(&plan).await;
-    wait_held(&fleet).await;
-    let holder = (0..3).find(|at| times_held(&fleet, *at) > 0).unwrap();
+    wait_lease_held(&fleet).await;
+    let holder = (0..3).find(|at| lease_count(&fleet, *at) > 0).unwrap();
     fleet.boxes[holder].process.kill();
-    let took = load_time(&fleet, &[0, 1, 2, 3, 4, 5], "v2").await;
-    check_fences(&fleet).await;
-    assert!(took < IN_FORCE, "an engine had a version after {} ms", took.as_millis());
+    let elapsed = load_time(&fleet, &[0, 1, 2, 3, 4, 5], "v2").await;
+    check_fence_order(&fleet).await;
+    assert!(elapsed < IN_FORCE_WITHIN, "an engine had a version after {} ms", elapsed.as_millis());
 }
 
 // The first three engines kept all loads that may be under way to themselves: while they
@@ -159,11 +160,11 @@
 #[tokio::test]
 async fn others_load(#[case] fault: Value) {
     let fleet = start_fleet(&Plan::one_hall(2, 6, 0)).await;
-    wait_held(&fleet).await;
+    wait_lease_held(&fleet).await;
     for engine in &fleet.engines[..3] {
         fleet.fault(engine, fault.clone()).await;
     }
-    let took = load_time(&fleet, &[3, 4, 5], "v2").await;
-    check_fences(&fleet).await;
-    assert!(took < IN_FORCE, "an engine had a version after {} ms", took.as_millis());
+    let elapsed = load_time(&fleet, &[3, 4, 5], "v2").await;
+    check_fence_order(&fleet).await;
+    assert!(elapsed < IN_FORCE_WITHIN, "an engine had a version after {} ms", elapsed.as_millis());
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -12,7 +12,7 @@
 
 const KEY: &str = "sanam-key";
 
-async fn started(fleet: &Fleet) -> usize {
+async fn started_runs(fleet: &Fleet) -> usize {
     let mut count = 0;
     for engine in &fleet.engines {
         let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
@@ -24,54 +24,54 @@
 #[tokio::test]
 async fn refused_early() {
     let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
-    let begun_at = Instant::now();
-    let mut calls = Vec::new();
+    let started_at = Instant::now();
+    let mut requests = Vec::new();
     for wave in 0..6 {
         for number in 0..40 {
             let prompt = format!("{}?", context_text(&format!("{wave} {number}"), 3000));
-            let call = completion_request(&fleet, number % 2, KEY, &prompt, 10);
-            calls.push(tokio::spawn(call.header("x-timeout-ms", 3000).send()));
+            let request = completion_request(&fleet, number % 2, KEY, &prompt, 10);
+            requests.push(tokio::spawn(request.header("x-timeout-ms", 3000).send()));
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    let answers = join_all(calls).await;
-    assert!(begun_at.elapsed() < Duration::from_secs(10));
-    let (mut whole, mut refused, mut early) = (0, 0, 0);
-    for answer in answers {
-        let answer = answer.unwrap().unwrap();
-        if answer.status().is_success() {
-            whole += 1;
+    let responses = join_all(requests).await;
+    assert!(started_at.elapsed() < Duration::from_secs(10));
+    let (mut completed, mut refused, mut early) = (0, 0, 0);
+    for response in responses {
+        let response = response.unwrap().unwrap();
+        if response.status().is_success() {
+            completed += 1;
             continue;
         }
         refused += 1;
-        let comes_back = answer.headers().contains_key("retry-after");
-        let body: Value = answer.json().await.unwrap();
+        let has_retry_after = response.headers().contains_key("retry-after");
+        let body: Value = response.json().await.unwrap();
         if body["error"]["type"] == "overloaded" {
-            assert!(comes_back && body["error"]["ran"] == "not run", "{body}");
+            assert!(has_retry_after && body["error"]["ran"] == "not run", "{body}");
             early += 1;
         }
     }
-    assert!(whole > 10 && early > 10, "whole {whole}, refused {refused}, early {early}");
+    assert!(completed > 10 && early > 10, "whole {completed}, refused {refused}, early {early}");
 }
 
 #[tokio::test]
 async fn not_run_true() {
     let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
-    let mut calls = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..200 {
         let prompt = format!("{}?", context_text(&number.to_string(), 2000));
-        let call = completion_request(&fleet, number % 2, KEY, &prompt, 10);
-        calls.push(tokio::spawn(call.header("x-timeout-ms", 1500).send()));
+        let request = completion_request(&fleet, number % 2, KEY, &prompt, 10);
+        requests.push(tokio::spawn(request.header("x-timeout-ms", 1500).send()));
     }
     let mut not_run = 0;
-    for answer in join_all(calls).await {
-        let answer = answer.unwrap().unwrap();
-        let ran = answer.headers().get("x-coursestile-ran").cloned();
+    for response in join_all(requests).await {
+        let response = response.unwrap().unwrap();
+        let ran = response.headers().get("x-coursestile-ran").cloned();
         not_run += usize::from(ran.is_some_and(|ran| ran == "not run"));
     }
     // Each request that is not refused as not run has at most one run here.
     assert!(not_run > 0);
-    assert!(started(&fleet).await <= 200 - not_run, "a refused request ran");
+    assert!(started_runs(&fleet).await <= 200 - not_run, "a refused request ran");
 }
 
 #[tokio::test]
@@ -80,13 +80,14 @@
     for engine in &fleet.engines {
         fleet.fault(engine, json!({ "outage": true })).await;
     }
-    let mut calls = Vec::new();
+    let mut requests = Vec::new();
     for number in 0..100 {
-        let call = completion_request(&fleet, number % 2, KEY, &format!("Question {number}?"), 3);
-        calls.push(tokio::spawn(call.header("x-timeout-ms", 4000).send()));
+        let request =
+            completion_request(&fleet, number % 2, KEY, &format!("Question {number}?"), 3);
+        requests.push(tokio::spawn(request.header("x-timeout-ms", 4000).send()));
     }
-    for answer in join_all(calls).await {
-        assert!(!answer.unwrap().unwrap().status().is_success());
+    for response in join_all(requests).await {
+        assert!(!response.unwrap().unwrap().status().is_success());
     }
     let mut attempts = 0;
     for engine in &fleet.engines {
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -13,23 +13,23 @@
 async fn dispatcher_dies() {
     let fleet = start_fleet(&Plan::one_hall(3, 1, 0)).await;
     let prompt = |number: usize| format!("{}?", context_text(&format!("book {number}"), 2000));
-    let call = |at: usize, number: usize| {
-        let call = completion_request(&fleet, at, "sanam-key", &prompt(number), 150);
-        tokio::spawn(async move { completion_text(call.send().await.unwrap()).await })
+    let send = |at: usize, number: usize| {
+        let request = completion_request(&fleet, at, "sanam-key", &prompt(number), 150);
+        tokio::spawn(async move { completion_text(request.send().await.unwrap()).await })
     };
-    call(0, 0).await.unwrap();
-    let mut owner = 0;
+    send(0, 0).await.unwrap();
+    let mut dispatcher_box = 0;
     for (index, entry_box) in fleet.boxes.iter().enumerate() {
         let status = fleet.status(entry_box).await.unwrap();
         if !status["dispatchers"].as_array().unwrap().is_empty() {
-            owner = index;
+            dispatcher_box = index;
         }
     }
     // Eight run and the others wait at the dispatcher, which dies.
-    let waiting: Vec<_> = (1..20).map(|number| call((owner + 1) % 3, number)).collect();
+    let answers: Vec<_> = (1..20).map(|number| send((dispatcher_box + 1) % 3, number)).collect();
     tokio::time::sleep(Duration::from_millis(400)).await;
-    fleet.boxes[owner].process.kill();
-    for (number, answer) in join_all(waiting).await.into_iter().enumerate() {
+    fleet.boxes[dispatcher_box].process.kill();
+    for (number, answer) in join_all(answers).await.into_iter().enumerate() {
         assert_eq!(answer.unwrap(), whole("v1", &prompt(number + 1), 150));
     }
 }
