--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Planned stops cut nothing, and what leaves gets no new work.
+//! A planned stop of a box cuts no request, and an engine that leaves gets no new requests while
+//! it completes the running ones.
 
 mod common;
 
@@ -18,7 +19,7 @@
     runs["started"].as_array().unwrap().len()
 }
 
-/// Sends short requests through each box in turn; returns their number.
+/// Sends short requests through the boxes in turn and checks the responses.
 async fn send_short_requests(fleet: &Fleet, count: usize) {
     for number in 0..count {
         let at = number % fleet.boxes.len();
@@ -35,7 +36,7 @@
         tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
     send_short_requests(&fleet, 8).await;
     fleet.must_operate(&["upstream", "leave", "north-e1"]);
-    // The change is accepted; from here on the platform is out.
+    // The platform has accepted the change. From here on, it is down.
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.fault(&fleet.platform, json!({ "outage": true })).await;
     tokio::time::sleep(Duration::from_millis(2500)).await;
@@ -101,7 +102,7 @@
                 let mut number = 0;
                 while !is_done.load(Ordering::Relaxed) {
                     number += 1;
-                    // The balancer sends to a box that was ready a moment ago.
+                    // As a load balancer does, send to a box only if it has just been ready.
                     let at = (caller + number) % urls.len();
                     let probe = http.get(&ready[at]).send().await;
                     if !probe.is_ok_and(|response| response.status().is_success()) {
--- a/tests/loads.rs
+++ b/tests/loads.rs
@@ -1,4 +1,5 @@
-//! Which engines are ordered to load weights, and when.
+//! Which engines are ordered to load weights, and when: engines that hang, refuse or already
+//! load must not keep others from loading.
 
 use coursestile::lease::{LOAD_SLOT_MS, MAX_LOADS, ObservedEngine, WeightLoads};
 
@@ -9,7 +10,7 @@
     ObservedEngine { name, model: "summary".to_owned(), version, loading }
 }
 
-/// Plans and begins the loads of `version` on engines that have v1.
+/// Plans and begins loads of version v2 on engines that have v1; returns the engines.
 fn begin_planned_loads(
     loads: &mut WeightLoads,
     now_ms: u64,
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership on a simulated network: pure state, seeded losses and cuts.
+//! Membership in a simulated network with random losses, from fixed seeds, and disconnected
+//! halls.
 
 use std::collections::VecDeque;
 
@@ -9,7 +10,7 @@
 
 const STEP_MS: u64 = 100;
 
-/// Boxes on a network that loses messages and can be cut.
+/// Boxes in a network that loses messages and can disconnect the halls from each other.
 struct Network {
     boxes: Vec<Membership>,
     is_up: Vec<bool>,
@@ -77,7 +78,8 @@
         self.boxes[at].view().member(&format!("b{of}")).map(|member| member.health)
     }
 
-    /// Pairs of boxes of which the first does not see the second alive.
+    /// Pairs of boxes of which the first does not consider the second alive, with the health that
+    /// it sees instead.
     fn not_seen_alive(&self) -> Vec<(usize, usize, Option<Health>)> {
         let count = self.boxes.len();
         let pairs = (0..count).flat_map(|at| (0..count).map(move |of| (at, of)));
@@ -137,7 +139,7 @@
 fn heirs_followed() {
     let mut network = Network::new(6, 2, 0, 9);
     network.run(20);
-    // b0 leaves its ledger to b2, b2 its own to b4; both are replaced.
+    // b0 hands its ledger over to b2, then b2 to b4; both are restarted.
     for (leaver, heir) in [(0, 2), (2, 4)] {
         let heir = network.boxes[heir].view().me().id.clone();
         network.boxes[leaver].leave(Some(heir));
@@ -154,8 +156,9 @@
     }
 }
 
-// A box was out of sight when it stopped as planned, and taken for dead. What it had left
-// behind was older news than its death, so that its heir was not taken in.
+// When a box that is considered dead leaves and names the heir of its ledger, the heir must be
+// accepted. The message was ignored as older than the death, so that nobody knew the ledger's
+// holder.
 #[test]
 fn heir_of_dead() {
     let mut view = View::new(member(0, 1, 1));
@@ -176,13 +179,13 @@
 fn pinged_before_joining() {
     let mut network = Network::new(6, 2, 0, 9);
     network.run(20);
-    // b0 leaves its ledger to b2; both are replaced.
+    // b0 hands its ledger over to b2, then b2 to b4; both are restarted.
     for (leaver, heir) in [(0, 2), (2, 4)] {
         let heir = network.boxes[heir].view().me().id.clone();
         network.boxes[leaver].leave(Some(heir));
         network.run(10);
         network.boxes[leaver] = Membership::new(member(leaver, 2, 2), vec!["1".to_owned()], 77);
-        // A probe of another box comes before its own first step.
+        // A ping of another box arrives before the restarted box has sent anything.
         let ping = Gossip::Ping { seq: 9, digest: 0, updates: vec![member(4, 2, 1)] };
         network.boxes[leaver].receive(network.now_ms, "4", ping);
         network.run(10);
@@ -192,8 +195,8 @@
     assert_eq!(unaware.collect::<Vec<_>>(), Vec::<usize>::new(), "boxes that know no heir");
 }
 
-// A box that has itself among its seeds asked itself, and so nobody, once in so many
-// first steps; for a second more it knew no heirs.
+// The first tick of a box must send a join message to a peer. A box that was among its own seeds
+// sometimes chose itself, and did not know the ledgers' holders for another second.
 #[test]
 fn first_step_asks() {
     let seeds = || ["0", "1", "2"].map(str::to_owned).to_vec();
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -1,4 +1,5 @@
-//! A call that may not be repeated runs at most once, whatever fails.
+//! A call that must not be repeated runs at most once, whatever fails. If its outcome is known,
+//! a repeated call gets the same response from any box.
 
 mod common;
 
@@ -11,7 +12,7 @@
 
 const KEY: &str = "petra-key";
 
-/// Three boxes, and two workers that take their time.
+/// Starts three boxes, and two workers that take `work_ms` for a call.
 async fn start_slow_workers(work_ms: u64) -> Fleet {
     let mut plan = Plan::one_hall(3, 1, 2);
     plan.worker_args = vec![("work-ms".to_owned(), work_ms.to_string())];
@@ -69,7 +70,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.boxes[0].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    // The forwarded call was past its deadline when the box woke.
+    // The deadline of the forwarded call had passed when the box was resumed.
     assert_eq!(run_count(&fleet, &unused_key).await, 0);
     assert_eq!(run_number(post_order(&fleet, 1, &used_key, 2000).await.unwrap()).await, 1);
     assert_eq!(run_number(post_order(&fleet, 2, &unused_key, 2000).await.unwrap()).await, 1);
@@ -168,7 +169,7 @@
     let prefix = request_ticket(&fleet, 0, KEY).await;
     let (used_key, unused_key) = (format!("{prefix}/1"), format!("{prefix}/2"));
     assert_eq!(run_number(post_order(&fleet, 0, &used_key, 1000).await.unwrap()).await, 1);
-    // Every box is replaced, one after another; the ledger goes along.
+    // Every box is restarted, one after another, and hands the ledgers over.
     for at in 0..3 {
         fleet.boxes[at].process.signal("-TERM");
         while !fleet.boxes[at].process.ended() {
@@ -196,8 +197,9 @@
     assert_eq!((run_count(&fleet, &used_key).await, run_count(&fleet, &unused_key).await), (1, 0));
 }
 
-// A box that stopped took both others for failing, since they had stood still, and gave its
-// ledger to nobody: the outcomes of its calls were unknown from then on.
+// A stopping box must hand its ledger over to a peer that it merely suspects. When it suspected
+// all peers, since they had been paused, it handed the ledger to nobody, and the outcomes of its
+// calls were unknown from then on.
 #[tokio::test]
 async fn heirs_suspected() {
     let fleet = start_slow_workers(5).await;
@@ -209,7 +211,7 @@
     }
     tokio::time::sleep(Duration::from_millis(900)).await;
     leaving_box.process.signal("-TERM");
-    // Both are suspects when the ledger is given away, and answer soon after.
+    // Both are suspects when the ledger is to be handed over, and answer soon after.
     tokio::time::sleep(Duration::from_millis(2900)).await;
     for other_box in other_boxes {
         other_box.process.signal("-CONT");
@@ -221,9 +223,8 @@
     assert_eq!(run_number(repeated).await, 1, "the kept answer");
 }
 
-// A box that was replaced was asked for a call of its predecessor before a peer had
-// told it of the heir. It answered that the outcome is unknown, though the answer was
-// kept.
+// A restarted box may be asked for a call of its previous run before a peer has told it who holds
+// that run's ledger. It answered that the outcome is unknown, though the answer was kept.
 #[tokio::test]
 async fn asked_before_joining() {
     let fleet = start_slow_workers(5).await;
@@ -251,16 +252,16 @@
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
 
-// A box stood still while another one was replaced, and for longer than messages are
-// believed: it had missed who keeps the ledger, and nobody told it later. It answered that
-// the outcome is unknown, though the answer was kept.
+// A box that is paused while another one restarts, for longer than messages are accepted, misses
+// who holds the ledger, and must be told later. It was not, and answered that the outcome is
+// unknown, though the answer was kept.
 #[tokio::test]
 async fn heir_missed() {
     let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
     let restarted_box = &fleet.boxes[0];
-    // Until then, a box that started asks for all that the others know.
+    // A box that has just started requests all that its peers know. Wait until that period is over.
     tokio::time::sleep(Duration::from_secs(7)).await;
     fleet.boxes[2].process.signal("-STOP");
     restarted_box.process.signal("-TERM");
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Engines come to the version in force whatever becomes of the boxes that order it.
+//! Engines get the version in force in time although the boxes that order the loads stop, are
+//! killed, or have engines that hang or refuse.
 
 mod common;
 
@@ -10,13 +11,13 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// An accepted configuration is in force everywhere after this time.
+/// Time within which an accepted configuration must be in force everywhere.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(15);
-/// Time after which a test gives up.
+/// Time after which a test stops waiting for engines.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(40);
 /// Time between a stop of a box and that of the next.
 const STOP_PERIOD: Duration = Duration::from_secs(1);
-/// Time between two looks at engines or boxes.
+/// Time between two checks of engines or boxes.
 const POLL_PERIOD: Duration = Duration::from_millis(50);
 
 async fn has_loaded(fleet: &Fleet, engine: usize, version: &str) -> bool {
@@ -24,7 +25,7 @@
     load.is_some_and(|load| load["version"] == version && load["loading"] == false)
 }
 
-/// Names a version; how long it took until each of `engines` has it.
+/// Sets the model's version; returns the time until each of `engines` has loaded it.
 async fn load_time(fleet: &Fleet, engines: &[usize], version: &str) -> Duration {
     fleet.must_operate(&["model", "set", "summary", version]);
     let started_at = Instant::now();
@@ -38,8 +39,7 @@
     elapsed
 }
 
-/// Orders in the order in which the engines took them: no holder's comes after one
-/// of its successor.
+/// Checks that no engine has accepted an order of a holder after one of its successor.
 async fn check_fence_order(fleet: &Fleet) {
     for engine in &fleet.engines {
         let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
@@ -50,7 +50,7 @@
     }
 }
 
-/// How often a box has taken the lease.
+/// Number of times that a box has acquired the lease.
 fn lease_count(fleet: &Fleet, at: usize) -> usize {
     let log = fleet.dir().join(format!("{}.log", fleet.boxes[at].process.name));
     std::fs::read_to_string(log).unwrap_or_default().matches("Holds the lease").count()
@@ -62,7 +62,7 @@
     }
 }
 
-/// Stops a box each second, in turn, and starts it again once it has stopped.
+/// Stops one box after another, a second apart, and starts each again once it has stopped.
 async fn restart_in_turn(fleet: &Fleet, is_done: &AtomicBool) {
     let restart_periodically = async |at: usize| {
         let process = &fleet.boxes[at].process;
@@ -82,7 +82,7 @@
     futures_util::future::join_all(boxes).await;
 }
 
-/// Kills whichever box takes the lease, some time after it has.
+/// Kills each box that acquires the lease, some time afterwards.
 async fn kill_holders(fleet: &Fleet, delay: Duration, is_done: &AtomicBool) {
     let mut known_counts: Vec<_> = (0..fleet.boxes.len()).map(|_| 0).collect();
     while !is_done.load(Ordering::Relaxed) {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Names versions while something goes on; the longest time until all engines had one.
+/// Sets one version after another; returns the longest time until all engines had loaded one.
 async fn longest_load_time(fleet: &Fleet, is_done: &AtomicBool) -> Duration {
     let engines: Vec<_> = (0..fleet.engines.len()).collect();
     let mut longest = Duration::ZERO;
@@ -121,9 +121,9 @@
     assert!(longest < IN_FORCE_WITHIN, "an engine had a version after {} ms", longest.as_millis());
 }
 
-// Each box that held the lease was killed half a second later. The next one had to wait
-// until the lease of the dead one had lapsed, and had itself just time for three orders:
-// six engines had a new version after 23 s.
+// Engines must be loaded in time although each box that acquires the lease is killed half a second
+// later. When the next box waited until the lease of the killed one had lapsed, and then had time
+// for three orders, six engines had a new version after 23 s.
 #[tokio::test]
 async fn holders_killed() {
     let fleet = start_fleet(&Plan::one_hall(3, 6, 0)).await;
@@ -136,8 +136,8 @@
     assert!(longest < IN_FORCE_WITHIN, "an engine had a version after {} ms", longest.as_millis());
 }
 
-// Engines that do not check who orders get nothing of a successor before the lease of
-// a killed holder has lapsed, and the whole within the bound.
+// Engines that do not check fencing tokens get no orders of a successor before the lease of a
+// killed holder has lapsed. All must be loaded in time nevertheless.
 #[tokio::test]
 async fn unchecked_killed() {
     let mut plan = Plan::one_hall(3, 6, 0);
@@ -152,8 +152,8 @@
     assert!(elapsed < IN_FORCE_WITHIN, "an engine had a version after {} ms", elapsed.as_millis());
 }
 
-// The first three engines kept all loads that may be under way to themselves: while they
-// loaded for long, and for as long as they refused, since they were ordered first again.
+// Slow or refusing engines must not use up the number of concurrent loads. Three of them did: while
+// they loaded slowly, and for as long as they refused, since they were always ordered first.
 #[rstest]
 #[case::slow(json!({ "slowdown": 80 }))]
 #[case::deaf(json!({ "refuse_orders": true }))]
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Under overload, work is refused early and truthfully, and retries stay within
-//! their budget.
+//! Under overload, requests are refused early, have not run if the response says so, and retries
+//! stay within their budget.
 
 mod common;
 
@@ -69,7 +69,7 @@
         let ran = response.headers().get("x-coursestile-ran").cloned();
         not_run += usize::from(ran.is_some_and(|ran| ran == "not run"));
     }
-    // Each request that is not refused as not run has at most one run here.
+    // Each request starts at most one run, and those refused as "not run" start none.
     assert!(not_run > 0);
     assert!(started_runs(&fleet).await <= 200 - not_run, "a refused request ran");
 }
@@ -94,6 +94,6 @@
         let counts = fleet.get(&format!("{}/counts", engine.url())).await.unwrap();
         attempts += counts["completions"].as_u64().unwrap();
     }
-    // 100 first attempts at most, a tenth of them again, and what was saved up.
+    // At most 100 first attempts, retries of a tenth of them, and the saved-up budget of both boxes.
     assert!(attempts <= 100 + 10 + 2 * 5 + 2, "{attempts} attempts for 100 requests");
 }
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -1,4 +1,4 @@
-//! Requests that wait find another way when their dispatcher falls silent.
+//! Requests that are queued at a dispatcher are completed although the dispatcher's box dies.
 
 mod common;
 
@@ -25,7 +25,7 @@
             dispatcher_box = index;
         }
     }
-    // Eight run and the others wait at the dispatcher, which dies.
+    // Eight requests run and the others are queued when the dispatcher's box is killed.
     let answers: Vec<_> = (1..20).map(|number| send((dispatcher_box + 1) % 3, number)).collect();
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet.boxes[dispatcher_box].process.kill();
