--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -8,7 +8,7 @@
 const REQUEST: Fingerprint = Fingerprint(7);
 
 /// A quarantine that has seen upstreams crash under [`REQUEST`], 10 ms apart.
-fn after(upstreams: &[u32]) -> Quarantine {
+fn quarantine_after_crashes(upstreams: &[u32]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (at_ms, upstream) in (NOW_MS..).step_by(10).zip(upstreams) {
         quarantine.record_crash(at_ms, REQUEST, *upstream, at_ms);
@@ -16,12 +16,12 @@
     quarantine
 }
 
-fn is_held(quarantine: &Quarantine, now_ms: u64) -> bool {
+fn is_quarantined(quarantine: &Quarantine, now_ms: u64) -> bool {
     quarantine.until_ms(now_ms, REQUEST).is_some()
 }
 
 /// One box tells another, as gossip does.
-fn tell(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
+fn exchange_reports(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
     let crashes = from.crashes_to_announce(now_ms);
     let answers = from.answers_to_announce(now_ms);
     to.merge_reports(now_ms, &crashes, &answers)
@@ -29,114 +29,120 @@
 
 #[test]
 fn upstreams_counted() {
-    assert!(!is_held(&after(&[1, 2]), NOW_MS + 100));
-    assert!(!is_held(&after(&[1, 2, 1, 2, 2]), NOW_MS + 100), "two upstreams only");
-    assert!(is_held(&after(&[1, 2, 1, 3]), NOW_MS + 100));
-    let other = after(&[1, 2, 3]).until_ms(NOW_MS + 100, Fingerprint(8));
+    assert!(!is_quarantined(&quarantine_after_crashes(&[1, 2]), NOW_MS + 100));
+    assert!(
+        !is_quarantined(&quarantine_after_crashes(&[1, 2, 1, 2, 2]), NOW_MS + 100),
+        "two upstreams only"
+    );
+    assert!(is_quarantined(&quarantine_after_crashes(&[1, 2, 1, 3]), NOW_MS + 100));
+    let other = quarantine_after_crashes(&[1, 2, 3]).until_ms(NOW_MS + 100, Fingerprint(8));
     assert_eq!(other, None, "another request");
 }
 
 #[test]
 fn answer_clears() {
-    let mut quarantine = after(&[1, 2]);
+    let mut quarantine = quarantine_after_crashes(&[1, 2]);
     assert!(quarantine.record_answer(REQUEST, NOW_MS + 50));
     quarantine.record_crash(NOW_MS + 60, REQUEST, 3, NOW_MS + 60);
     quarantine.record_crash(NOW_MS + 70, REQUEST, 4, NOW_MS + 70);
-    assert!(!is_held(&quarantine, NOW_MS + 100), "two since it was answered");
-    let mut held = after(&[1, 2, 3]);
+    assert!(!is_quarantined(&quarantine, NOW_MS + 100), "two since it was answered");
+    let mut held = quarantine_after_crashes(&[1, 2, 3]);
     assert!(held.record_answer(REQUEST, NOW_MS + 50));
-    assert!(!is_held(&held, NOW_MS + 100));
+    assert!(!is_quarantined(&held, NOW_MS + 100));
     assert!(!held.record_answer(Fingerprint(8), NOW_MS + 50), "no suspect");
 }
 
 /// After its time a request may run once more: one crash more holds it back again.
 #[test]
 fn tried_again() {
-    let mut quarantine = after(&[1, 2, 3]);
-    let over_ms = NOW_MS + 20 + QUARANTINE_MS;
-    assert!(is_held(&quarantine, over_ms - 1));
-    assert!(!is_held(&quarantine, over_ms));
-    quarantine.record_crash(over_ms + 5, REQUEST, 4, over_ms + 5);
-    assert_eq!(quarantine.until_ms(over_ms + 6, REQUEST), Some(over_ms + 5 + QUARANTINE_MS));
+    let mut quarantine = quarantine_after_crashes(&[1, 2, 3]);
+    let end_ms = NOW_MS + 20 + QUARANTINE_MS;
+    assert!(is_quarantined(&quarantine, end_ms - 1));
+    assert!(!is_quarantined(&quarantine, end_ms));
+    quarantine.record_crash(end_ms + 5, REQUEST, 4, end_ms + 5);
+    assert_eq!(quarantine.until_ms(end_ms + 6, REQUEST), Some(end_ms + 5 + QUARANTINE_MS));
 }
 
 /// Crashes that different boxes saw add up, whoever tells whom first, and telling ends.
 #[test]
 fn told_on() {
     for seed in 0..50 {
-        let mut random = fastrand::Rng::with_seed(seed);
+        let mut rng = fastrand::Rng::with_seed(seed);
         let mut boxes: Vec<Quarantine> = (0..9).map(|_| Quarantine::default()).collect();
         let mut now_ms = NOW_MS;
         for upstream in 1..=5 {
             now_ms += 40;
             // One crash is seen by two boxes, at slightly other times.
-            boxes[random.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms);
-            boxes[random.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms - 3);
+            boxes[rng.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms);
+            boxes[rng.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms - 3);
         }
-        let mut news = 0;
+        let mut update_count = 0;
         for _ in 0..600 {
             now_ms += 1;
-            let from = random.usize(0..9);
-            let to = random.usize(0..9);
+            let from = rng.usize(0..9);
+            let to = rng.usize(0..9);
             if from != to {
                 let mut sender = std::mem::take(&mut boxes[from]);
-                let told = tell(now_ms, &mut sender, &mut boxes[to]);
-                news += usize::from(told != UpdateUrgency::None);
+                let urgency = exchange_reports(now_ms, &mut sender, &mut boxes[to]);
+                update_count += usize::from(urgency != UpdateUrgency::None);
                 boxes[from] = sender;
             }
         }
-        assert!(boxes.iter().all(|one| is_held(one, now_ms)), "seed {seed}");
-        assert!(news < 9 * 5 * 2, "seed {seed}: {news} messages brought news");
+        assert!(boxes.iter().all(|quarantine| is_quarantined(quarantine, now_ms)), "seed {seed}");
+        assert!(update_count < 9 * 5 * 2, "seed {seed}: {update_count} messages brought news");
     }
 }
 
 /// A box that was cut off hears of what was quarantined long before.
 #[test]
 fn told_later() {
-    let mut known = after(&[1, 2, 3]);
-    let mut late = Quarantine::default();
+    let mut informed = quarantine_after_crashes(&[1, 2, 3]);
+    let mut reconnected = Quarantine::default();
     let now_ms = NOW_MS + 60_000;
-    assert_eq!(tell(now_ms, &mut known, &mut late), UpdateUrgency::Urgent);
-    assert!(is_held(&late, now_ms));
-    let left_ms = late.until_ms(now_ms, REQUEST).unwrap() - now_ms;
+    assert_eq!(exchange_reports(now_ms, &mut informed, &mut reconnected), UpdateUrgency::Urgent);
+    assert!(is_quarantined(&reconnected, now_ms));
+    let left_ms = reconnected.until_ms(now_ms, REQUEST).unwrap() - now_ms;
     assert_eq!(left_ms, QUARANTINE_MS - 60_000 + 20, "no longer than where it was seen");
 }
 
 #[test]
 fn answer_told() {
-    let mut cleared = after(&[1, 2, 3]);
-    let mut other = after(&[1, 2, 3]);
-    cleared.record_answer(REQUEST, NOW_MS + 100);
-    tell(NOW_MS + 110, &mut cleared, &mut other);
-    assert!(!is_held(&other, NOW_MS + 110));
+    let mut answered = quarantine_after_crashes(&[1, 2, 3]);
+    let mut other = quarantine_after_crashes(&[1, 2, 3]);
+    answered.record_answer(REQUEST, NOW_MS + 100);
+    exchange_reports(NOW_MS + 110, &mut answered, &mut other);
+    assert!(!is_quarantined(&other, NOW_MS + 110));
     // What a third box still tells is older than the answer.
-    tell(NOW_MS + 120, &mut after(&[1, 2, 3]), &mut other);
-    assert!(!is_held(&other, NOW_MS + 120));
+    exchange_reports(NOW_MS + 120, &mut quarantine_after_crashes(&[1, 2, 3]), &mut other);
+    assert!(!is_quarantined(&other, NOW_MS + 120));
     other.merge_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
-    assert!(!is_held(&other, NOW_MS + 130), "a list tells no times");
+    assert!(!is_quarantined(&other, NOW_MS + 130), "a list tells no times");
 }
 
 #[test]
 fn list_taken() {
-    let listed: Vec<_> = after(&[3, 1, 2]).quarantined(NOW_MS + 100).collect();
+    let listed: Vec<_> = quarantine_after_crashes(&[3, 1, 2]).quarantined(NOW_MS + 100).collect();
     assert_eq!(listed, [(REQUEST, vec![1, 2, 3])]);
     let mut restarted = Quarantine::default();
     restarted.merge_listed(5, REQUEST, &listed[0].1);
-    assert!(is_held(&restarted, 6));
+    assert!(is_quarantined(&restarted, 6));
     assert_eq!(restarted.quarantined(6).collect::<Vec<_>>(), listed);
 }
 
 /// A crash of a large upstream makes many suspects; messages and memory stay small.
 #[test]
 fn many_suspects() {
-    let mut quarantine = after(&[1, 2, 3]);
+    let mut quarantine = quarantine_after_crashes(&[1, 2, 3]);
     for number in 100..20_000 {
         quarantine.record_crash(NOW_MS + 30, Fingerprint(number), 4, NOW_MS + 30);
     }
-    assert!(is_held(&quarantine, NOW_MS + 40), "what matters is kept");
-    let told = quarantine.crashes_to_announce(NOW_MS + 40);
-    assert!(told.len() <= 60, "{} crashes in one message", told.len());
-    assert_eq!(told.iter().filter(|one| one.request == REQUEST).count(), 2 * CRASHES_TO_QUARANTINE);
+    assert!(is_quarantined(&quarantine, NOW_MS + 40), "what matters is kept");
+    let reports = quarantine.crashes_to_announce(NOW_MS + 40);
+    assert!(reports.len() <= 60, "{} crashes in one message", reports.len());
+    assert_eq!(
+        reports.iter().filter(|report| report.request == REQUEST).count(),
+        2 * CRASHES_TO_QUARANTINE
+    );
     assert_eq!(
         quarantine.crashes_to_announce(NOW_MS + 10_000).len(),
         CRASHES_TO_QUARANTINE,
@@ -147,7 +153,7 @@
 /// Boxes of other halls, which hear little, hear of crashes.
 #[test]
 fn told_to_halls() {
-    let crashes = after(&[1]).crashes_to_announce(NOW_MS + 10);
+    let crashes = quarantine_after_crashes(&[1]).crashes_to_announce(NOW_MS + 10);
     assert_eq!(crashes.len(), 1);
     let gossip = Gossip { crashes: crashes.clone(), ..Gossip::default() };
     assert_eq!(gossip.abridged().crashes, crashes);
@@ -156,15 +162,15 @@
 /// Caller, target and body tell requests apart, and nothing else.
 #[test]
 fn fingerprints() {
-    let one = Fingerprint::new("petra", &["POST", "/a"], b"body");
-    assert_eq!(one, Fingerprint::new("petra", &["POST", "/a"], b"body"));
+    let fingerprint = Fingerprint::new("petra", &["POST", "/a"], b"body");
+    assert_eq!(fingerprint, Fingerprint::new("petra", &["POST", "/a"], b"body"));
     for other in [
         Fingerprint::new("sanam", &["POST", "/a"], b"body"),
         Fingerprint::new("petra", &["GET", "/a"], b"body"),
         Fingerprint::new("petra", &["POST", "/ab"], b"ody"),
         Fingerprint::new("petra", &["POST", "/a"], b"body "),
     ] {
-        assert_ne!(one, other);
+        assert_ne!(fingerprint, other);
     }
 }
 
@@ -179,6 +185,6 @@
     );
     assert_eq!(quarantine.record_crash(NOW_MS + 20, REQUEST, 2, NOW_MS + 20), UpdateUrgency::None);
     let mut other = Quarantine::default();
-    assert_eq!(tell(NOW_MS + 30, &mut quarantine, &mut other), UpdateUrgency::Urgent);
-    assert_eq!(tell(NOW_MS + 40, &mut quarantine, &mut other), UpdateUrgency::None);
+    assert_eq!(exchange_reports(NOW_MS + 30, &mut quarantine, &mut other), UpdateUrgency::Urgent);
+    assert_eq!(exchange_reports(NOW_MS + 40, &mut quarantine, &mut other), UpdateUrgency::None);
 }
--- a/tests/resting_workers.rs
+++ b/tests/resting_workers.rs
@@ -9,13 +9,13 @@
 
 const KEY: &str = "sanam-key";
 
-async fn turn_away(fleet: &Fleet, worker: &Process, turns_away: bool) {
-    fleet.fault(worker, json!({ "outage": turns_away, "outage_retry_s": 30 })).await;
+async fn set_refusing(fleet: &Fleet, worker: &Process, is_refusing: bool) {
+    fleet.fault(worker, json!({ "outage": is_refusing, "outage_retry_s": 30 })).await;
 }
 
 /// Calls that a worker has turned away.
-async fn refused(fleet: &Fleet, worker: &Process) -> u64 {
-    turn_away(fleet, worker, false).await;
+async fn refused_count(fleet: &Fleet, worker: &Process) -> u64 {
+    set_refusing(fleet, worker, false).await;
     let count = fleet.get(&format!("{}/refused", worker.url())).await.expect("a number");
     count.as_u64().expect("a number")
 }
@@ -23,35 +23,36 @@
 #[tokio::test]
 async fn one_rests() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 2)).await;
-    turn_away(&fleet, &fleet.workers[0], true).await;
+    set_refusing(&fleet, &fleet.workers[0], true).await;
     let mut served = 0;
     for number in 0..20 {
         let path = format!("/fixtures/{number}");
-        let answer = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
-        served += u32::from(answer.status().is_success());
+        let response = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
+        served += u32::from(response.status().is_success());
     }
     assert!(served >= 19, "{served} of 20");
-    assert_eq!(refused(&fleet, &fleet.workers[0]).await, 1);
+    assert_eq!(refused_count(&fleet, &fleet.workers[0]).await, 1);
 }
 
 #[tokio::test]
 async fn all_rest() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 2)).await;
     for worker in &fleet.workers {
-        turn_away(&fleet, worker, true).await;
+        set_refusing(&fleet, worker, true).await;
     }
     for number in 0..10 {
         let path = format!("/orders/{number}");
-        let answer = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
-        assert_eq!(answer.status(), 503);
+        let response = service_call(&fleet, 0, KEY, &path).send().await.unwrap();
+        assert_eq!(response.status(), 503);
         if number >= 2 {
-            let after_s: u64 = answer.headers()["retry-after"].to_str().unwrap().parse().unwrap();
-            assert!((20..=30).contains(&after_s), "{after_s}");
-            let body: Value = answer.json().await.unwrap();
+            let retry_after_s: u64 =
+                response.headers()["retry-after"].to_str().unwrap().parse().unwrap();
+            assert!((20..=30).contains(&retry_after_s), "{retry_after_s}");
+            let body: Value = response.json().await.unwrap();
             assert_eq!(body["error"]["ran"], "not run", "{body}");
         }
     }
     for worker in &fleet.workers {
-        assert_eq!(refused(&fleet, worker).await, 1);
+        assert_eq!(refused_count(&fleet, worker).await, 1);
     }
 }
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const FAR_MS: u64 = u64::MAX;
+const NO_DEADLINE_MS: u64 = u64::MAX;
 
 /// Serves `rounds` items with every account always waiting; returns the work
 /// that each got.
@@ -13,7 +13,7 @@
     let mut served = vec![0.0; shares.len()];
     for (account, share) in shares.iter().enumerate() {
         for _ in 0..3 {
-            queue.push(&account.to_string(), *share, 0, account, work[account], FAR_MS);
+            queue.push(&account.to_string(), *share, 0, account, work[account], NO_DEADLINE_MS);
         }
     }
     for _ in 0..rounds {
@@ -21,7 +21,7 @@
         let account = waiting.item;
         served[account] += waiting.work_tokens;
         queue.finish(&name, 0.0);
-        queue.push(&name, shares[account], 0, account, work[account], FAR_MS);
+        queue.push(&name, shares[account], 0, account, work[account], NO_DEADLINE_MS);
     }
     served
 }
@@ -35,12 +35,14 @@
         work in proptest::collection::vec(10.0..1000.0_f64, 8),
     ) {
         let served = serve(&shares, &work, 4000);
-        let per_share: Vec<_> = served.iter().zip(&shares).map(|(got, share)| got / share).collect();
-        let most = per_share.iter().copied().fold(0.0, f64::max);
-        let least = per_share.iter().copied().fold(f64::MAX, f64::min);
+        let per_share: Vec<_> =
+            served.iter().zip(&shares).map(|(tokens, share)| tokens / share).collect();
+        let max = per_share.iter().copied().fold(0.0, f64::max);
+        let min = per_share.iter().copied().fold(f64::MAX, f64::min);
         // Accounts differ by at most one item each, over their share.
-        let step = work.iter().zip(&shares).map(|(work, share)| work / share).fold(0.0, f64::max);
-        prop_assert!(most - least <= step + 1e-6, "{per_share:?}");
+        let tolerance =
+            work.iter().zip(&shares).map(|(work, share)| work / share).fold(0.0, f64::max);
+        prop_assert!(max - min <= tolerance + 1e-6, "{per_share:?}");
     }
 }
 
@@ -48,17 +50,17 @@
 fn return_saves_nothing() {
     let mut queue = ShareQueue::new(SharePolicy::Fair);
     for number in 0..100 {
-        queue.push("busy", 1.0, 0, number, 100.0, FAR_MS);
+        queue.push("busy", 1.0, 0, number, 100.0, NO_DEADLINE_MS);
     }
     for _ in 0..50 {
         let (name, _) = queue.pop(|_| true).unwrap();
         queue.finish(&name, 0.0);
     }
     for number in 0..50 {
-        queue.push("away", 1.0, 0, number, 100.0, FAR_MS);
+        queue.push("away", 1.0, 0, number, 100.0, NO_DEADLINE_MS);
     }
-    let next: Vec<_> = (0..20).map(|_| queue.pop(|_| true).unwrap().0).collect();
-    let away = next.iter().filter(|name| *name == "away").count();
+    let next_accounts: Vec<_> = (0..20).map(|_| queue.pop(|_| true).unwrap().0).collect();
+    let away = next_accounts.iter().filter(|name| *name == "away").count();
     assert!((9..=11).contains(&away), "the account that was away got {away} of 20");
 }
 
@@ -66,13 +68,13 @@
 fn priority_bounded() {
     let mut queue = ShareQueue::new(SharePolicy::Fair);
     for number in 0..400 {
-        queue.push("first", 1.0, -2, number, 100.0, FAR_MS);
-        queue.push("last", 1.0, 2, number, 100.0, FAR_MS);
+        queue.push("first", 1.0, -2, number, 100.0, NO_DEADLINE_MS);
+        queue.push("last", 1.0, 2, number, 100.0, NO_DEADLINE_MS);
     }
-    let order: Vec<_> = (0..300).map(|_| queue.pop(|_| true).unwrap().0).collect();
-    assert!(order[..50].iter().all(|name| name == "first"), "priority orders work");
-    let late = order[100..].iter().filter(|name| *name == "last").count();
-    assert!(late >= 90, "and starves nobody: {late}");
+    let served: Vec<_> = (0..300).map(|_| queue.pop(|_| true).unwrap().0).collect();
+    assert!(served[..50].iter().all(|name| name == "first"), "priority orders work");
+    let last_count = served[100..].iter().filter(|name| *name == "last").count();
+    assert!(last_count >= 90, "and starves nobody: {last_count}");
 }
 
 #[rstest]
@@ -81,7 +83,7 @@
 fn work_ahead(#[case] policy: SharePolicy, #[case] expected: f64) {
     let mut queue = ShareQueue::new(policy);
     for number in 0..10 {
-        queue.push("busy", 1.0, 0, number, 100.0, FAR_MS);
+        queue.push("busy", 1.0, 0, number, 100.0, NO_DEADLINE_MS);
     }
     let ahead = queue.tokens_ahead("new", 1.0);
     assert!((ahead - expected).abs() < 1e-9, "{ahead}");
@@ -90,8 +92,8 @@
 #[test]
 fn unfit_passed_over() {
     let mut queue = ShareQueue::new(SharePolicy::Fair);
-    queue.push("a", 1.0, 0, 1, 10.0, FAR_MS);
-    queue.push("b", 1.0, 0, 2, 10.0, FAR_MS);
+    queue.push("a", 1.0, 0, 1, 10.0, NO_DEADLINE_MS);
+    queue.push("b", 1.0, 0, 2, 10.0, NO_DEADLINE_MS);
     assert_eq!(queue.pop(|item| *item == 2).unwrap().0, "b");
     assert!(queue.pop(|item| *item == 2).is_none());
     assert_eq!(queue.remove_where(|_| true), [1]);
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -17,7 +17,7 @@
 /// Time in which a change is promised to be in force at each box.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(15);
 /// Requests at once, so that connections stay open for later ones.
-const AT_ONCE: usize = 6;
+const CONCURRENT_REQUESTS: usize = 6;
 
 /// Two halls, with a box in each that does not watch the platform.
 async fn two_halls() -> Fleet {
@@ -30,8 +30,8 @@
 }
 
 /// Waits for `revision` at all boxes, for as long as is promised.
-async fn wait_in_time(fleet: &Fleet, revision: u64) {
-    let until = Instant::now() + IN_FORCE_WITHIN;
+async fn wait_in_force(fleet: &Fleet, revision: u64) {
+    let deadline = Instant::now() + IN_FORCE_WITHIN;
     for entry_box in &fleet.boxes {
         let name = &entry_box.process.name;
         loop {
@@ -39,7 +39,7 @@
             if status["revision"].as_u64() >= Some(revision) {
                 break;
             }
-            assert!(Instant::now() < until, "{name} is behind: {}", status["revision"]);
+            assert!(Instant::now() < deadline, "{name} is behind: {}", status["revision"]);
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
@@ -48,8 +48,9 @@
 /// Opens several connections to each upstream.
 async fn warm_up(fleet: &Fleet) {
     let boxes = 0..fleet.boxes.len();
-    let all = boxes.flat_map(|at| (0..AT_ONCE).map(move |number| (at, number)));
-    join_all(all.map(|(at, number)| async move {
+    let box_requests =
+        boxes.flat_map(|at| (0..CONCURRENT_REQUESTS).map(move |number| (at, number)));
+    join_all(box_requests.map(|(at, number)| async move {
         check_completion(fleet, at, KEY, &format!("Who scored {number}?"), 5).await;
     }))
     .await;
@@ -62,10 +63,10 @@
 async fn watches_silenced() {
     let fleet = two_halls().await;
     change_share(&fleet, "2");
-    wait_in_time(&fleet, 5).await;
+    wait_in_force(&fleet, 5).await;
     fleet.silence(Kind::Platform).await;
     change_share(&fleet, "3");
-    wait_in_time(&fleet, 6).await;
+    wait_in_force(&fleet, 6).await;
 }
 
 // The platform fell silent as a change came, and answered again a second later. The
@@ -77,7 +78,7 @@
     change_share(&fleet, "2");
     tokio::time::sleep(Duration::from_secs(1)).await;
     fleet.darken(Kind::Platform, false).await;
-    wait_in_time(&fleet, 5).await;
+    wait_in_force(&fleet, 5).await;
 }
 
 // The connections between boxes went silent. What was sent to a peer went nowhere
@@ -89,12 +90,12 @@
     let prefix = request_ticket(&fleet, 0, KEY).await;
     fleet.silence(Kind::Peers).await;
     change_share(&fleet, "2");
-    wait_in_time(&fleet, 5).await;
+    wait_in_force(&fleet, 5).await;
     for at in 0..fleet.boxes.len() {
-        let order = service_call(&fleet, at, KEY, "/orders/1")
+        let request = service_call(&fleet, at, KEY, "/orders/1")
             .header("idempotency-key", format!("{prefix}/{at}"))
             .header("x-timeout-ms", 15_000);
-        assert_eq!(order.send().await.unwrap().status(), 200, "asked at {at}");
+        assert_eq!(request.send().await.unwrap().status(), 200, "asked at {at}");
     }
 }
 
@@ -107,13 +108,14 @@
     warm_up(&fleet).await;
     fleet.silence(Kind::Engines).await;
     let boxes = 0..fleet.boxes.len();
-    let asked = boxes.flat_map(|at| (0..AT_ONCE).map(move |number| (at, number)));
-    let answers = asked.map(|(at, number)| {
+    let box_requests =
+        boxes.flat_map(|at| (0..CONCURRENT_REQUESTS).map(move |number| (at, number)));
+    let responses = box_requests.map(|(at, number)| {
         completion_request(&fleet, at, KEY, &format!("Who saved {number}?"), 5)
             .header("x-timeout-ms", 15_000)
             .send()
     });
-    let statuses = join_all(answers).await.into_iter().map(|answer| answer.unwrap().status());
+    let statuses = join_all(responses).await.into_iter().map(|response| response.unwrap().status());
     let failed = statuses.filter(|status| !status.is_success()).count();
     assert_eq!(failed, 0, "requests that were not served");
 }
@@ -124,16 +126,16 @@
 async fn workers_silenced() {
     let fleet = two_halls().await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
-    let order = |number: usize| {
-        let order = service_call(&fleet, 0, KEY, "/orders/1").header("x-timeout-ms", 5000);
-        order.header("idempotency-key", format!("{prefix}/{number}")).send()
+    let post_order = |number: usize| {
+        let request = service_call(&fleet, 0, KEY, "/orders/1").header("x-timeout-ms", 5000);
+        request.header("idempotency-key", format!("{prefix}/{number}")).send()
     };
-    for answer in join_all((0..AT_ONCE).map(order)).await {
-        assert_eq!(answer.unwrap().status(), 200);
+    for response in join_all((0..CONCURRENT_REQUESTS).map(post_order)).await {
+        assert_eq!(response.unwrap().status(), 200);
     }
     fleet.silence(Kind::Workers).await;
-    for answer in join_all((AT_ONCE..2 * AT_ONCE).map(order)).await {
-        assert_eq!(answer.unwrap().status(), 200, "a call after the silence");
+    for response in join_all((CONCURRENT_REQUESTS..2 * CONCURRENT_REQUESTS).map(post_order)).await {
+        assert_eq!(response.unwrap().status(), 200, "a call after the silence");
     }
 }
 
@@ -143,12 +145,12 @@
     let fleet = two_halls().await;
     warm_up(&fleet).await;
     change_share(&fleet, "2");
-    wait_in_time(&fleet, 5).await;
+    wait_in_force(&fleet, 5).await;
     for kind in Kind::ALL {
         fleet.silence(kind).await;
     }
     change_share(&fleet, "3");
-    wait_in_time(&fleet, 6).await;
+    wait_in_force(&fleet, 6).await;
     warm_up(&fleet).await;
 }
 
@@ -157,14 +159,14 @@
 #[tokio::test]
 async fn caller_silent() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 1)).await;
-    let mut caller = TcpStream::connect(&fleet.boxes[0].process.address).await.unwrap();
-    let begun = format!(
+    let mut client = TcpStream::connect(&fleet.boxes[0].process.address).await.unwrap();
+    let partial_request = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: box\r\nauthorization: Bearer {KEY}\r\n\
          x-timeout-ms: 1000\r\ncontent-type: application/json\r\ncontent-length: 100\r\n\r\n{{\"mod"
     );
-    caller.write_all(begun.as_bytes()).await.unwrap();
+    client.write_all(partial_request.as_bytes()).await.unwrap();
     let mut answer = [0; 512];
-    let read = tokio::time::timeout(IN_FORCE_WITHIN, caller.read(&mut answer)).await;
+    let read = tokio::time::timeout(IN_FORCE_WITHIN, client.read(&mut answer)).await;
     let answer = String::from_utf8_lossy(&answer[..read.expect("an answer").unwrap()]);
     assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
     assert!(answer.contains("x-coursestile-ran: not run"), "{answer}");
@@ -177,11 +179,11 @@
     let plan = Plan { relays: true, ..Plan::one_hall(3, 1, 1) };
     let fleet = start_fleet(&plan).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
-    let order = |at: usize| {
-        let order = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", &key);
-        order.header("x-timeout-ms", 5000).send()
+    let post_order = |at: usize| {
+        let request = service_call(&fleet, at, KEY, "/orders/1").header("idempotency-key", &key);
+        request.header("x-timeout-ms", 5000).send()
     };
-    assert_eq!(order(0).await.unwrap().status(), 200);
+    assert_eq!(post_order(0).await.unwrap().status(), 200);
     fleet.boxes[0].process.signal("-TERM");
     // The ledger is given away when the balancer has had time to notice.
     tokio::time::sleep(Duration::from_millis(2400)).await;
@@ -190,7 +192,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for at in [1, 2] {
-        assert_eq!(order(at).await.unwrap().status(), 200, "asked at {at}");
+        assert_eq!(post_order(at).await.unwrap().status(), 200, "asked at {at}");
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -11,7 +11,7 @@
 
 const KEY: &str = "sanam-key";
 
-fn with(mut plan: Plan, option: &str, value: &str) -> Plan {
+fn with_engine_option(mut plan: Plan, option: &str, value: &str) -> Plan {
     plan.engine_args.push((option.to_owned(), value.to_owned()));
     plan
 }
@@ -31,14 +31,15 @@
 #[tokio::test]
 async fn swap_mid_run() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long = completion_request(&fleet, 0, KEY, "A long one.", 500);
-    let long = tokio::spawn(async move { completion_text(long.send().await.unwrap()).await });
+    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 500);
+    let long_completion =
+        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     wait_version(&fleet, "v2").await;
-    let new = completion_request(&fleet, 1, KEY, "A new one.", 10).send().await.unwrap();
-    assert_eq!(completion_text(new).await, whole("v2", "A new one.", 10));
-    assert_eq!(long.await.unwrap(), whole("v1", "A long one.", 500), "it kept its own");
+    let response = completion_request(&fleet, 1, KEY, "A new one.", 10).send().await.unwrap();
+    assert_eq!(completion_text(response).await, whole("v2", "A new one.", 10));
+    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 500), "it kept its own");
 }
 
 #[tokio::test]
@@ -49,8 +50,8 @@
             fleet.must_operate(&["model", "set", "summary", "v2"]);
         }
         let prompt = format!("Question {round}?");
-        let answer = completion_request(&fleet, round % 2, KEY, &prompt, 5).send().await.unwrap();
-        let body: Value = answer.json().await.unwrap();
+        let response = completion_request(&fleet, round % 2, KEY, &prompt, 5).send().await.unwrap();
+        let body: Value = response.json().await.unwrap();
         let version = body["system_fingerprint"].as_str().unwrap_or_else(|| panic!("{body}"));
         assert!(round < 10 || round < 15 || version == "v2", "round {round}: {body}");
         assert_eq!(body["choices"][0]["text"], whole(version, &prompt, 5));
@@ -60,7 +61,8 @@
 #[tokio::test]
 async fn version_unchecked() {
     // The engine does not check what a request expects, and ignores orders.
-    let fleet = start_fleet(&with(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
+    let fleet =
+        start_fleet(&with_engine_option(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
     fleet.fault(&fleet.engines[0], json!({ "refuse_orders": true })).await;
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
@@ -81,12 +83,12 @@
     let refused = completion_request(&fleet, 0, KEY, "Mine?", 5).send().await.unwrap();
     assert_eq!(refused.status(), 403);
     wait_version(&fleet, "v2").await;
-    let other = completion_request(&fleet, 0, "petra-key", "Mine?", 5).send().await.unwrap();
-    assert_eq!(completion_text(other).await, whole("v2", "Mine?", 5));
+    let response = completion_request(&fleet, 0, "petra-key", "Mine?", 5).send().await.unwrap();
+    assert_eq!(completion_text(response).await, whole("v2", "Mine?", 5));
 }
 
 /// The box of the fleet that holds the hall's lease.
-fn holder(fleet: &Fleet) -> Option<usize> {
+fn lease_holder(fleet: &Fleet) -> Option<usize> {
     fleet.boxes.iter().position(|entry_box| {
         let log = fleet.dir().join(format!("{}.log", entry_box.process.name));
         std::fs::read_to_string(log).unwrap_or_default().contains("Holds the lease")
@@ -96,21 +98,21 @@
 #[tokio::test]
 async fn orderer_frozen() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    while holder(&fleet).is_none() {
+    while lease_holder(&fleet).is_none() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    let (old, new) = if holder(&fleet) == Some(0) { (0, 1) } else { (1, 0) };
-    fleet.boxes[old].process.signal("-STOP");
+    let (old_holder, new_holder) = if lease_holder(&fleet) == Some(0) { (0, 1) } else { (1, 0) };
+    fleet.boxes[old_holder].process.signal("-STOP");
     fleet.must_operate(&["model", "set", "summary", "v2"]);
     // The lease lapses, and the other box takes it and orders under a new token.
     wait_version(&fleet, "v2").await;
-    fleet.boxes[old].process.signal("-CONT");
+    fleet.boxes[old_holder].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let stale = json!({ "fence": 1, "expect_version": "v2", "version": "v1" });
-    let order = fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&stale);
-    assert_eq!(order.send().await.unwrap().status(), 403, "the old token is refused");
+    let stale_order = json!({ "fence": 1, "expect_version": "v2", "version": "v1" });
+    let request = fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&stale_order);
+    assert_eq!(request.send().await.unwrap().status(), 403, "the old token is refused");
     wait_version(&fleet, "v2").await;
-    for at in [old, new] {
+    for at in [old_holder, new_holder] {
         let status = fleet.status(&fleet.boxes[at]).await.unwrap();
         assert_eq!(status["violations"], 0);
     }
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -20,9 +20,9 @@
 #[tokio::test]
 async fn key_unknown() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    let answer = completion_request(&fleet, 0, "stolen", "Who scored?", 4).send().await.unwrap();
-    assert_eq!(answer.status(), 401);
-    assert_eq!(answer.headers()["x-coursestile-ran"], "not run");
+    let response = completion_request(&fleet, 0, "stolen", "Who scored?", 4).send().await.unwrap();
+    assert_eq!(response.status(), 401);
+    assert_eq!(response.headers()["x-coursestile-ran"], "not run");
 }
 
 #[tokio::test]
@@ -31,10 +31,10 @@
     let fleet = start_fleet(&Plan::new(halls)).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, "petra-key").await);
     for at in [0, 1, 2, 0] {
-        let once =
+        let request =
             service_call(&fleet, at, "petra-key", "/orders/7").header("idempotency-key", &key);
-        let answer = once.send().await.unwrap();
-        assert_eq!(answer.status(), 200, "{}", answer.text().await.unwrap());
+        let response = request.send().await.unwrap();
+        assert_eq!(response.status(), 200, "{}", response.text().await.unwrap());
     }
     assert_eq!(run_count(&fleet, &key).await, 1);
 }
