--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! What boxes conclude from crashes, and what they tell each other of them.
+//! When a request is quarantined after upstream crashes, and what boxes report of crashes to each
+//! other.
 
 use coursestile::fingerprint::Fingerprint;
 use coursestile::gateway::decisions::gossip_message::Gossip;
@@ -7,7 +8,7 @@
 const NOW_MS: u64 = 1_000_000;
 const REQUEST: Fingerprint = Fingerprint(7);
 
-/// A quarantine that has seen upstreams crash under [`REQUEST`], 10 ms apart.
+/// A quarantine after crashes of the given upstreams while they had [`REQUEST`], 10 ms apart.
 fn quarantine_after_crashes(upstreams: &[u32]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (at_ms, upstream) in (NOW_MS..).step_by(10).zip(upstreams) {
@@ -20,7 +21,7 @@
     quarantine.until_ms(now_ms, REQUEST).is_some()
 }
 
-/// One box tells another, as gossip does.
+/// Sends the reports of one box to another, as gossip does.
 fn exchange_reports(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
     let crashes = from.crashes_to_announce(now_ms);
     let answers = from.answers_to_announce(now_ms);
@@ -52,7 +53,8 @@
     assert!(!held.record_answer(Fingerprint(8), NOW_MS + 50), "no suspect");
 }
 
-/// After its time a request may run once more: one crash more holds it back again.
+/// After the quarantine has ended, a request may run again; a single further crash quarantines it
+/// once more.
 #[test]
 fn tried_again() {
     let mut quarantine = quarantine_after_crashes(&[1, 2, 3]);
@@ -63,7 +65,8 @@
     assert_eq!(quarantine.until_ms(end_ms + 6, REQUEST), Some(end_ms + 5 + QUARANTINE_MS));
 }
 
-/// Crashes that different boxes saw add up, whoever tells whom first, and telling ends.
+/// Crashes seen by different boxes are added up in whatever order reports are exchanged, and the
+/// number of reports that bring something new is bounded.
 #[test]
 fn told_on() {
     for seed in 0..50 {
@@ -72,7 +75,7 @@
         let mut now_ms = NOW_MS;
         for upstream in 1..=5 {
             now_ms += 40;
-            // One crash is seen by two boxes, at slightly other times.
+            // Each crash is seen by two boxes at slightly different times.
             boxes[rng.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms);
             boxes[rng.usize(0..9)].record_crash(now_ms, REQUEST, upstream, now_ms - 3);
         }
@@ -93,7 +96,7 @@
     }
 }
 
-/// A box that was cut off hears of what was quarantined long before.
+/// A box that was disconnected learns of a request that was quarantined long before.
 #[test]
 fn told_later() {
     let mut informed = quarantine_after_crashes(&[1, 2, 3]);
@@ -112,7 +115,7 @@
     answered.record_answer(REQUEST, NOW_MS + 100);
     exchange_reports(NOW_MS + 110, &mut answered, &mut other);
     assert!(!is_quarantined(&other, NOW_MS + 110));
-    // What a third box still tells is older than the answer.
+    // A third box's reports, which are older than the answer, must not undo it.
     exchange_reports(NOW_MS + 120, &mut quarantine_after_crashes(&[1, 2, 3]), &mut other);
     assert!(!is_quarantined(&other, NOW_MS + 120));
     other.merge_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
@@ -129,7 +132,8 @@
     assert_eq!(restarted.quarantined(6).collect::<Vec<_>>(), listed);
 }
 
-/// A crash of a large upstream makes many suspects; messages and memory stay small.
+/// A crash of an upstream with many requests makes many suspects: the size of messages and the
+/// number of remembered suspects stay bounded.
 #[test]
 fn many_suspects() {
     let mut quarantine = quarantine_after_crashes(&[1, 2, 3]);
@@ -150,7 +154,7 @@
     );
 }
 
-/// Boxes of other halls, which hear little, hear of crashes.
+/// The abridged gossip that other halls get contains crashes.
 #[test]
 fn told_to_halls() {
     let crashes = quarantine_after_crashes(&[1]).crashes_to_announce(NOW_MS + 10);
@@ -159,7 +163,7 @@
     assert_eq!(gossip.abridged().crashes, crashes);
 }
 
-/// Caller, target and body tell requests apart, and nothing else.
+/// Fingerprints depend on account, target and body only.
 #[test]
 fn fingerprints() {
     let fingerprint = Fingerprint::new("petra", &["POST", "/a"], b"body");
@@ -174,7 +178,8 @@
     }
 }
 
-/// Many bystanders of one crash wait for the next gossip; what is suspect does not.
+/// Requests that were affected by one crash are reported with the next regular gossip; a second
+/// crash is urgent.
 #[test]
 fn urgent_news() {
     let mut quarantine = Quarantine::default();
--- a/tests/resting_workers.rs
+++ b/tests/resting_workers.rs
@@ -1,5 +1,5 @@
-//! A worker of a plain service turned calls away and named a time to come back, and got every
-//! other call all the same.
+//! A worker that refuses a call with `Retry-After` gets no calls until then. It went on getting
+//! every second call.
 
 mod common;
 
@@ -13,7 +13,7 @@
     fleet.fault(worker, json!({ "outage": is_refusing, "outage_retry_s": 30 })).await;
 }
 
-/// Calls that a worker has turned away.
+/// Number of calls that a worker has refused.
 async fn refused_count(fleet: &Fleet, worker: &Process) -> u64 {
     set_refusing(fleet, worker, false).await;
     let count = fleet.get(&format!("{}/refused", worker.url())).await.expect("a number");
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Where a request runs, case by case.
+//! Which engine the routing policies choose, and whether stored context is imported.
 
 use coursestile::account::Weights;
 use coursestile::route::{
--- a/tests/shares.rs
+++ b/tests/shares.rs
@@ -1,4 +1,5 @@
-//! Fair shares, against what a fluid server would give.
+//! Fair queueing: what accounts get, compared with an ideal server that divides its capacity
+//! continuously (generalized processor sharing).
 
 use coursestile::share::{SharePolicy, ShareQueue};
 use proptest::prelude::*;
@@ -6,8 +7,8 @@
 
 const NO_DEADLINE_MS: u64 = u64::MAX;
 
-/// Serves `rounds` items with every account always waiting; returns the work
-/// that each got.
+/// Serves `rounds` items while every account always has items queued. Returns the work that each
+/// account got.
 fn serve(shares: &[f64], work: &[f64], rounds: usize) -> Vec<f64> {
     let mut queue = ShareQueue::new(SharePolicy::Fair);
     let mut served = vec![0.0; shares.len()];
@@ -39,7 +40,7 @@
             served.iter().zip(&shares).map(|(tokens, share)| tokens / share).collect();
         let max = per_share.iter().copied().fold(0.0, f64::max);
         let min = per_share.iter().copied().fold(f64::MAX, f64::min);
-        // Accounts differ by at most one item each, over their share.
+        // Work per share differs by at most one item between accounts.
         let tolerance =
             work.iter().zip(&shares).map(|(work, share)| work / share).fold(0.0, f64::max);
         prop_assert!(max - min <= tolerance + 1e-6, "{per_share:?}");
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -1,5 +1,5 @@
-//! Connections that go silent while both their ends stay up are noticed, and a
-//! change is in force at each box in time all the same.
+//! Connections that go silent while both ends are running (packets are lost without a reset) are
+//! detected, and a configuration change is in force at each box in time nevertheless.
 
 mod common;
 
@@ -14,12 +14,12 @@
 use tokio::net::TcpStream;
 
 const KEY: &str = "sanam-key";
-/// Time in which a change is promised to be in force at each box.
+/// Time within which a change must be in force at each box.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(15);
-/// Requests at once, so that connections stay open for later ones.
+/// Number of concurrent requests; each leaves a connection open for later requests.
 const CONCURRENT_REQUESTS: usize = 6;
 
-/// Two halls, with a box in each that does not watch the platform.
+/// Starts two halls of three boxes, one of which does not watch the platform.
 async fn two_halls() -> Fleet {
     let halls = ["north", "east"].map(|name| HallPlan::new(name, 3, 2, 1));
     start_fleet(&Plan { relays: true, ..Plan::new(halls.to_vec()) }).await
@@ -29,7 +29,7 @@
     fleet.must_operate(&["account", "set", "petra", "--share", share]);
 }
 
-/// Waits for `revision` at all boxes, for as long as is promised.
+/// Waits until all boxes have `revision` in force, for at most [`IN_FORCE_WITHIN`].
 async fn wait_in_force(fleet: &Fleet, revision: u64) {
     let deadline = Instant::now() + IN_FORCE_WITHIN;
     for entry_box in &fleet.boxes {
@@ -56,9 +56,9 @@
     .await;
 }
 
-// A change had just answered the watches of all boxes, which were sent again, when
-// the connections to the platform went silent. Each watch waited for twenty seconds
-// and more; no box could tell the others of the next change, since none had it.
+// The connections to the platform go silent just after all boxes have renewed their watches. If
+// each watch waits for its time-out, twenty seconds and more, no box can tell the others of the
+// next change, since none has it.
 #[tokio::test]
 async fn watches_silenced() {
     let fleet = two_halls().await;
@@ -69,8 +69,8 @@
     wait_in_force(&fleet, 6).await;
 }
 
-// The platform fell silent as a change came, and answered again a second later. The
-// answers to the watches were lost, and each watch hung for its whole wait.
+// The platform goes silent when a change is made, and responds again a second later. The responses
+// to the watches are lost, and the watches must not hang until their time-out.
 #[tokio::test]
 async fn platform_dark() {
     let fleet = two_halls().await;
@@ -81,9 +81,9 @@
     wait_in_force(&fleet, 5).await;
 }
 
-// The connections between boxes went silent. What was sent to a peer went nowhere
-// for as long as the sender kept its socket, which was for ever, and a call under a
-// ticket never reached the box that gave it.
+// The connections between boxes go silent. Messages to a peer are lost for as long as the sender
+// keeps its socket: if it keeps it for ever, a call with a ticket never reaches the box that has
+// issued the ticket.
 #[tokio::test]
 async fn peers_silenced() {
     let fleet = two_halls().await;
@@ -99,9 +99,8 @@
     }
 }
 
-// The connections to the engines went silent, those kept for later requests among
-// them. Each request that met one waited 2.5 s for its first piece, and the next try
-// was given another silent connection.
+// The connections to the engines go silent, including idle ones in the pool. A request that is sent
+// over one waits 2.5 s for its first piece, and its retry must not get another silent connection.
 #[tokio::test]
 async fn engines_silenced() {
     let fleet = two_halls().await;
@@ -120,8 +119,8 @@
     assert_eq!(failed, 0, "requests that were not served");
 }
 
-// The connections to the workers of a plain service went silent. A call over a kept
-// one waited until its caller gave up, and its outcome was unknown for ever.
+// The connections to the workers of a service go silent. A call over a pooled connection must not
+// wait until its client gives up and the outcome is unknown for ever.
 #[tokio::test]
 async fn workers_silenced() {
     let fleet = two_halls().await;
@@ -139,7 +138,7 @@
     }
 }
 
-// All connections of all boxes went silent at once, and a change came.
+// All connections of all boxes go silent at once, and a change is made.
 #[tokio::test]
 async fn all_silenced() {
     let fleet = two_halls().await;
@@ -154,8 +153,8 @@
     warm_up(&fleet).await;
 }
 
-// A caller fell silent in the middle of its request. The box waited for the rest of
-// the body for ever, past the time that the caller had said it waits.
+// A client goes silent in the middle of its request. The box must not wait for the rest of the body
+// for ever, past the client's own time-out.
 #[tokio::test]
 async fn caller_silent() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 1)).await;
@@ -172,8 +171,8 @@
     assert!(answer.contains("x-coursestile-ran: not run"), "{answer}");
 }
 
-// The connections between boxes went silent as a box stopped. Each peer that was asked
-// to take its ledger over was asked once, over a silent socket; nobody took it.
+// The connections between boxes go silent while a box stops. If it asks each peer only once to take
+// over its ledger, over a silent connection, none does.
 #[tokio::test]
 async fn handover_silenced() {
     let plan = Plan { relays: true, ..Plan::one_hall(3, 1, 1) };
@@ -185,7 +184,7 @@
     };
     assert_eq!(post_order(0).await.unwrap().status(), 200);
     fleet.boxes[0].process.signal("-TERM");
-    // The ledger is given away when the balancer has had time to notice.
+    // The ledger is handed over when the load balancer has had time to notice the stop.
     tokio::time::sleep(Duration::from_millis(2400)).await;
     fleet.silence(Kind::Peers).await;
     while !fleet.boxes[0].process.ended() {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,4 +1,5 @@
-//! New requests run on the version in force; a run that goes on keeps its own.
+//! New requests run on the version in force, and a running one completes on the version that it
+//! began with.
 
 mod common;
 
@@ -60,7 +61,7 @@
 
 #[tokio::test]
 async fn version_unchecked() {
-    // The engine does not check what a request expects, and ignores orders.
+    // The engine does not check the version that a request expects, and refuses load orders.
     let fleet =
         start_fleet(&with_engine_option(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
     fleet.fault(&fleet.engines[0], json!({ "refuse_orders": true })).await;
@@ -87,7 +88,7 @@
     assert_eq!(completion_text(response).await, whole("v2", "Mine?", 5));
 }
 
-/// The box of the fleet that holds the hall's lease.
+/// Index of the first box that has acquired the hall's lease.
 fn lease_holder(fleet: &Fleet) -> Option<usize> {
     fleet.boxes.iter().position(|entry_box| {
         let log = fleet.dir().join(format!("{}.log", entry_box.process.name));
@@ -104,7 +105,7 @@
     let (old_holder, new_holder) = if lease_holder(&fleet) == Some(0) { (0, 1) } else { (1, 0) };
     fleet.boxes[old_holder].process.signal("-STOP");
     fleet.must_operate(&["model", "set", "summary", "v2"]);
-    // The lease lapses, and the other box takes it and orders under a new token.
+    // The lease expires, and the other box acquires it and gives orders with a new fencing token.
     wait_version(&fleet, "v2").await;
     fleet.boxes[old_holder].process.signal("-CONT");
     tokio::time::sleep(Duration::from_secs(3)).await;
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request goes through real processes and comes back whole.
+//! Completions and calls through a fleet of real processes get the expected responses.
 
 mod common;
 
