--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -71,7 +71,7 @@
 const DEPARTURE_APPLY: Duration = Duration::from_secs(2);
 
 /// A gateway that reaches the metadata store through a proxy that can silence connections.
-async fn scene_behind_proxy() -> (Site, Gateway, Silencer) {
+async fn start_gateway_behind_proxy() -> (Site, Gateway, Silencer) {
     let mut site = Site::start().await;
     let proxy = Silencer::start(&site.metadata.address).await;
     site.configure(&document(8));
@@ -86,7 +86,7 @@
 /// 14.7 s was in force at 17.7 s.
 #[tokio::test]
 async fn connections_silent() {
-    let (site, gateway, proxy) = scene_behind_proxy().await;
+    let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     proxy.silence_open();
     site.configure(&document(9));
     let changed_at = Instant::now();
@@ -104,7 +104,7 @@
 /// are in force.
 #[tokio::test]
 async fn reset_between() {
-    let (site, gateway, proxy) = scene_behind_proxy().await;
+    let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     for version in (9..15).step_by(2) {
         site.configure(&document(version));
         proxy.reset_open();
@@ -119,7 +119,7 @@
 /// some boxes for over three seconds, and it still got requests.
 #[tokio::test]
 async fn gone_beside_reset() {
-    let (site, gateway, proxy) = scene_behind_proxy().await;
+    let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     site.enter("s-0", &entry("plain", "127.0.0.1:9", "ready"));
     let seen = "event=upstream_seen upstream=s-0";
     eventually("the upstream is known", async || gateway.logged().contains(seen)).await;
