--- a/standins/src/site/silencer.rs
+++ b/standins/src/site/fault_proxy.rs
@@ -19,27 +19,27 @@
 /// Filter that accepts no byte of any packet: "return 0".
 const DROP_ALL: (u16, u32) = (0x06, 0);
 /// Time for which a silent connection is held open: longer than any test.
-const HOLD: Duration = Duration::from_secs(600);
+const SILENT_HOLD_TIME: Duration = Duration::from_secs(600);
 /// Orders that a slow connection may be behind with.
-const ORDERS: usize = 16;
+const FAULT_BACKLOG: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Order {
+enum Fault {
     Silence,
     Reset,
 }
 
 /// A path to one address.
-pub struct Silencer {
+pub struct FaultProxy {
     /// Where the path begins.
     pub address: String,
     target: Arc<Mutex<String>>,
-    orders: Sender<Order>,
-    opened: Arc<AtomicUsize>,
+    faults: Sender<Fault>,
+    accepted_count: Arc<AtomicUsize>,
     accepting: JoinHandle<()>,
 }
 
-impl Silencer {
+impl FaultProxy {
     /// Opens a path to `target`.
     ///
     /// # Panics
@@ -48,40 +48,40 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
         let address = listener.local_addr().expect("address").to_string();
         let target = Arc::new(Mutex::new(target.to_owned()));
-        let (orders, _) = channel(ORDERS);
-        let opened = Arc::new(AtomicUsize::new(0));
+        let (faults, _) = channel(FAULT_BACKLOG);
+        let accepted_count = Arc::new(AtomicUsize::new(0));
         let accepting =
-            tokio::spawn(accept(listener, target.clone(), orders.clone(), opened.clone()));
-        Self { address, target, orders, opened, accepting }
+            tokio::spawn(accept(listener, target.clone(), faults.clone(), accepted_count.clone()));
+        Self { address, target, faults, accepted_count, accepting }
     }
 
     /// Leads new connections elsewhere; open ones stay.
     ///
     /// # Panics
     /// Panics when a task has panicked under the lock.
-    pub fn lead_to(&self, target: &str) {
+    pub fn set_target(&self, target: &str) {
         target.clone_into(&mut self.target.lock().expect("target"));
     }
 
     /// Silences all open connections, for ever; new ones work.
-    pub fn silence_open(&self) {
+    pub fn silence_open_connections(&self) {
         // Nobody listens when none is open.
-        let _ = self.orders.send(Order::Silence);
+        let _ = self.faults.send(Fault::Silence);
     }
 
     /// Resets all open connections; new ones work.
-    pub fn reset_open(&self) {
-        let _ = self.orders.send(Order::Reset);
+    pub fn reset_open_connections(&self) {
+        let _ = self.faults.send(Fault::Reset);
     }
 
     /// Number of connections taken so far.
     #[must_use]
-    pub fn opened(&self) -> usize {
-        self.opened.load(Ordering::Relaxed)
+    pub fn accepted_count(&self) -> usize {
+        self.accepted_count.load(Ordering::Relaxed)
     }
 }
 
-impl Drop for Silencer {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.accepting.abort();
     }
@@ -90,36 +90,36 @@
 async fn accept(
     listener: TcpListener,
     target: Arc<Mutex<String>>,
-    orders: Sender<Order>,
-    opened: Arc<AtomicUsize>,
+    faults: Sender<Fault>,
+    accepted_count: Arc<AtomicUsize>,
 ) {
     while let Ok((near, _)) = listener.accept().await {
-        opened.fetch_add(1, Ordering::Relaxed);
+        accepted_count.fetch_add(1, Ordering::Relaxed);
         let target = target.lock().expect("target").clone();
-        tokio::spawn(relay(near, target, orders.subscribe()));
+        tokio::spawn(relay(near, target, faults.subscribe()));
     }
 }
 
-async fn relay(mut near: TcpStream, target: String, mut orders: Receiver<Order>) {
+async fn relay(mut near: TcpStream, target: String, mut faults: Receiver<Fault>) {
     let Ok(mut far) = TcpStream::connect(&target).await else {
         return;
     };
     // A relay must not hold back small messages, else it would slow what it carries.
-    let prompt = near.set_nodelay(true).and(far.set_nodelay(true));
-    prompt.expect("socket option");
-    let order = tokio::select! {
+    let nodelay = near.set_nodelay(true).and(far.set_nodelay(true));
+    nodelay.expect("socket option");
+    let fault = tokio::select! {
         _ = copy_bidirectional(&mut near, &mut far) => return,
-        order = orders.recv() => order,
+        fault = faults.recv() => fault,
     };
-    match order {
-        Ok(Order::Silence) => {
-            deafen(&near);
-            deafen(&far);
-            tokio::time::sleep(HOLD).await;
+    match fault {
+        Ok(Fault::Silence) => {
+            drop_incoming(&near);
+            drop_incoming(&far);
+            tokio::time::sleep(SILENT_HOLD_TIME).await;
         }
-        Ok(Order::Reset) => {
-            reset(&near);
-            reset(&far);
+        Ok(Fault::Reset) => {
+            reset_on_drop(&near);
+            reset_on_drop(&far);
         }
         // The path is gone.
         Err(_) => {}
@@ -127,13 +127,13 @@
 }
 
 /// Has the system drop all that arrives on a connection.
-fn deafen(stream: &TcpStream) {
+fn drop_incoming(stream: &TcpStream) {
     let (code, accepted_bytes) = DROP_ALL;
     let filter = SockFilter::new(code, 0, 0, accepted_bytes);
     SockRef::from(stream).attach_filter(&[filter]).expect("socket filter");
 }
 
 /// Has the system reset a connection when it is dropped.
-fn reset(stream: &TcpStream) {
+fn reset_on_drop(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("socket option");
 }
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -6,10 +6,10 @@
 
 pub mod client;
 pub mod engine;
+pub mod fault_proxy;
 pub mod http;
 pub mod metadata;
 pub mod server;
-pub mod silencer;
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -15,8 +15,8 @@
 use coursestile::gateway::gossip::Datagram;
 use coursestile::names::short_id;
 use coursestile_standins::site::client::{Client, request};
+use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::server::{Server, WORK_HEADER};
-use coursestile_standins::site::silencer::Silencer;
 use coursestile_standins::site::{document, entry, eventually};
 use futures_util::future::join_all;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -38,12 +38,12 @@
             });
         }
     });
-    let proxy = Silencer::start(&target).await;
+    let proxy = FaultProxy::start(&target).await;
     let mut old = TcpStream::connect(&proxy.address).await.expect("connection");
     assert!(echoes(&mut old).await);
     let limit = Some(Duration::from_millis(500));
     socket2::SockRef::from(&old).set_tcp_user_timeout(limit).expect("option");
-    proxy.silence_open();
+    proxy.silence_open_connections();
     tokio::time::sleep(Duration::from_millis(50)).await;
     let since = Instant::now();
     assert!(!echoes(&mut old).await);
@@ -53,8 +53,8 @@
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     let mut new = TcpStream::connect(&proxy.address).await.expect("connection");
     assert!(echoes(&mut new).await);
-    assert_eq!(proxy.opened(), 2);
-    proxy.reset_open();
+    assert_eq!(proxy.accepted_count(), 2);
+    proxy.reset_open_connections();
     assert!(new.read(&mut [0; 1]).await.is_err());
 }
 
@@ -68,7 +68,7 @@
 /// A fixture whose upstreams are behind proxies that can silence connections.
 struct ProxiedScene {
     fixture: GatewayFixture,
-    proxies: Vec<Silencer>,
+    proxies: Vec<FaultProxy>,
 }
 
 impl ProxiedScene {
@@ -81,7 +81,7 @@
         let mut proxies = Vec::new();
         for number in 0..upstreams {
             let server = Server::start(&format!("s-{number}")).await;
-            let proxy = Silencer::start(&server.address).await;
+            let proxy = FaultProxy::start(&server.address).await;
             fixture.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
             let seen = format!("upstream_seen upstream={}", server.id);
             eventually("the upstream is known", async || fixture.gateway.logged().contains(&seen))
@@ -99,12 +99,12 @@
             self.send("GET", "/safe/", &id, "100").await
         });
         assert!(join_all(requests).await.iter().all(|status| *status == 200));
-        assert!(self.proxies.iter().all(|proxy| proxy.opened() > 1));
+        assert!(self.proxies.iter().all(|proxy| proxy.accepted_count() > 1));
     }
 
     fn silence(&self) {
         for proxy in &self.proxies {
-            proxy.silence_open();
+            proxy.silence_open_connections();
         }
     }
 
@@ -170,14 +170,14 @@
 /// were held until probes revealed the silence.
 #[tokio::test]
 async fn silent_caller_freed() {
-    let held_for = held_after_fault(|proxy, _| proxy.silence_open()).await;
+    let held_for = held_after_fault(|proxy, _| proxy.silence_open_connections()).await;
     assert!(held_for < Duration::from_millis(2500), "{held_for:?}");
 }
 
 /// A client's connection was reset while its request ran.
 #[tokio::test]
 async fn reset_caller_freed() {
-    let held_for = held_after_fault(|proxy, _| proxy.reset_open()).await;
+    let held_for = held_after_fault(|proxy, _| proxy.reset_open_connections()).await;
     assert!(held_for < Duration::from_millis(500), "{held_for:?}");
 }
 
@@ -190,14 +190,14 @@
 
 /// Time for which the connection to an upstream is held after `fault` has happened to the client's
 /// connection.
-async fn held_after_fault(fault: fn(&Silencer, &mut Option<Client>)) -> Duration {
+async fn held_after_fault(fault: fn(&FaultProxy, &mut Option<Client>)) -> Duration {
     let fixture = start_fixture(0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
     fixture.site.enter("s-0", &entry("plain", &address, "ready"));
     let known = async || fixture.gateway.logged().contains("upstream_seen upstream=s-0");
     eventually("the upstream is known", known).await;
-    let client_proxy = Silencer::start(&fixture.gateway.clients).await;
+    let client_proxy = FaultProxy::start(&fixture.gateway.clients).await;
     let mut client = Client::connect(&client_proxy.address).await;
     let long_deadline = "X-Deadline-Ms: 20000\r\n";
     client.write(&request("POST", "/once/", "r-1", long_deadline, "")).await;
@@ -218,7 +218,7 @@
 #[tokio::test]
 async fn other_peer_asked() {
     let mut fixture = start_fixture(1).await;
-    let store_proxy = Silencer::start(&fixture.site.metadata.address).await;
+    let store_proxy = FaultProxy::start(&fixture.site.metadata.address).await;
     let cut_box = fixture.site.gateway_at("north", &[&fixture.gateway], &store_proxy.address);
     wait_ready(&cut_box).await;
     let view_digest = ViewDigest { last_change_revision: 1_000_000, checksum: 1 };
@@ -227,8 +227,8 @@
     let unresponsive_peer =
         UnresponsivePeer::start(&cut_box.peers, UNRESPONSIVE_HOST, gossip).await;
     eventually("the peer is queried", async || unresponsive_peer.connections() > 0).await;
-    store_proxy.lead_to("127.0.0.1:1");
-    store_proxy.reset_open();
+    store_proxy.set_target("127.0.0.1:1");
+    store_proxy.reset_open_connections();
     fixture.site.configure(&document(8));
     let since = Instant::now();
     let in_force = async || cut_box.logged().contains("configuration_in_force version=8");
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -13,8 +13,8 @@
 use coursestile::gateway::settings::Settings;
 use coursestile_standins::site::client::once;
 use coursestile_standins::site::engine::{Engine, MODEL};
+use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::server::Server;
-use coursestile_standins::site::silencer::Silencer;
 use coursestile_standins::site::{Gateway, Site, document, engine_entry, entry, eventually};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -30,11 +30,11 @@
 /// A platform whose parts are each behind a proxy that can silence connections.
 struct ProxiedSite {
     gateway: Gateway,
-    metadata_proxy: Silencer,
-    engine_proxy: Silencer,
-    store_proxy: Silencer,
-    upstream_proxies: Vec<Silencer>,
-    client_proxy: Silencer,
+    metadata_proxy: FaultProxy,
+    engine_proxy: FaultProxy,
+    store_proxy: FaultProxy,
+    upstream_proxies: Vec<FaultProxy>,
+    client_proxy: FaultProxy,
     servers: Vec<Server>,
     engine: Engine,
     _store: Engine,
@@ -45,14 +45,14 @@
     async fn start() -> Self {
         let mut site = Site::start().await;
         let (engine, store) = (Engine::start().await, Engine::start().await);
-        let engine_proxy = Silencer::start(&engine.address).await;
-        let store_proxy = Silencer::start(&store.address).await;
-        let metadata_proxy = Silencer::start(&site.metadata.address).await;
+        let engine_proxy = FaultProxy::start(&engine.address).await;
+        let store_proxy = FaultProxy::start(&store.address).await;
+        let metadata_proxy = FaultProxy::start(&site.metadata.address).await;
         site.enter("e-0", &engine_entry("llm", &engine_proxy.address, MODEL, 1));
         let (mut servers, mut upstream_proxies) = (Vec::new(), Vec::new());
         for number in 0..3 {
             let server = Server::start(&format!("s-{number}")).await;
-            let proxy = Silencer::start(&server.address).await;
+            let proxy = FaultProxy::start(&server.address).await;
             site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
             upstream_proxies.push(proxy);
             servers.push(server);
@@ -61,7 +61,7 @@
         site.name_weights(MODEL, 1);
         let gateway = site.gateway_at("north", &[], &metadata_proxy.address);
         wait_ready(&gateway).await;
-        let client_proxy = Silencer::start(&gateway.clients).await;
+        let client_proxy = FaultProxy::start(&gateway.clients).await;
         Self {
             gateway,
             metadata_proxy,
@@ -98,7 +98,10 @@
     fn silence_all(&self) {
         let single =
             [&self.metadata_proxy, &self.engine_proxy, &self.store_proxy, &self.client_proxy];
-        single.into_iter().chain(&self.upstream_proxies).for_each(Silencer::silence_open);
+        single
+            .into_iter()
+            .chain(&self.upstream_proxies)
+            .for_each(FaultProxy::silence_open_connections);
     }
 }
 
@@ -155,7 +158,7 @@
 async fn reset_between() {
     let proxied = ProxiedSite::start().await;
     proxied.configure(8);
-    proxied.metadata_proxy.reset_open();
+    proxied.metadata_proxy.reset_open_connections();
     proxied.configure(9);
     let applied = time_until("the configuration is in force", async || proxied.in_force(9)).await;
     assert!(applied < CHANGE_APPLY / 2, "{applied:?}");
@@ -168,7 +171,7 @@
     let proxied = ProxiedSite::start().await;
     proxied.wait_logged("event=leadership_taken", 1).await;
     for _ in 0..4 {
-        proxied.metadata_proxy.silence_open();
+        proxied.metadata_proxy.silence_open_connections();
         tokio::time::sleep(Duration::from_millis(1500)).await;
     }
     let logged = proxied.gateway.logged();
@@ -184,7 +187,7 @@
     proxied.site.name_weights(MODEL, 2);
     let loaded = async |version: u64| proxied.engine.version() == version;
     eventually("the engine has the weights", async || loaded(2).await).await;
-    proxied.engine_proxy.silence_open();
+    proxied.engine_proxy.silence_open_connections();
     proxied.site.name_weights(MODEL, 3);
     let elapsed = time_until("the engine has the weights", async || loaded(3).await).await;
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
@@ -199,7 +202,7 @@
     let proxied = ProxiedSite::start().await;
     let listed = "event=holder_listed holder=Store(\"vault\")";
     proxied.wait_logged(listed, 1).await;
-    proxied.store_proxy.silence_open();
+    proxied.store_proxy.silence_open_connections();
     let listed_again = async || proxied.gateway.logged().matches(listed).count() > 1;
     let elapsed = time_until("the store is listed again", listed_again).await;
     assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
@@ -215,7 +218,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
     let server_task = tokio::spawn(catch_up::serve(kernel.clone(), listener));
-    let proxy = Silencer::start(&address).await;
+    let proxy = FaultProxy::start(&address).await;
     let mut subscriber = TcpStream::connect(&proxy.address).await.expect("connection");
     let query = postcard::to_stdvec(&PeerQuery::ContextStores).expect("question");
     subscriber.write_all(&query).await.expect("write");
@@ -223,7 +226,7 @@
     // An update is sent twice a second.
     assert!(subscriber.read(&mut [0; 64]).await.expect("message") > 0);
     let subscribed_count = Arc::strong_count(&kernel);
-    proxy.silence_open();
+    proxy.silence_open_connections();
     let ended = async || Arc::strong_count(&kernel) < subscribed_count;
     let elapsed = time_until("the subscriber is dropped", ended).await;
     assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use common::{GatewayFixture, start_fixture, wait_ready};
+use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::metadata::Trouble;
-use coursestile_standins::site::silencer::Silencer;
 use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
 
 /// Time after which a change counts as late: twice the bound of the smallest deployment, and half
@@ -71,9 +71,9 @@
 const DEPARTURE_APPLY: Duration = Duration::from_secs(2);
 
 /// A gateway that reaches the metadata store through a proxy that can silence connections.
-async fn start_gateway_behind_proxy() -> (Site, Gateway, Silencer) {
+async fn start_gateway_behind_proxy() -> (Site, Gateway, FaultProxy) {
     let mut site = Site::start().await;
-    let proxy = Silencer::start(&site.metadata.address).await;
+    let proxy = FaultProxy::start(&site.metadata.address).await;
     site.configure(&document(8));
     let gateway = site.gateway_at("north", &[], &proxy.address);
     wait_ready(&gateway).await;
@@ -87,13 +87,13 @@
 #[tokio::test]
 async fn connections_silent() {
     let (site, gateway, proxy) = start_gateway_behind_proxy().await;
-    proxy.silence_open();
+    proxy.silence_open_connections();
     site.configure(&document(9));
     let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 9)).await;
     assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
     // Its next calls use new connections, too.
-    proxy.silence_open();
+    proxy.silence_open_connections();
     site.configure(&document(10));
     let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 10)).await;
@@ -107,7 +107,7 @@
     let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     for version in (9..15).step_by(2) {
         site.configure(&document(version));
-        proxy.reset_open();
+        proxy.reset_open_connections();
         site.configure(&document(version + 1));
         let newest = version + 1;
         eventually("the change is in force", async || in_force(&gateway, newest)).await;
@@ -123,7 +123,7 @@
     site.enter("s-0", &entry("plain", "127.0.0.1:9", "ready"));
     let seen = "event=upstream_seen upstream=s-0";
     eventually("the upstream is known", async || gateway.logged().contains(seen)).await;
-    proxy.reset_open();
+    proxy.reset_open_connections();
     eventually("the reset is noticed", async || gateway.logged().contains("dependency_lost")).await;
     site.leave("s-0");
     let left_at = Instant::now();
