--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -5,7 +5,7 @@
 
 use coursestile_standins::clock::now_ms;
 use coursestile_standins::site::engine::MODEL;
-use coursestile_standins::site::metadata::Trouble;
+use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::server::Act;
 use coursestile_standins::site::{Gateway, engine_entry};
 use serde_json::json;
@@ -67,9 +67,9 @@
                 sleep(time).await;
                 one_box.process.try_signal("-CONT");
             }
-            Event::StoreBusy => self.trouble(Trouble::Busy, time).await,
-            Event::StoreSilent => self.trouble(Trouble::Silent, time).await,
-            Event::StoreLosesAnswers => self.trouble(Trouble::AnswersLost, time).await,
+            Event::StoreBusy => self.trouble(StoreFault::Unavailable, time).await,
+            Event::StoreSilent => self.trouble(StoreFault::Unresponsive, time).await,
+            Event::StoreLosesAnswers => self.trouble(StoreFault::WriteAnswersLost, time).await,
             Event::StoreForgets => self.site.metadata.compact(),
             Event::StoreLink(link) => spoil(&one_box.store, link, time).await,
             Event::StoreSilentAfter(word) => self.store_silent_after(word, pick, time).await,
@@ -181,7 +181,7 @@
         let silent = async {
             let pause_ms = u64::try_from(pick % SILENT_AFTER_MS).unwrap_or_default();
             sleep(Duration::from_millis(pause_ms)).await;
-            self.trouble(Trouble::Silent, time).await;
+            self.trouble(StoreFault::Unresponsive, time).await;
         };
         match word {
             LastWord::Configuration => {
@@ -212,10 +212,10 @@
         }
     }
 
-    async fn trouble(&self, trouble: Trouble, time: Duration) {
-        self.site.metadata.trouble(trouble);
+    async fn trouble(&self, trouble: StoreFault, time: Duration) {
+        self.site.metadata.set_fault(trouble);
         sleep(time).await;
-        self.site.metadata.trouble(Trouble::None);
+        self.site.metadata.set_fault(StoreFault::None);
     }
 }
 
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -10,7 +10,7 @@
 
 use coursestile_standins::clock::now_ms;
 use coursestile_standins::site::engine::{Engine, MODEL};
-use coursestile_standins::site::metadata::Trouble;
+use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::server::Server;
 use coursestile_standins::site::{Gateway, Site, document, engine_entry, engine_services, entry};
 use serde_json::{Value, json};
@@ -299,7 +299,7 @@
 
     /// Ends all faults.
     pub fn heal(&self) {
-        self.site.metadata.trouble(Trouble::None);
+        self.site.metadata.set_fault(StoreFault::None);
         for one in &self.boxes {
             one.process.try_signal("-CONT");
             one.store.set(Link::Sound);
--- a/standins/src/site/metadata/calls.rs
+++ b/standins/src/site/metadata/calls.rs
@@ -11,10 +11,10 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use super::{Item, Shared, Tables, Trouble};
+use super::{Item, Shared, StoreFault, Tables};
 
 /// Items on one page.
-const PAGE: usize = 3;
+const PAGE_ITEMS: usize = 3;
 
 /// The store's calls.
 pub(super) fn routes(shared: &Arc<Shared>) -> impl Endpoint<Output = Response> + 'static {
@@ -30,14 +30,14 @@
         .map_to_response()
 }
 
-/// Counts a call, and answers it as the trouble has it; true lets it through.
-async fn pass(shared: &Shared, name: &'static str) -> Result<(), Response> {
+/// Counts a call, and answers it as the fault has it; true lets it through.
+async fn check_call(shared: &Shared, name: &'static str) -> Result<(), Response> {
     *shared.tables().calls.entry(name).or_default() += 1;
-    let trouble = shared.tables().trouble;
-    match trouble {
-        Trouble::None | Trouble::AnswersLost => Ok(()),
-        Trouble::Busy => Err(StatusCode::SERVICE_UNAVAILABLE.into_response()),
-        Trouble::Silent => {
+    let fault = shared.tables().fault;
+    match fault {
+        StoreFault::None | StoreFault::WriteAnswersLost => Ok(()),
+        StoreFault::Unavailable => Err(StatusCode::SERVICE_UNAVAILABLE.into_response()),
+        StoreFault::Unresponsive => {
             tokio::time::sleep(Duration::from_secs(60)).await;
             Err(StatusCode::SERVICE_UNAVAILABLE.into_response())
         }
@@ -45,18 +45,18 @@
 }
 
 /// Answers a write that is done.
-async fn written(shared: &Shared, answer: Response) -> Response {
-    if shared.tables().trouble == Trouble::AnswersLost {
+async fn answer_write(shared: &Shared, answer: Response) -> Response {
+    if shared.tables().fault == StoreFault::WriteAnswersLost {
         tokio::time::sleep(Duration::from_secs(60)).await;
     }
     answer
 }
 
 fn item_body(key: &str, item: &Item) -> Value {
-    let mark = if item.spoiled { "!" } else { "" };
-    let value = format!("{mark}{}", STANDARD.encode(&item.value));
+    let invalid_prefix = if item.undecodable { "!" } else { "" };
+    let value = format!("{invalid_prefix}{}", STANDARD.encode(&item.value));
     json!({ "key": key, "value": value, "rev": item.rev,
-        "made": item.made, "lease": item.lease })
+        "made": item.created_rev, "lease": item.lease })
 }
 
 #[derive(Deserialize)]
@@ -66,7 +66,7 @@
 
 #[handler]
 async fn read(Data(shared): Data<&Arc<Shared>>, Query(query): Query<KeyQuery>) -> Response {
-    if let Err(answer) = pass(shared, "kv-key").await {
+    if let Err(answer) = check_call(shared, "kv-key").await {
         return answer;
     }
     let tables = shared.tables();
@@ -85,7 +85,7 @@
 
 #[handler]
 async fn range(Data(shared): Data<&Arc<Shared>>, Query(query): Query<RangeQuery>) -> Response {
-    if let Err(answer) = pass(shared, "kv-range").await {
+    if let Err(answer) = check_call(shared, "kv-range").await {
         return answer;
     }
     let tables = shared.tables();
@@ -94,7 +94,7 @@
         .iter()
         .filter(|(key, _)| key.starts_with(&query.path_prefix) && **key > query.after);
     let page: Vec<Value> =
-        items.by_ref().take(PAGE).map(|(key, item)| item_body(key, item)).collect();
+        items.by_ref().take(PAGE_ITEMS).map(|(key, item)| item_body(key, item)).collect();
     let more = items.next().is_some();
     Json(json!({ "items": page, "more": more, "at": tables.rev })).into_response()
 }
@@ -114,7 +114,7 @@
     let mut changed = shared.changed.subscribe();
     let until = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
-        if let Err(answer) = pass(shared, "kv-watch").await {
+        if let Err(answer) = check_call(shared, "kv-watch").await {
             return answer;
         }
         changed.mark_unchanged();
@@ -129,7 +129,7 @@
 }
 
 fn events_after(tables: &Tables, query: &WatchQuery) -> Option<Response> {
-    if query.after < tables.forgotten {
+    if query.after < tables.compacted_rev {
         return Some(StatusCode::GONE.into_response());
     }
     let events: Vec<Value> = tables
@@ -167,20 +167,20 @@
 
 #[handler]
 async fn transact(Data(shared): Data<&Arc<Shared>>, Json(txn): Json<Txn>) -> Response {
-    if let Err(answer) = pass(shared, "kv-txn").await {
+    if let Err(answer) = check_call(shared, "kv-txn").await {
         return answer;
     }
     let answer = apply(&mut shared.tables(), &txn);
-    shared.tell();
-    written(shared, answer).await
+    shared.notify_watches();
+    answer_write(shared, answer).await
 }
 
 fn apply(tables: &mut Tables, txn: &Txn) -> Response {
     let rev_of = |key: &str| tables.items.get(key).map_or(0, |item| item.rev);
-    if txn.expected.iter().any(|one| rev_of(&one.key) != one.rev) {
+    if txn.expected.iter().any(|expected| rev_of(&expected.key) != expected.rev) {
         return StatusCode::PRECONDITION_FAILED.into_response();
     }
-    if txn.put.iter().any(|one| one.lease != 0 && !tables.leases.contains_key(&one.lease)) {
+    if txn.put.iter().any(|put| put.lease != 0 && !tables.leases.contains_key(&put.lease)) {
         return StatusCode::NOT_FOUND.into_response();
     }
     for put in &txn.put {
@@ -194,24 +194,28 @@
 }
 
 #[derive(Deserialize)]
-struct LeaseAsk {
+struct LeaseRequest {
     ttl_ms: u64,
 }
 
 #[handler]
-async fn open_lease(Data(shared): Data<&Arc<Shared>>, Json(ask): Json<LeaseAsk>) -> Response {
-    if let Err(answer) = pass(shared, "kv-lease").await {
+async fn open_lease(
+    Data(shared): Data<&Arc<Shared>>,
+    Json(request): Json<LeaseRequest>,
+) -> Response {
+    if let Err(answer) = check_call(shared, "kv-lease").await {
         return answer;
     }
     let id = fastrand::u64(1..1 << 40);
-    let ttl = Duration::from_millis(ask.ttl_ms);
+    let ttl = Duration::from_millis(request.ttl_ms);
     shared.tables().leases.insert(id, (ttl, Instant::now() + ttl));
-    written(shared, Json(json!({ "lease": id, "ttl_ms": ask.ttl_ms })).into_response()).await
+    answer_write(shared, Json(json!({ "lease": id, "ttl_ms": request.ttl_ms })).into_response())
+        .await
 }
 
 #[handler]
 async fn keep_lease(Data(shared): Data<&Arc<Shared>>, Path(id): Path<u64>) -> Response {
-    if let Err(answer) = pass(shared, "kv-keep").await {
+    if let Err(answer) = check_call(shared, "kv-keep").await {
         return answer;
     }
     let mut tables = shared.tables();
@@ -227,11 +231,11 @@
 
 #[handler]
 async fn end_lease(Data(shared): Data<&Arc<Shared>>, Path(id): Path<u64>) -> Response {
-    if let Err(answer) = pass(shared, "kv-lease-end").await {
+    if let Err(answer) = check_call(shared, "kv-lease-end").await {
         return answer;
     }
     shared.tables().leases.remove(&id);
-    shared.tables().lapse();
-    shared.tell();
+    shared.tables().remove_expired();
+    shared.notify_watches();
     StatusCode::OK.into_response()
 }
--- a/standins/src/site/metadata/mod.rs
+++ b/standins/src/site/metadata/mod.rs
@@ -17,30 +17,30 @@
 use calls::routes;
 
 /// How often leases are looked at.
-const LEASE_PERIOD: Duration = Duration::from_millis(20);
+const LEASE_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// What is wrong with the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum StoreFault {
     /// Nothing.
     #[default]
     None,
     /// It answers 503 to everything; leases run out.
-    Busy,
+    Unavailable,
     /// It says nothing.
-    Silent,
+    Unresponsive,
     /// Writes are done and not answered.
-    AnswersLost,
+    WriteAnswersLost,
 }
 
 #[derive(Clone)]
 struct Item {
     value: Vec<u8>,
     rev: u64,
-    made: u64,
+    created_rev: u64,
     lease: u64,
     /// Its content is told as a text that stands for no bytes.
-    spoiled: bool,
+    undecodable: bool,
 }
 
 #[derive(Default)]
@@ -48,17 +48,18 @@
     rev: u64,
     items: BTreeMap<String, Item>,
     history: VecDeque<(u64, String, Option<Item>)>,
-    forgotten: u64,
+    compacted_rev: u64,
     leases: BTreeMap<u64, (Duration, Instant)>,
-    trouble: Trouble,
+    fault: StoreFault,
     calls: BTreeMap<&'static str, u64>,
 }
 
 impl Tables {
     fn put(&mut self, key: &str, value: &[u8], lease: u64) {
         self.rev += 1;
-        let made = self.items.get(key).map_or(self.rev, |item| item.made);
-        let item = Item { value: value.to_vec(), rev: self.rev, made, lease, spoiled: false };
+        let created_rev = self.items.get(key).map_or(self.rev, |item| item.created_rev);
+        let item =
+            Item { value: value.to_vec(), rev: self.rev, created_rev, lease, undecodable: false };
         self.items.insert(key.to_owned(), item.clone());
         self.history.push_back((self.rev, key.to_owned(), Some(item)));
     }
@@ -70,7 +71,7 @@
         }
     }
 
-    fn lapse(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
         self.leases.retain(|_, (_, until)| *until > now);
         let leases = &self.leases;
@@ -96,7 +97,7 @@
         self.tables.lock().expect("no task panics under the lock")
     }
 
-    fn tell(&self) {
+    fn notify_watches(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 }
@@ -118,12 +119,12 @@
         let shared = Arc::new(Shared { tables: Mutex::default(), changed: watch::Sender::new(0) });
         let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await.expect("address");
         let address = acceptor.local_addr()[0].as_socket_addr().expect("address").to_string();
-        let lapsing = shared.clone();
+        let expiring = shared.clone();
         let app = routes(&shared);
         let serving = tokio::spawn(async move {
             tokio::select! {
                 result = Server::new_with_acceptor(acceptor).run(app) => drop(result),
-                () = lapse(lapsing) => {}
+                () = expire_leases(expiring) => {}
             }
         });
         Self { address, shared, serving }
@@ -133,15 +134,15 @@
     ///
     /// # Panics
     /// Panics when no address can be had.
-    pub async fn door(&self) -> Door {
+    pub async fn open_endpoint(&self) -> MetadataEndpoint {
         let acceptor = TcpListener::bind("127.0.0.1:0").into_acceptor().await.expect("address");
         let address = acceptor.local_addr()[0].as_socket_addr().expect("address").to_string();
-        let closed = Arc::new(AtomicBool::new(false));
-        let turned_away = closed.clone();
+        let refuses_calls = Arc::new(AtomicBool::new(false));
+        let refusing = refuses_calls.clone();
         let app = routes(&self.shared).before(move |request: Request| {
-            let turned_away = turned_away.load(Ordering::Relaxed);
+            let refusing = refusing.load(Ordering::Relaxed);
             async move {
-                if turned_away {
+                if refusing {
                     return Err(poem::Error::from_status(StatusCode::SERVICE_UNAVAILABLE));
                 }
                 Ok(request)
@@ -151,35 +152,35 @@
             // It ends with the test.
             let _ = Server::new_with_acceptor(acceptor).run(app).await;
         });
-        Door { address, closed, serving }
+        MetadataEndpoint { address, refuses_calls, serving }
     }
 
     /// Writes an item, as the operator or an upstream does.
     pub fn put(&self, key: &str, value: &[u8], lease: u64) {
         self.shared.tables().put(key, value, lease);
-        self.shared.tell();
+        self.shared.notify_watches();
     }
 
     /// Writes an item whose content is told as a text that stands for no bytes.
     ///
     /// # Panics
     /// Panics when a task has panicked under the lock.
-    pub fn put_spoiled(&self, key: &str) {
+    pub fn put_undecodable(&self, key: &str) {
         let mut tables = self.shared.tables();
         tables.put(key, b"spoiled", 0);
         let items = tables.items.values_mut();
         let newest = items.max_by_key(|item| item.rev).expect("it was written");
-        newest.spoiled = true;
+        newest.undecodable = true;
         let newest = newest.clone();
         tables.history.back_mut().expect("it was written").2 = Some(newest);
         drop(tables);
-        self.shared.tell();
+        self.shared.notify_watches();
     }
 
     /// Removes an item.
     pub fn remove(&self, key: &str) {
         self.shared.tables().remove(key);
-        self.shared.tell();
+        self.shared.notify_watches();
     }
 
     /// Content of an item.
@@ -188,50 +189,50 @@
         self.shared.tables().items.get(key).map(|item| item.value.clone())
     }
 
-    /// Brings trouble, or ends it.
-    pub fn trouble(&self, trouble: Trouble) {
-        self.shared.tables().trouble = trouble;
+    /// Brings fault, or ends it.
+    pub fn set_fault(&self, fault: StoreFault) {
+        self.shared.tables().fault = fault;
         // Waiting watches are cut.
-        self.shared.tell();
+        self.shared.notify_watches();
     }
 
     /// Forgets the changes so far.
     pub fn compact(&self) {
         let mut tables = self.shared.tables();
         tables.history.clear();
-        tables.forgotten = tables.rev;
+        tables.compacted_rev = tables.rev;
         drop(tables);
-        self.shared.tell();
+        self.shared.notify_watches();
     }
 
-    /// How often a call was made.
+    /// How often a call was created_rev.
     #[must_use]
-    pub fn calls(&self, name: &str) -> u64 {
+    pub fn call_count(&self, name: &str) -> u64 {
         self.shared.tables().calls.get(name).copied().unwrap_or_default()
     }
 }
 
 /// An address of the store for one box, which the store may turn away.
-pub struct Door {
+pub struct MetadataEndpoint {
     /// Address.
     pub address: String,
-    closed: Arc<AtomicBool>,
+    refuses_calls: Arc<AtomicBool>,
     serving: JoinHandle<()>,
 }
 
-impl Door {
+impl MetadataEndpoint {
     /// Serves the box again.
-    pub fn open(&self) {
-        self.closed.store(false, Ordering::Relaxed);
+    pub fn accept_calls(&self) {
+        self.refuses_calls.store(false, Ordering::Relaxed);
     }
 
     /// Turns the box away from now on; a waiting watch goes on.
-    pub fn close(&self) {
-        self.closed.store(true, Ordering::Relaxed);
+    pub fn refuse_calls(&self) {
+        self.refuses_calls.store(true, Ordering::Relaxed);
     }
 }
 
-impl Drop for Door {
+impl Drop for MetadataEndpoint {
     fn drop(&mut self) {
         self.serving.abort();
     }
@@ -243,13 +244,13 @@
     }
 }
 
-async fn lapse(shared: Arc<Shared>) {
+async fn expire_leases(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LEASE_PERIOD).await;
+        tokio::time::sleep(LEASE_CHECK_PERIOD).await;
         let before = shared.tables().rev;
-        shared.tables().lapse();
+        shared.tables().remove_expired();
         if shared.tables().rev != before {
-            shared.tell();
+            shared.notify_watches();
         }
     }
 }
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -48,7 +48,7 @@
     match flaw {
         Flaw::NoText => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
         Flaw::NoEntry => return metadata.put(&key, b"[1, 2]", 0),
-        Flaw::Spoiled => return metadata.put_spoiled(&key),
+        Flaw::Spoiled => return metadata.put_undecodable(&key),
         Flaw::Twice => {
             let text = entry.to_string().replacen('{', "{\"slots\":9,", 1);
             return metadata.put(&key, text.as_bytes(), 0);
--- a/tests/gateway_view.rs
+++ b/tests/gateway_view.rs
@@ -8,7 +8,7 @@
 
 use common::{is_ready, start_fixture, wait_ready};
 use coursestile_standins::site::client::once;
-use coursestile_standins::site::metadata::Trouble;
+use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::server::Server;
 use coursestile_standins::site::{Site, document, entry, eventually};
 use serde_json::json;
@@ -52,7 +52,7 @@
 #[tokio::test]
 async fn history_lost() {
     let fixture = start_fixture(1).await;
-    fixture.site.metadata.trouble(Trouble::Busy);
+    fixture.site.metadata.set_fault(StoreFault::Unavailable);
     eventually("the outage is noticed", async || {
         fixture.gateway.logged().contains("dependency_lost")
     })
@@ -61,7 +61,7 @@
     newer_config["routes"][0]["path_prefix"] = json!("/moved/");
     fixture.site.configure(&newer_config);
     fixture.site.metadata.compact();
-    fixture.site.metadata.trouble(Trouble::None);
+    fixture.site.metadata.set_fault(StoreFault::None);
     eventually("the configuration is in force", async || {
         fixture.send("GET", "/moved/", "r-1").await.status() == 200
     })
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn told_by_peer() {
     let mut fixture = start_fixture(1).await;
-    fixture.site.metadata.trouble(Trouble::Silent);
+    fixture.site.metadata.set_fault(StoreFault::Unresponsive);
     let late_box = fixture.site.gateway("east", &[&fixture.gateway]);
     wait_ready(&late_box).await;
     let answer = once(&late_box.clients, "GET", "/safe/", "r-1").await.unwrap();
@@ -82,10 +82,10 @@
 #[tokio::test]
 async fn peer_no_store() {
     let mut fixture = start_fixture(1).await;
-    let store_access = fixture.site.metadata.door().await;
+    let store_access = fixture.site.metadata.open_endpoint().await;
     let cut_box = fixture.site.gateway_at("east", &[&fixture.gateway], &store_access.address);
     wait_ready(&cut_box).await;
-    store_access.close();
+    store_access.refuse_calls();
     for version in 8..12 {
         fixture.site.configure(&document(version));
         let in_force = format!("event=configuration_in_force version={version}");
@@ -98,7 +98,7 @@
         !after.contains("event=dependency_regained"),
         "only an answer of the store may end the outage: {after}"
     );
-    store_access.open();
+    store_access.accept_calls();
     eventually("the store is available again", async || {
         let logged = cut_box.logged();
         let after = logged.split("event=dependency_lost").nth(1).unwrap_or_default();
@@ -144,13 +144,13 @@
     site.configure(&document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
-    site.metadata.trouble(Trouble::Busy);
+    site.metadata.set_fault(StoreFault::Unavailable);
     eventually("the outage is noticed", async || gateway.logged().contains("dependency_lost"))
         .await;
     // Both entries expire while the store is unavailable, but one of the upstreams still runs.
     site.leave("s-0");
     site.leave("s-1");
-    site.metadata.trouble(Trouble::None);
+    site.metadata.set_fault(StoreFault::None);
     eventually("the store is available again", async || {
         gateway.logged().contains("dependency_regained")
     })
--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -8,7 +8,7 @@
 
 use common::{GatewayFixture, start_fixture, wait_ready};
 use coursestile_standins::site::fault_proxy::FaultProxy;
-use coursestile_standins::site::metadata::Trouble;
+use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
 
 /// Time after which a change counts as late: twice the bound of the smallest deployment, and half
@@ -24,9 +24,9 @@
 async fn lose_watch(fixture: &GatewayFixture) {
     fixture.site.configure(&document(8));
     eventually("the change is in force", async || in_force(&fixture.gateway, 8)).await;
-    fixture.site.metadata.trouble(Trouble::Silent);
+    fixture.site.metadata.set_fault(StoreFault::Unresponsive);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    fixture.site.metadata.trouble(Trouble::None);
+    fixture.site.metadata.set_fault(StoreFault::None);
 }
 
 /// A change ended the watch calls of all boxes at once, and they sent new ones at once, which the
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -10,7 +10,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::engine::{Engine, MODEL, Run};
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::metadata::Trouble;
+use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::{
     Gateway, Site, document, engine_entry, engine_services, eventually,
 };
@@ -136,13 +136,13 @@
 #[tokio::test]
 async fn holder_turned_away() {
     let mut fleet = fleet_without_gateways().await;
-    let store_access = fleet.site.metadata.door().await;
+    let store_access = fleet.site.metadata.open_endpoint().await;
     fleet.add_gateway(&store_access.address).await;
     fleet.wait_logged("event=leadership_taken").await;
     let metadata_address = fleet.site.metadata.address.clone();
     fleet.add_gateway(&metadata_address).await;
     fleet.add_gateway(&metadata_address).await;
-    store_access.close();
+    store_access.refuse_calls();
     fleet.wait_logged("event=renewed_through_peer renewed=true").await;
     fleet.site.name_weights(MODEL, 2);
     fleet.wait_version(2).await;
@@ -155,10 +155,10 @@
 async fn lost_answers() {
     let fleet = fleet(2).await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.metadata.trouble(Trouble::AnswersLost);
+    fleet.site.metadata.set_fault(StoreFault::WriteAnswersLost);
     fleet.site.name_weights(MODEL, 2);
     fleet.wait_version(2).await;
-    fleet.site.metadata.trouble(Trouble::None);
+    fleet.site.metadata.set_fault(StoreFault::None);
     fleet.site.name_weights(MODEL, 3);
     fleet.wait_version(3).await;
 }
