--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -223,7 +223,7 @@
 }
 
 fn is_kept(answer: &Message) -> bool {
-    answer.whole && answer.header("connection") != Some("close")
+    answer.complete && answer.header("connection") != Some("close")
 }
 
 /// Asks for the route of one version. A connection belongs to one life of a box,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -5,7 +5,7 @@
 
 use coursestile_standins::site::engine::Order;
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::server::{Ran, events_text};
+use coursestile_standins::site::server::{ExecutedRequest, events_text};
 
 use crate::callers::{Behind, Call, OnWeights, Seen};
 use crate::plan::{Step, is_calm, known_by_ms};
@@ -69,7 +69,7 @@
 
     fn ran(&self) -> HashMap<String, usize> {
         let mut ran = HashMap::new();
-        for one in self.world.upstreams.iter().flat_map(|one| one.process.ran()) {
+        for one in self.world.upstreams.iter().flat_map(|one| one.process.executed()) {
             *ran.entry(one.request_id).or_default() += 1;
         }
         ran
@@ -102,14 +102,16 @@
             format!("answer to {0}: {0}", call.id)
         };
         let text = answer.text();
-        let right = if answer.whole { text == whole } else { whole.starts_with(&text) };
+        let right = if answer.complete { text == whole } else { whole.starts_with(&text) };
         let wrong = !(own && sealed && right);
-        wrong.then(|| format!("own {own}, sealed {sealed}, whole {}, body {text:?}", answer.whole))
+        wrong.then(|| {
+            format!("own {own}, sealed {sealed}, whole {}, body {text:?}", answer.complete)
+        })
     }
 
     /// Planned work alone cuts no request.
     fn cut_by_planned_work(&self, call: &Call, times: usize) -> Option<String> {
-        let whole = call.answer.as_ref().is_some_and(|answer| answer.whole);
+        let whole = call.answer.as_ref().is_some_and(|answer| answer.complete);
         let crossed = call.answer.is_none() && times == 0 && call.ended - call.sent < CROSSED;
         let undisturbed = is_calm(self.steps, self.at_ms(call.sent), self.at_ms(call.ended));
         (!whole && !crossed && undisturbed)
@@ -122,9 +124,9 @@
             let upstream = self.world.upstreams.iter().find(|one| one.process.id == leave.id);
             let by_ms =
                 known_by_ms(self.steps, self.at_ms(leave.from), LEAVE_BOUND_MS, Step::is_unplanned);
-            let late = |one: &Ran| self.at_ms(one.at) > by_ms && one.at < leave.until;
-            let late: Vec<Ran> = upstream
-                .map(|one| one.process.ran())
+            let late = |one: &ExecutedRequest| self.at_ms(one.at) > by_ms && one.at < leave.until;
+            let late: Vec<ExecutedRequest> = upstream
+                .map(|one| one.process.executed())
                 .unwrap_or_default()
                 .into_iter()
                 .filter(late)
--- a/soak/src/frail.rs
+++ b/soak/src/frail.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use coursestile_standins::site::client::{Client, request};
-use coursestile_standins::site::server::{Ran, Server};
+use coursestile_standins::site::server::{ExecutedRequest, Server};
 use coursestile_standins::site::{Site, entry};
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
@@ -80,8 +80,8 @@
     }
 
     /// The tries that came to each of them.
-    fn tries(&self) -> Vec<Vec<Ran>> {
-        self.servers().iter().map(Server::ran).collect()
+    fn tries(&self) -> Vec<Vec<ExecutedRequest>> {
+        self.servers().iter().map(Server::executed).collect()
     }
 }
 
@@ -136,7 +136,7 @@
     }
 
     /// Whether a try came after a time from a box that had to know better.
-    fn is_bound(&self, one: &Ran, from_ms: u64) -> bool {
+    fn is_bound(&self, one: &ExecutedRequest, from_ms: u64) -> bool {
         let at_ms = self.at_ms(one.at);
         let sender = one.request_id.split('-').next().and_then(|sender| sender.parse().ok());
         let is_away = self.is_away(sender, self.began_ms + at_ms, STEADY_MS, |_| true);
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -215,7 +215,7 @@
     let mut ends = BTreeMap::new();
     for call in &record.calls {
         let end = match &call.answer {
-            Some(answer) if answer.whole => answer.status().to_string(),
+            Some(answer) if answer.complete => answer.status().to_string(),
             Some(answer) => format!("{} cut", answer.status()),
             None => "none".to_owned(),
         };
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use coursestile_standins::site::server::{Act, Done, Server};
+use coursestile_standins::site::server::{Behavior, HandledRequest, Server};
 
 use crate::checks::Evidence;
 
@@ -21,16 +21,16 @@
     }
 
     fn unheeded_of(&self, upstream: &Server) -> Vec<String> {
-        let done = upstream.done();
+        let done = upstream.handled();
         let mut found = Vec::new();
         for told in &done {
             // Questions for the configuration do not tell their box.
             let Some(box_number) = sender(told) else { continue };
             let said_at = told.answered_at;
             let next_start = self.next_start(upstream, told.at);
-            let (from, until, most) = match told.act {
-                Act::Leaving => (said_at + LEAVE_BOUND + ON_ITS_WAY, next_start, 0),
-                Act::Rest(time) => {
+            let (from, until, most) = match told.behavior {
+                Behavior::Leaving => (said_at + LEAVE_BOUND + ON_ITS_WAY, next_start, 0),
+                Behavior::RetryAfter(time) => {
                     let rest_end = said_at + time;
                     let until = next_start.map_or(rest_end, |start| start.min(rest_end));
                     (said_at + REST_BEGINS, Some(until), MOST_IN_REST)
@@ -48,7 +48,7 @@
                 found.push(format!(
                     "{} said {:?} to {} at {} ms, and got {} from that box",
                     upstream.id,
-                    told.act,
+                    told.behavior,
                     told.request_id,
                     self.at_ms(told.at),
                     came.join(", ")
@@ -78,6 +78,6 @@
     }
 }
 
-fn sender(done: &Done) -> Option<usize> {
+fn sender(done: &HandledRequest) -> Option<usize> {
     done.request_id.split('-').next()?.parse().ok()
 }
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -6,7 +6,7 @@
 use coursestile_standins::clock::now_ms;
 use coursestile_standins::site::engine::MODEL;
 use coursestile_standins::site::metadata::StoreFault;
-use coursestile_standins::site::server::Act;
+use coursestile_standins::site::server::Behavior;
 use coursestile_standins::site::{Gateway, engine_entry};
 use serde_json::json;
 use tokio::time::sleep;
@@ -34,17 +34,17 @@
 /// One restart of an engine in so many is told by no entry.
 const UNTOLD_ONE_IN: usize = 3;
 /// What an upstream may do in place of an answer.
-const MISBEHAVIOUR: [Act; 10] = [
-    Act::NotRun,
-    Act::Close,
-    Act::OtherId,
-    Act::NoSeal,
-    Act::CutBody,
-    Act::Twice,
-    Act::Unframed,
-    Act::Status(500),
-    Act::Events(2),
-    Act::After(Duration::from_millis(400)),
+const MISBEHAVIOUR: [Behavior; 10] = [
+    Behavior::NotRun,
+    Behavior::Close,
+    Behavior::WrongRequestId,
+    Behavior::MissingSeal,
+    Behavior::TruncatedBody,
+    Behavior::DuplicateAnswer,
+    Behavior::NoLength,
+    Behavior::Status(500),
+    Behavior::Events(2),
+    Behavior::DelayedAnswer(Duration::from_millis(400)),
 ];
 
 impl World {
@@ -83,13 +83,15 @@
             Event::UpstreamMisbehaves => {
                 let mut acts = MISBEHAVIOUR;
                 acts.rotate_left(pick % MISBEHAVIOUR.len());
-                upstream.process.then(&acts[..ACTS]);
+                upstream.process.script(&acts[..ACTS]);
                 sleep(time).await;
-                upstream.process.then_nothing();
+                upstream.process.clear_script();
+            }
+            Event::UpstreamRests => {
+                upstream.process.script(&[Behavior::RetryAfter(REST + time), Behavior::Answer])
             }
-            Event::UpstreamRests => upstream.process.then(&[Act::Rest(REST + time), Act::Answer]),
             Event::UpstreamSaysLeaving => {
-                upstream.process.then(&[Act::Leaving, Act::Leaving]);
+                upstream.process.script(&[Behavior::Leaving, Behavior::Leaving]);
                 sleep(time + LEAVES).await;
                 self.restart_upstream(pick, Duration::ZERO).await;
             }
--- a/standins/src/site/client.rs
+++ b/standins/src/site/client.rs
@@ -4,11 +4,11 @@
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use super::http::{Message, Reader};
+use super::http::{Message, MessageReader};
 
 /// A client's connection.
 pub struct Client {
-    reader: Reader<OwnedReadHalf>,
+    reader: MessageReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
 }
 
@@ -27,7 +27,7 @@
     /// Fails when it cannot be reached.
     pub async fn try_connect(address: &str) -> std::io::Result<Self> {
         let (read, write) = TcpStream::connect(address).await?.into_split();
-        Ok(Self { reader: Reader::new(read), write })
+        Ok(Self { reader: MessageReader::new(read), write })
     }
 
     /// Sends bytes and reads the next answer; `None` when the connection ends
@@ -64,6 +64,6 @@
 }
 
 /// Sends one request on a connection of its own.
-pub async fn once(address: &str, method: &str, path: &str, id: &str) -> Option<Message> {
+pub async fn request_once(address: &str, method: &str, path: &str, id: &str) -> Option<Message> {
     Client::connect(address).await.send(&request(method, path, id, "", "")).await
 }
--- a/standins/src/site/http.rs
+++ b/standins/src/site/http.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
     /// Request line or status line.
-    pub start: String,
+    pub start_line: String,
     /// Headers, names in lower case.
     pub headers: Vec<(String, String)>,
     /// Body, decoded from chunks.
     pub body: Vec<u8>,
     /// Whether the body ended as it should.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Message {
@@ -26,14 +26,14 @@
 
     /// Second word of the first line: path of a request, status of an answer.
     #[must_use]
-    pub fn second(&self) -> &str {
-        self.start.split(' ').nth(1).unwrap_or_default()
+    pub fn path_or_status(&self) -> &str {
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
     /// Status of an answer.
     #[must_use]
     pub fn status(&self) -> u16 {
-        self.second().parse().unwrap_or_default()
+        self.path_or_status().parse().unwrap_or_default()
     }
 
     /// Body as text.
@@ -44,22 +44,22 @@
 }
 
 /// Reads messages from a connection.
-pub struct Reader<S> {
+pub struct MessageReader<S> {
     stream: S,
     buffer: Vec<u8>,
 }
 
-impl<S: AsyncRead + Unpin> Reader<S> {
+impl<S: AsyncRead + Unpin> MessageReader<S> {
     /// Reads from `stream`.
     pub fn new(stream: S) -> Self {
         Self { stream, buffer: Vec::new() }
     }
 
     /// The next message; `None` when the connection ends before one.
-    /// `to_end` says that a body without a length lasts until the end.
-    pub async fn next(&mut self, to_end: bool) -> Option<Message> {
+    /// `until_eof` says that a body without a length lasts until the end.
+    pub async fn next(&mut self, until_eof: bool) -> Option<Message> {
         let head_end = loop {
-            if let Some(at) = find(&self.buffer, b"\r\n\r\n") {
+            if let Some(at) = position(&self.buffer, b"\r\n\r\n") {
                 break at;
             }
             if !self.fill().await {
@@ -70,20 +70,20 @@
         self.buffer.drain(..head_end + 4);
         let mut lines = head.split("\r\n");
         let mut message = Message {
-            start: lines.next().unwrap_or_default().to_owned(),
+            start_line: lines.next().unwrap_or_default().to_owned(),
             headers: lines
                 .filter_map(|line| line.split_once(':'))
                 .map(|(name, value)| (name.trim().to_lowercase(), value.trim().to_owned()))
                 .collect(),
             body: Vec::new(),
-            whole: true,
+            complete: true,
         };
         if message.header("transfer-encoding").is_some() {
-            message.whole = self.read_chunks(&mut message.body).await;
+            message.complete = self.read_chunks(&mut message.body).await;
         } else if let Some(length) = message.header("content-length") {
             let length = length.parse().unwrap_or(0);
-            message.whole = self.read_exactly(length, &mut message.body).await;
-        } else if to_end {
+            message.complete = self.read_exactly(length, &mut message.body).await;
+        } else if until_eof {
             while self.fill().await {}
             message.body = std::mem::take(&mut self.buffer);
         }
@@ -93,7 +93,7 @@
     async fn read_chunks(&mut self, body: &mut Vec<u8>) -> bool {
         loop {
             let line_end = loop {
-                if let Some(at) = find(&self.buffer, b"\r\n") {
+                if let Some(at) = position(&self.buffer, b"\r\n") {
                     break at;
                 }
                 if !self.fill().await {
@@ -141,6 +141,6 @@
     }
 }
 
-fn find(bytes: &[u8], what: &[u8]) -> Option<usize> {
-    bytes.windows(what.len()).position(|window| window == what)
+fn position(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+    bytes.windows(pattern.len()).position(|window| window == pattern)
 }
--- a/standins/src/site/server.rs
+++ b/standins/src/site/server.rs
@@ -12,14 +12,14 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use super::http::{Message, Reader};
+use super::http::{Message, MessageReader};
 
 /// Header that says how long an upstream works on a request, in milliseconds.
 pub const WORK_HEADER: &str = "x-work-ms";
 
 /// What an upstream does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum Behavior {
     /// Answers as it should.
     Answer,
     /// Answers with a status of its own.
@@ -27,7 +27,7 @@
     /// Says that it did not run the request.
     NotRun,
     /// Says so, and wants no other request for so long.
-    Rest(Duration),
+    RetryAfter(Duration),
     /// Answers, and says that it leaves.
     Leaving,
     /// Says that another incarnation has its address.
@@ -35,23 +35,23 @@
     /// Closes the connection without an answer.
     Close,
     /// Answers another request's id.
-    OtherId,
+    WrongRequestId,
     /// Answers without its proof.
-    NoSeal,
+    MissingSeal,
     /// Breaks off within the body.
-    CutBody,
+    TruncatedBody,
     /// Answers whole, and once more.
-    Twice,
+    DuplicateAnswer,
     /// Answers, without a length, and closes.
-    Unframed,
+    NoLength,
     /// Answers with a body of so many bytes.
-    Long(usize),
+    LargeBody(usize),
     /// Breaks off halfway through a body of so many bytes.
-    LongCut(usize),
+    TruncatedLargeBody(usize),
     /// Answers after a while.
-    After(Duration),
+    DelayedAnswer(Duration),
     /// As `Events`, with data that is no text.
-    RawEvents(u32),
+    NonUtf8Events(u32),
     /// Sends so many of five events, then breaks off within the next.
     Events(u32),
     /// Answers once the test says so.
@@ -63,7 +63,7 @@
 
 /// What an upstream did with a request.
 #[derive(Clone, Debug)]
-pub struct Done {
+pub struct HandledRequest {
     /// Id of the request.
     pub request_id: String,
     /// When it arrived.
@@ -71,12 +71,12 @@
     /// When the answer began, if there was one.
     pub answered_at: Instant,
     /// What was done.
-    pub act: Act,
+    pub behavior: Behavior,
 }
 
 /// A request that an upstream ran.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct ExecutedRequest {
     /// Id of the request.
     pub request_id: String,
     /// When it arrived.
@@ -84,18 +84,18 @@
 }
 
 #[derive(Default)]
-struct Seen {
-    arrived: Vec<Message>,
-    ran: Vec<Ran>,
-    done: Vec<Done>,
-    script: VecDeque<Act>,
+struct State {
+    received: Vec<Message>,
+    executed: Vec<ExecutedRequest>,
+    handled: Vec<HandledRequest>,
+    script: VecDeque<Behavior>,
     released: bool,
     /// Body that crashes it.
-    deadly: Option<Vec<u8>>,
+    crash_body: Option<Vec<u8>>,
     crashed: watch::Sender<bool>,
 }
 
-type Shared = Arc<Mutex<Seen>>;
+type Shared = Arc<Mutex<State>>;
 
 /// An upstream.
 pub struct Server {
@@ -103,7 +103,7 @@
     pub address: String,
     /// Id of its incarnation.
     pub id: String,
-    seen: Shared,
+    state: Shared,
     accepting: JoinHandle<()>,
 }
 
@@ -115,8 +115,8 @@
     pub async fn start(id: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
         let address = listener.local_addr().expect("address").to_string();
-        let seen = Shared::default();
-        let shared = seen.clone();
+        let state = Shared::default();
+        let shared = state.clone();
         let accepting = tokio::spawn(async move {
             let accept = async {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -124,73 +124,73 @@
                     tokio::spawn(async move {
                         tokio::select! {
                             () = serve(stream, shared.clone()) => {}
-                            () = crashed(&shared) => {}
+                            () = wait_for_crash(&shared) => {}
                         }
                     });
                 }
             };
             tokio::select! {
                 () = accept => {}
-                () = crashed(&shared) => {}
+                () = wait_for_crash(&shared) => {}
             }
         });
-        Self { address, id: id.to_owned(), seen, accepting }
+        Self { address, id: id.to_owned(), state, accepting }
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().expect("no task panics under the lock")
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no task panics under the lock")
     }
 
     /// Says what it does with the next requests; all others it answers, those on
     /// routes of streams with events.
-    pub fn then(&self, acts: &[Act]) {
-        self.seen().script.extend(acts.iter().cloned());
+    pub fn script(&self, behaviors: &[Behavior]) {
+        self.state().script.extend(behaviors.iter().cloned());
     }
 
     /// Goes on as usual, whatever was said before.
-    pub fn then_nothing(&self) {
-        self.seen().script.clear();
+    pub fn clear_script(&self) {
+        self.state().script.clear();
     }
 
     /// Crashes, with all that runs there, when it begins to run a request with this body.
     pub fn crash_on(&self, body: &str) {
-        self.seen().deadly = Some(body.as_bytes().to_vec());
+        self.state().crash_body = Some(body.as_bytes().to_vec());
     }
 
     /// Whether it has crashed.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
-        *self.seen().crashed.borrow()
+        *self.state().crashed.borrow()
     }
 
     /// Goes on with what it holds.
     pub fn release(&self) {
-        self.seen().released = true;
+        self.state().released = true;
     }
 
     /// What has arrived.
     #[must_use]
-    pub fn arrived(&self) -> Vec<Message> {
-        self.seen().arrived.clone()
+    pub fn received(&self) -> Vec<Message> {
+        self.state().received.clone()
     }
 
     /// What it ran, in order.
     #[must_use]
-    pub fn ran(&self) -> Vec<Ran> {
-        self.seen().ran.clone()
+    pub fn executed(&self) -> Vec<ExecutedRequest> {
+        self.state().executed.clone()
     }
 
     /// What it did with each request, in order.
     #[must_use]
-    pub fn done(&self) -> Vec<Done> {
-        self.seen().done.clone()
+    pub fn handled(&self) -> Vec<HandledRequest> {
+        self.state().handled.clone()
     }
 
     /// How often a request has arrived.
     #[must_use]
     pub fn count(&self, request_id: &str) -> usize {
-        let arrived = self.arrived();
-        arrived.iter().filter(|one| one.header("x-request-id") == Some(request_id)).count()
+        let received = self.received();
+        received.iter().filter(|request| request.header("x-request-id") == Some(request_id)).count()
     }
 }
 
@@ -202,37 +202,43 @@
 
 async fn serve(stream: TcpStream, shared: Shared) {
     let (read, mut write) = stream.into_split();
-    let mut reader = Reader::new(read);
+    let mut reader = MessageReader::new(read);
     while let Some(request) = reader.next(false).await {
-        let act = note(&mut shared.lock().expect("no task panics under the lock"), &request);
-        if is_deadly(&shared, &request) {
+        let behavior = record(&mut shared.lock().expect("no task panics under the lock"), &request);
+        if crashes_on(&shared, &request) {
             shared.lock().expect("no task panics under the lock").crashed.send_replace(true);
             return;
         }
-        if answer(&mut write, &request, &act, &shared).await.is_none() {
+        if answer(&mut write, &request, &behavior, &shared).await.is_none() {
             return;
         }
     }
 }
 
 /// Notes a request; what is done with it.
-fn note(seen: &mut Seen, request: &Message) -> Act {
-    let usual = if is_stream(request) { Act::Events(EVENTS) } else { Act::Answer };
-    let act = seen.script.pop_front().unwrap_or(usual);
-    seen.arrived.push(request.clone());
+fn record(state: &mut State, request: &Message) -> Behavior {
+    let usual = if is_stream(request) { Behavior::Events(EVENTS) } else { Behavior::Answer };
+    let behavior = state.script.pop_front().unwrap_or(usual);
+    state.received.push(request.clone());
     let request_id = request.header("x-request-id").unwrap_or_default().to_owned();
     let at = Instant::now();
     let answered_at = at + work_time(request);
-    seen.done.push(Done { request_id: request_id.clone(), at, answered_at, act: act.clone() });
-    if !matches!(act, Act::NotRun | Act::Rest(_) | Act::OtherIncarnation) {
-        seen.ran.push(Ran { request_id, at });
+    state.handled.push(HandledRequest {
+        request_id: request_id.clone(),
+        at,
+        answered_at,
+        behavior: behavior.clone(),
+    });
+    if !matches!(behavior, Behavior::NotRun | Behavior::RetryAfter(_) | Behavior::OtherIncarnation)
+    {
+        state.executed.push(ExecutedRequest { request_id, at });
     }
-    act
+    behavior
 }
 
-fn is_deadly(shared: &Shared, request: &Message) -> bool {
-    let seen = shared.lock().expect("no task panics under the lock");
-    seen.deadly.as_ref().is_some_and(|deadly| *deadly == request.body)
+fn crashes_on(shared: &Shared, request: &Message) -> bool {
+    let state = shared.lock().expect("no task panics under the lock");
+    state.crash_body.as_ref().is_some_and(|crash_body| *crash_body == request.body)
 }
 
 /// Time for which an upstream works on a request.
@@ -243,7 +249,7 @@
 
 /// Whether a request is on a route of streams.
 fn is_stream(request: &Message) -> bool {
-    let path = request.second();
+    let path = request.path_or_status();
     path.starts_with("/stream/") || path.starts_with("/resume/")
 }
 
@@ -261,14 +267,14 @@
 }
 
 /// Waits until the test lets go what is held.
-async fn released(shared: &Shared) {
+async fn wait_for_release(shared: &Shared) {
     while !shared.lock().expect("no task panics under the lock").released {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
 /// Waits until it crashes.
-async fn crashed(shared: &Shared) {
+async fn wait_for_crash(shared: &Shared) {
     let mut crashed = shared.lock().expect("no task panics under the lock").crashed.subscribe();
     // The sender lives as long as `shared`.
     let _ = crashed.wait_for(|crashed| *crashed).await;
@@ -278,7 +284,7 @@
 async fn answer(
     write: &mut OwnedWriteHalf,
     request: &Message,
-    act: &Act,
+    behavior: &Behavior,
     shared: &Shared,
 ) -> Option<()> {
     tokio::time::sleep(work_time(request)).await;
@@ -293,61 +299,63 @@
     };
     let sealed = format!("X-Server-Seal: seal-{id}\r\nContent-Length: {}\r\n\r\n", body.len());
     let whole = format!("{}{body}", head(200, id, &sealed));
-    let text = match act {
-        Act::Answer => whole,
-        Act::After(time) => {
+    let text = match behavior {
+        Behavior::Answer => whole,
+        Behavior::DelayedAnswer(time) => {
             tokio::time::sleep(*time).await;
             whole
         }
-        Act::Status(status) => format!("{}{body}", head(*status, id, &sealed)),
-        Act::NotRun => head(503, id, "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"),
-        Act::Rest(time) => {
+        Behavior::Status(status) => format!("{}{body}", head(*status, id, &sealed)),
+        Behavior::NotRun => head(503, id, "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"),
+        Behavior::RetryAfter(time) => {
             let rest = format!("Retry-After: {}\r\n", time.as_secs_f64());
             head(503, id, &format!("X-Not-Executed: 1\r\n{rest}Content-Length: 0\r\n\r\n"))
         }
-        Act::Leaving => {
+        Behavior::Leaving => {
             format!("{}{body}", head(200, id, &format!("Server-Leaving: 1\r\n{sealed}")))
         }
-        Act::OtherIncarnation => {
+        Behavior::OtherIncarnation => {
             head(421, id, "X-Instance-Id: another\r\nContent-Length: 0\r\n\r\n")
         }
-        Act::Close => return None,
-        Act::OtherId => format!("{}{body}", head(200, "another", &sealed)),
-        Act::NoSeal => {
+        Behavior::Close => return None,
+        Behavior::WrongRequestId => format!("{}{body}", head(200, "another", &sealed)),
+        Behavior::MissingSeal => {
             format!("{}{body}", head(200, id, &format!("Content-Length: {}\r\n\r\n", body.len())))
         }
-        Act::CutBody => {
+        Behavior::TruncatedBody => {
             let cut = &whole[..whole.len() - body.len() / 2];
             write.write_all(cut.as_bytes()).await.ok()?;
             return None;
         }
-        Act::Twice => format!("{whole}{whole}"),
-        Act::Unframed => {
+        Behavior::DuplicateAnswer => format!("{whole}{whole}"),
+        Behavior::NoLength => {
             let head = head(200, id, &format!("X-Server-Seal: seal-{id}\r\n\r\n"));
             write.write_all(format!("{head}{body}").as_bytes()).await.ok()?;
             return None;
         }
-        Act::Long(length) | Act::LongCut(length) => {
+        Behavior::LargeBody(length) | Behavior::TruncatedLargeBody(length) => {
             let sealed = format!("X-Server-Seal: seal-{id}\r\nContent-Length: {length}\r\n\r\n");
-            let cut = matches!(act, Act::LongCut(_));
+            let cut = matches!(behavior, Behavior::TruncatedLargeBody(_));
             let sent = if cut { length / 2 } else { *length };
             write.write_all(head(200, id, &sealed).as_bytes()).await.ok()?;
             write.write_all("x".repeat(sent).as_bytes()).await.ok()?;
             return (!cut).then_some(());
         }
-        Act::Events(count) => return events(write, request, *count, b"piece").await,
-        Act::RawEvents(count) => return events(write, request, *count, b"\xff\xfe").await,
-        Act::HeldEvents(count) if last_event(request) == 0 => {
+        Behavior::Events(count) => return stream_events(write, request, *count, b"piece").await,
+        Behavior::NonUtf8Events(count) => {
+            return stream_events(write, request, *count, b"\xff\xfe").await;
+        }
+        Behavior::HeldEvents(count) if last_event(request) == 0 => {
             write_head(write, request).await?;
             write_events(write, request, 1..=*count, b"piece").await?;
-            released(shared).await;
+            wait_for_release(shared).await;
             write_events(write, request, count + 1..=EVENTS, b"piece").await?;
             return write.write_all(b"0\r\n\r\n").await.ok();
         }
-        Act::Held | Act::HeldEvents(_) => {
-            released(shared).await;
+        Behavior::Held | Behavior::HeldEvents(_) => {
+            wait_for_release(shared).await;
             if is_stream(request) {
-                return events(write, request, EVENTS, b"piece").await;
+                return stream_events(write, request, EVENTS, b"piece").await;
             }
             whole
         }
@@ -387,7 +395,7 @@
     Some(())
 }
 
-async fn events(
+async fn stream_events(
     write: &mut OwnedWriteHalf,
     request: &Message,
     count: u32,
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -1,7 +1,7 @@
 //! Fixture and helpers for tests that run a gateway process against a simulated site.
 #![allow(dead_code, reason = "each test file uses a part")]
 
-use coursestile_standins::site::client::{Client, once, request};
+use coursestile_standins::site::client::{Client, request, request_once};
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::Server;
@@ -75,7 +75,7 @@
 impl GatewayFixture {
     /// Sends one request over a new connection.
     pub async fn send(&self, method: &str, path: &str, id: &str) -> Message {
-        once(&self.gateway.clients, method, path, id).await.expect("an answer")
+        request_once(&self.gateway.clients, method, path, id).await.expect("an answer")
     }
 
     /// Sends raw bytes over a new connection; `None` if it closes without a response.
@@ -95,7 +95,7 @@
 
     /// The first arrival of a request, of the first upstream that received it.
     pub fn first_arrival(&self, id: &str) -> Message {
-        let all = self.servers.iter().flat_map(Server::arrived);
+        let all = self.servers.iter().flat_map(Server::received);
         let mut found = all.filter(|message| message.header("x-request-id") == Some(id));
         found.next().expect("it has arrived")
     }
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -9,12 +9,12 @@
 use coursestile::explain::{LogLine, request_timeline};
 use coursestile_standins::fleet::programs;
 use coursestile_standins::site::eventually;
-use coursestile_standins::site::server::Act;
+use coursestile_standins::site::server::Behavior;
 
 #[tokio::test]
 async fn cause_told() {
     let fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::Close, Act::NotRun]);
+    fixture.servers[0].script(&[Behavior::Close, Behavior::NotRun]);
     assert_eq!(fixture.send("POST", "/once/", "r-lost").await.status(), 502);
     assert_eq!(fixture.send("POST", "/once/", "r-full").await.status(), 503);
     assert_eq!(fixture.send("POST", "/once/", "r-good").await.status(), 200);
--- a/tests/gateway_crashes.rs
+++ b/tests/gateway_crashes.rs
@@ -10,7 +10,7 @@
 use common::wait_ready;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::server::{Act, Server};
+use coursestile_standins::site::server::{Behavior, Server};
 use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
 use rstest::rstest;
 
@@ -64,7 +64,7 @@
 
     /// Number of requests with this body that have arrived at the upstreams.
     fn arrivals(&self, body: &str) -> usize {
-        let arrived = self.servers.iter().flat_map(Server::arrived);
+        let arrived = self.servers.iter().flat_map(Server::received);
         arrived.filter(|request| request.body == body.as_bytes()).count()
     }
 
@@ -131,7 +131,7 @@
     let mut fleet = Fleet::start(12).await;
     for _ in 0..2 {
         for server in &fleet.servers {
-            server.then(&[Act::Held]);
+            server.script(&[Behavior::Held]);
         }
         let before = fleet.crash_count();
         let bytes = request("POST", "/once/", &format!("b-{before}"), "", "bystander");
@@ -143,7 +143,7 @@
             fleet.send("/once/", CRASHING_BODY).await;
         }
         for server in &fleet.servers {
-            server.then_nothing();
+            server.clear_script();
             server.release();
         }
         bystander.await.expect("the task does not panic");
@@ -158,11 +158,11 @@
     let mut fleet = Fleet::start(4).await;
     for _ in 0..4 {
         for server in &fleet.servers {
-            server.then(&[Act::Close]);
+            server.script(&[Behavior::Close]);
         }
         let answer = fleet.send("/once/", "unlucky").await.expect("an answer");
         assert_eq!(answer.status(), 502);
-        fleet.servers.iter().for_each(Server::then_nothing);
+        fleet.servers.iter().for_each(Server::clear_script);
     }
     let answer = fleet.send("/once/", "unlucky").await.expect("an answer");
     assert_eq!(answer.status(), 200);
--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -18,7 +18,7 @@
 use common::{GatewayFixture, wait_ready};
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::server::{Act, Server, events_text};
+use coursestile_standins::site::server::{Behavior, Server, events_text};
 use coursestile_standins::site::{Site, document, entry, eventually};
 use futures_util::future::{join, join_all};
 use serde_json::json;
@@ -64,8 +64,9 @@
 /// order.
 async fn wait_arrived<'a>(fixture: &'a GatewayFixture, id: &str, times: usize) -> Vec<&'a Server> {
     eventually("the request arrives", async || fixture.arrival_count(id) >= times).await;
-    let ran_at =
-        |server: &Server| server.ran().iter().find(|ran| ran.request_id == id).map(|ran| ran.at);
+    let ran_at = |server: &Server| {
+        server.executed().iter().find(|ran| ran.request_id == id).map(|ran| ran.at)
+    };
     let mut servers: Vec<_> =
         fixture.servers.iter().filter(|server| ran_at(server).is_some()).collect();
     servers.sort_by_key(|server| ran_at(server));
@@ -82,13 +83,17 @@
 }
 
 /// Routes and upstreams' behaviour that leave a request waiting for its answer, or for the rest.
-fn waiting_cases() -> [(&'static str, Act); 3] {
-    [("/safe/", Act::Held), ("/resume/", Act::Held), ("/resume/", Act::HeldEvents(2))]
+fn waiting_cases() -> [(&'static str, Behavior); 3] {
+    [
+        ("/safe/", Behavior::Held),
+        ("/resume/", Behavior::Held),
+        ("/resume/", Behavior::HeldEvents(2)),
+    ]
 }
 
 fn assert_whole(path: &str, answer: &Message) {
     let text = if path == "/safe/" { "answer to r-1: ".to_owned() } else { events_text("r-1", 0) };
-    assert_eq!((answer.status(), answer.whole, answer.text()), (200, true, text));
+    assert_eq!((answer.status(), answer.complete, answer.text()), (200, true, text));
 }
 
 /// A removed entry says that an upstream gets no more requests, and nothing about those that it
@@ -97,7 +102,7 @@
 async fn gone_serves_on() {
     let cases = waiting_cases().map(async |(path, act)| {
         let fixture = start_fixture(3, 3, 1000).await;
-        fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
         let answer = send(&fixture, path, "r-1");
         let server = wait_arrived(&fixture, "r-1", 1).await[0];
         remove_entry(&fixture, server).await;
@@ -133,10 +138,10 @@
     join(join_all(cases), assert_last_upstream_awaited()).await;
 }
 
-async fn assert_silent_awaited(path: &str, act: Act, limits: (usize, u32, u32)) {
+async fn assert_silent_awaited(path: &str, act: Behavior, limits: (usize, u32, u32)) {
     let (servers, attempts, retry_extra) = limits;
     let fixture = start_fixture(servers, attempts, retry_extra).await;
-    fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+    fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
     let answer = send(&fixture, path, "r-1");
     let server = wait_arrived(&fixture, "r-1", 1).await[0];
     tokio::time::sleep(LONG_SILENCE).await;
@@ -149,7 +154,7 @@
 /// The box waits for the last upstream that a request may be sent to, even if it is silent.
 async fn assert_last_upstream_awaited() {
     let fixture = start_fixture(3, 2, 1000).await;
-    fixture.servers.iter().for_each(|server| server.then(&[Act::Held]));
+    fixture.servers.iter().for_each(|server| server.script(&[Behavior::Held]));
     let answer = send(&fixture, "/resume/", "r-1");
     let last_upstream = wait_arrived(&fixture, "r-1", 2).await[1];
     tokio::time::sleep(LONG_SILENCE).await;
@@ -164,7 +169,7 @@
 async fn silent_left() {
     let cases = waiting_cases().map(async |(path, act)| {
         let fixture = start_fixture(3, 2, 1000).await;
-        fixture.servers.iter().for_each(|server| server.then(std::slice::from_ref(&act)));
+        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
         let answer = send(&fixture, path, "r-1");
         let first = wait_arrived(&fixture, "r-1", 1).await[0];
         wait_arrived(&fixture, "r-1", 2).await;
@@ -181,7 +186,7 @@
 #[tokio::test]
 async fn first_to_speak() {
     let fixture = start_fixture(2, 2, 1000).await;
-    fixture.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
+    fixture.servers.iter().for_each(|server| server.script(&[Behavior::HeldEvents(2)]));
     let answer = send(&fixture, "/resume/", "r-1");
     let first = wait_arrived(&fixture, "r-1", 1).await[0];
     wait_arrived(&fixture, "r-1", 2).await;
@@ -196,13 +201,13 @@
 #[tokio::test]
 async fn left_again() {
     let fixture = start_fixture(3, 3, 1000).await;
-    fixture.servers.iter().for_each(|server| server.then(&[Act::HeldEvents(2)]));
+    fixture.servers.iter().for_each(|server| server.script(&[Behavior::HeldEvents(2)]));
     let answer = send(&fixture, "/resume/", "r-1");
     let first = wait_arrived(&fixture, "r-1", 1).await[0];
     let others = fixture.servers.iter().filter(|server| server.id != first.id);
     others.for_each(|server| {
-        server.then_nothing();
-        server.then(&[Act::NotRun]);
+        server.clear_script();
+        server.script(&[Behavior::NotRun]);
     });
     eventually("both other upstreams are tried", async || fixture.arrival_count("r-1") == 3).await;
     fixture.servers.iter().for_each(Server::release);
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -27,7 +27,7 @@
     );
     let answer = fixture.send_raw(bytes.as_bytes()).await;
     assert!(answer.is_none_or(|answer| answer.status() == 400), "{head}");
-    let arrived = fixture.servers[0].arrived();
+    let arrived = fixture.servers[0].received();
     assert!(arrived.iter().all(|request| request.header("x-request-id") != Some("r")), "{head}");
 }
 
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -13,7 +13,7 @@
 use coursestile::platform::exchange::answer_head;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::server::{Act, Server};
+use coursestile_standins::site::server::{Behavior, Server};
 use coursestile_standins::site::{Gateway, Site, entry, eventually};
 use hyper::{HeaderMap, StatusCode};
 use rstest::rstest;
@@ -39,10 +39,10 @@
     gateway: &Gateway,
     path: &str,
 ) -> &'a Server {
-    let before: Vec<usize> = fixture.servers.iter().map(|server| server.arrived().len()).collect();
+    let before: Vec<usize> = fixture.servers.iter().map(|server| server.received().len()).collect();
     send(gateway, path, &format!("{path}-favourite-{before:?}")).await;
     let mut servers = fixture.servers.iter().zip(before);
-    let found = servers.find(|(server, before)| server.arrived().len() > *before);
+    let found = servers.find(|(server, before)| server.received().len() > *before);
     found.expect("an upstream got the request").0
 }
 
@@ -58,12 +58,12 @@
     path: &str,
     server: &Server,
 ) -> usize {
-    let before = server.arrived().len();
+    let before = server.received().len();
     for number in 0..20 {
         let answer = send(gateway, path, &format!("{path}-{before}-{number}")).await;
         assert_eq!(answer.status(), 200, "{}", fixture.gateway.logged());
     }
-    server.arrived().len() - before
+    server.received().len() - before
 }
 
 #[rstest]
@@ -73,7 +73,7 @@
 async fn leaving_heeded(#[case] path: &str) {
     let fixture = start_fixture(2).await;
     let leaving_upstream = preferred_upstream(&fixture, &fixture.gateway, path).await;
-    leaving_upstream.then(&[Act::Leaving]);
+    leaving_upstream.script(&[Behavior::Leaving]);
     send(&fixture.gateway, path, "told").await;
     assert_eq!(count_reaching(&fixture, &fixture.gateway, path, leaving_upstream).await, 0);
     // Its heartbeats do not announce that it leaves, and its entry may expire and come back.
@@ -103,7 +103,7 @@
     let mut fixture = start_fixture(1).await;
     let peer = fixture.site.gateway("north", &[&fixture.gateway]);
     wait_ready(&peer).await;
-    fixture.servers[0].then(&[Act::Leaving]);
+    fixture.servers[0].script(&[Behavior::Leaving]);
     send(&fixture.gateway, "/safe/", "told").await;
     eventually("the peer avoids the upstream", async || {
         send(&peer, "/safe/", "r-1").await.status() == 503
@@ -117,7 +117,7 @@
 async fn notices_end() {
     let fixture = start_fixture(1).await;
     let server = &fixture.servers[0];
-    server.then(&[Act::Leaving]);
+    server.script(&[Behavior::Leaving]);
     send(&fixture.gateway, "/safe/", "told").await;
     assert_eq!(send(&fixture.gateway, "/safe/", "r-1").await.status(), 503);
     let mut restarted = entry("plain", &server.address, "ready");
@@ -136,7 +136,7 @@
 async fn rest_heeded(#[case] path: &str) {
     let fixture = start_fixture(2).await;
     let backing_off = preferred_upstream(&fixture, &fixture.gateway, path).await;
-    backing_off.then(&[Act::Rest(BACKOFF)]);
+    backing_off.script(&[Behavior::RetryAfter(BACKOFF)]);
     send(&fixture.gateway, path, "told").await;
     let since = Instant::now();
     while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
@@ -155,13 +155,13 @@
 async fn all_rest() {
     let fixture = start_fixture(2).await;
     for server in &fixture.servers {
-        server.then(&[Act::Rest(BACKOFF)]);
+        server.script(&[Behavior::RetryAfter(BACKOFF)]);
     }
     // The route allows two attempts: the second upstream gets what the first one has rejected.
     send(&fixture.gateway, "/once/", "told").await;
-    assert!(fixture.servers.iter().all(|server| !server.arrived().is_empty()));
+    assert!(fixture.servers.iter().all(|server| !server.received().is_empty()));
     let since = Instant::now();
-    let before: usize = fixture.servers.iter().map(|server| server.arrived().len()).sum();
+    let before: usize = fixture.servers.iter().map(|server| server.received().len()).sum();
     let mut sent = 0;
     while since.elapsed() < BACKOFF.saturating_sub(BACKOFF_APPLY) {
         sent += 1;
@@ -176,7 +176,7 @@
         assert!(after_s >= backoff_left - 0.5, "{after_s} s, {backoff_left} s left");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    let arrived: usize = fixture.servers.iter().map(|server| server.arrived().len()).sum();
+    let arrived: usize = fixture.servers.iter().map(|server| server.received().len()).sum();
     assert_eq!(arrived, before);
     let log = fixture.gateway.logged();
     let held_ms = log
@@ -210,7 +210,7 @@
         1,
     )
     .await;
-    backing_off.then(&[Act::Rest(Duration::from_secs(20))]);
+    backing_off.script(&[Behavior::RetryAfter(Duration::from_secs(20))]);
     send(&fixture.gateway, "/safe/", "told").await;
     fixture.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
     wait_logged(&peer, &format!("event=upstream_seen upstream={}", other_upstream.id), 2).await;
@@ -226,10 +226,10 @@
 async fn turned_away() {
     let fixture = start_fixture(2).await;
     let refusing = preferred_upstream(&fixture, &fixture.gateway, "/once/").await;
-    refusing.then(&vec![Act::NotRun; 40]);
+    refusing.script(&vec![Behavior::NotRun; 40]);
     let tried = count_reaching(&fixture, &fixture.gateway, "/once/", refusing).await;
     assert!((1..=4).contains(&tried), "{tried} of 20");
-    refusing.then_nothing();
+    refusing.clear_script();
     eventually("the upstream gets requests again", async || {
         count_reaching(&fixture, &fixture.gateway, "/once/", refusing).await > 0
     })
--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -5,22 +5,22 @@
 mod common;
 
 use common::{start_fixture, wait_ready};
-use coursestile_standins::site::client::once;
-use coursestile_standins::site::server::{Act, Server};
+use coursestile_standins::site::client::request_once;
+use coursestile_standins::site::server::{Behavior, Server};
 use coursestile_standins::site::{entry, eventually};
 use rstest::rstest;
 use serde_json::json;
 
 #[rstest]
-#[case::closed(Act::Close)]
-#[case::other_answer(Act::OtherId)]
-#[case::no_proof(Act::NoSeal)]
-#[case::cut_body(Act::CutBody)]
+#[case::closed(Behavior::Close)]
+#[case::other_answer(Behavior::WrongRequestId)]
+#[case::no_proof(Behavior::MissingSeal)]
+#[case::cut_body(Behavior::TruncatedBody)]
 #[tokio::test]
-async fn never_again(#[case] act: Act) {
+async fn never_again(#[case] act: Behavior) {
     let fixture = start_fixture(2).await;
     for server in &fixture.servers {
-        server.then(std::slice::from_ref(&act));
+        server.script(std::slice::from_ref(&act));
     }
     let answer = fixture.send("POST", "/once/", "r-1").await;
     // The client must get neither "not run" nor an answer that is not the upstream's.
@@ -33,7 +33,7 @@
 async fn again_when_not_run() {
     let fixture = start_fixture(2).await;
     for server in &fixture.servers {
-        server.then(&[Act::NotRun]);
+        server.script(&[Behavior::NotRun]);
     }
     // Two attempts are allowed, and both are rejected: the request has certainly not run.
     let answer = fixture.send("POST", "/once/", "r-1").await;
@@ -50,7 +50,7 @@
 async fn again_when_misdirected() {
     let mut fixture = start_fixture(1).await;
     let other_incarnation = Server::start("a-old").await;
-    other_incarnation.then(&vec![Act::OtherIncarnation; 100]);
+    other_incarnation.script(&vec![Behavior::OtherIncarnation; 100]);
     // The box prefers an upstream of its own hall, so the other one is in another hall.
     let mut remote_entry = entry("plain", &fixture.servers[0].address, "ready");
     remote_entry["zone"] = json!("south");
@@ -69,13 +69,13 @@
         let answer = fixture.send("POST", ONE_ATTEMPT, &id).await;
         assert_eq!((answer.status(), fixture.arrival_count(&id)), (200, 1));
     }
-    assert_eq!(other_incarnation.arrived().len(), 1, "one such answer is enough");
+    assert_eq!(other_incarnation.received().len(), 1, "one such answer is enough");
     eventually("the peer avoids the upstream", async || {
-        let before = other_incarnation.arrived().len();
+        let before = other_incarnation.received().len();
         for number in 0..4 {
-            once(&peer.clients, "POST", ONE_ATTEMPT, &format!("p-{number}")).await.unwrap();
+            request_once(&peer.clients, "POST", ONE_ATTEMPT, &format!("p-{number}")).await.unwrap();
         }
-        other_incarnation.arrived().len() == before
+        other_incarnation.received().len() == before
     })
     .await;
 }
@@ -97,7 +97,7 @@
 #[tokio::test]
 async fn surplus_answer() {
     let fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::Twice]);
+    fixture.servers[0].script(&[Behavior::DuplicateAnswer]);
     for number in 0..5 {
         let id = format!("r-{number}");
         let answer = fixture.send("POST", "/once/", &id).await;
@@ -109,7 +109,7 @@
 #[tokio::test]
 async fn time_over() {
     let fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::After(std::time::Duration::from_secs(20))]);
+    fixture.servers[0].script(&[Behavior::DelayedAnswer(std::time::Duration::from_secs(20))]);
     let bytes = coursestile_standins::site::client::request("POST", "/once/", "r-1", "", "");
     let short_deadline =
         String::from_utf8(bytes).unwrap().replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 300");
@@ -120,7 +120,7 @@
 #[tokio::test]
 async fn without_length() {
     let fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::Unframed]);
+    fixture.servers[0].script(&[Behavior::NoLength]);
     let answer = fixture.send("POST", "/once/", "r-1").await;
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: "));
 }
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -13,7 +13,7 @@
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::engine::{Engine, MODEL};
-use coursestile_standins::site::server::{Act, Server};
+use coursestile_standins::site::server::{Behavior, Server};
 use coursestile_standins::site::{
     Gateway, Site, document, engine_entry, engine_services, entry, eventually,
 };
@@ -186,7 +186,7 @@
     site.configure(&document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
-    server.then(&[Act::Close]);
+    server.script(&[Behavior::Close]);
     let send = async |id: &str| {
         let bytes = request("POST", "/once/x", id, "", "");
         Client::connect(&gateway.clients).await.send(&bytes).await.expect("an answer").status()
--- a/tests/gateway_routing.rs
+++ b/tests/gateway_routing.rs
@@ -5,7 +5,7 @@
 
 use common::start_fixture;
 use coursestile_standins::site::Site;
-use coursestile_standins::site::client::{once, request};
+use coursestile_standins::site::client::{request, request_once};
 
 #[tokio::test]
 async fn passed_whole() {
@@ -16,7 +16,7 @@
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: the body"));
     assert_eq!(answer.header("x-server-seal"), Some("seal-r-1"));
     let arrived = fixture.first_arrival("r-1");
-    assert_eq!(arrived.start, "POST /safe/a/b?c=d HTTP/1.1");
+    assert_eq!(arrived.start_line, "POST /safe/a/b?c=d HTTP/1.1");
     assert_eq!(arrived.text(), "the body");
     assert_eq!(arrived.header("x-own"), Some("kept"));
     assert_eq!(arrived.header("x-tenant"), Some("petra"));
@@ -47,7 +47,7 @@
         tokio::net::TcpStream::connect(&gateway.clients).await.is_ok()
     })
     .await;
-    let answer = once(&gateway.clients, "GET", "/safe/", "r-1").await.unwrap();
+    let answer = request_once(&gateway.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 503);
     assert!(answer.header("retry-after").is_some());
     assert!(!common::is_ready(&gateway).await);
@@ -55,10 +55,10 @@
 
 #[tokio::test]
 async fn repeated_elsewhere() {
-    use coursestile_standins::site::server::Act;
+    use coursestile_standins::site::server::Behavior;
     let fixture = start_fixture(3).await;
     for server in &fixture.servers {
-        server.then(&[Act::Close]);
+        server.script(&[Behavior::Close]);
     }
     // Three attempts are allowed, and the first connection to each upstream is closed.
     let answer = fixture.send("GET", "/safe/", "r-1").await;
@@ -70,12 +70,12 @@
 /// Without retry budget, the client gets the upstream's own answer.
 #[tokio::test]
 async fn failure_unrepeated() {
-    use coursestile_standins::site::server::Act;
+    use coursestile_standins::site::server::Behavior;
     let mut site = Site::start().await;
     site.retry_extra = 0;
     let fixture = common::start_fixture_on(site, 2).await;
     for server in &fixture.servers {
-        server.then(&[Act::Status(500)]);
+        server.script(&[Behavior::Status(500)]);
     }
     let answer = fixture.send("GET", "/safe/", "r-1").await;
     assert_eq!((answer.status(), answer.header("x-server-seal")), (500, Some("seal-r-1")));
@@ -84,24 +84,27 @@
 
 #[tokio::test]
 async fn long_answers() {
-    use coursestile_standins::site::server::Act;
+    use coursestile_standins::site::server::Behavior;
     let fixture = start_fixture(1).await;
     for (path, id) in [("/once/", "r-1"), ("/safe/", "r-2")] {
-        fixture.servers[0].then(&[Act::Long(700_000)]);
+        fixture.servers[0].script(&[Behavior::LargeBody(700_000)]);
         let answer = fixture.send("POST", path, id).await;
-        assert_eq!((answer.status(), answer.whole, answer.body.len()), (200, true, 700_000));
+        assert_eq!((answer.status(), answer.complete, answer.body.len()), (200, true, 700_000));
         assert_eq!(fixture.arrival_count(id), 1);
     }
-    fixture.servers[0].then(&[Act::LongCut(700_000)]);
+    fixture.servers[0].script(&[Behavior::TruncatedLargeBody(700_000)]);
     let answer = fixture.send("POST", "/once/", "r-3").await;
-    assert!(answer.status() == 200 && !answer.whole, "a truncated answer must not look complete");
+    assert!(
+        answer.status() == 200 && !answer.complete,
+        "a truncated answer must not look complete"
+    );
 }
 
 #[tokio::test]
 async fn own_failure_kept() {
-    use coursestile_standins::site::server::Act;
+    use coursestile_standins::site::server::Behavior;
     let fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::Status(500)]);
+    fixture.servers[0].script(&[Behavior::Status(500)]);
     let answer = fixture.send("POST", "/once/", "r-1").await;
     assert_eq!(answer.status(), 500);
     assert_eq!(answer.header("x-server-seal"), Some("seal-r-1"));
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -11,7 +11,7 @@
 use coursestile::gateway::catch_up::{self, PeerQuery};
 use coursestile::gateway::kernel::Gateway as Kernel;
 use coursestile::gateway::settings::Settings;
-use coursestile_standins::site::client::once;
+use coursestile_standins::site::client::request_once;
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::server::Server;
@@ -91,7 +91,7 @@
     }
 
     async fn send(&self, id: &str) -> u16 {
-        let answer = once(&self.client_proxy.address, "GET", "/safe/", id).await;
+        let answer = request_once(&self.client_proxy.address, "GET", "/safe/", id).await;
         answer.expect("an answer").status()
     }
 
@@ -142,12 +142,12 @@
     while left_at.elapsed() < DEPARTURE_APPLY {
         tokio::time::sleep(POLL_PERIOD).await;
     }
-    let before = proxied.servers[0].arrived().len();
+    let before = proxied.servers[0].received().len();
     for number in 0..12 {
         assert_eq!(proxied.send(&format!("r-{number}")).await, 200);
     }
     assert_eq!(
-        proxied.servers[0].arrived().len(),
+        proxied.servers[0].received().len(),
         before,
         "the upstream got a request after it had left"
     );
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -8,12 +8,12 @@
 use common::{is_ready, start_fixture};
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::eventually;
-use coursestile_standins::site::server::Act;
+use coursestile_standins::site::server::Behavior;
 
 #[tokio::test]
 async fn nothing_cut() {
     let mut fixture = start_fixture(1).await;
-    fixture.servers[0].then(&[Act::After(Duration::from_secs(4))]);
+    fixture.servers[0].script(&[Behavior::DelayedAnswer(Duration::from_secs(4))]);
     let slow_request = request("POST", "/once/", "r-1", "", "");
     let slow_request = String::from_utf8(slow_request)
         .unwrap()
--- a/tests/gateway_view.rs
+++ b/tests/gateway_view.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use common::{is_ready, start_fixture, wait_ready};
-use coursestile_standins::site::client::once;
+use coursestile_standins::site::client::request_once;
 use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::server::Server;
 use coursestile_standins::site::{Site, document, entry, eventually};
@@ -75,7 +75,7 @@
     fixture.site.metadata.set_fault(StoreFault::Unresponsive);
     let late_box = fixture.site.gateway("east", &[&fixture.gateway]);
     wait_ready(&late_box).await;
-    let answer = once(&late_box.clients, "GET", "/safe/", "r-1").await.unwrap();
+    let answer = request_once(&late_box.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 200);
 }
 
@@ -131,8 +131,8 @@
     for number in 0..10 {
         fixture.send("GET", "/safe/", &format!("r-{number}")).await;
     }
-    assert_eq!(leaving.arrived().len(), 0);
-    assert_eq!(fixture.servers[1].arrived().len(), 10);
+    assert_eq!(leaving.received().len(), 0);
+    assert_eq!(fixture.servers[1].received().len(), 10);
 }
 
 #[tokio::test]
@@ -155,7 +155,7 @@
         gateway.logged().contains("dependency_regained")
     })
     .await;
-    let answer = once(&gateway.clients, "GET", "/safe/", "r-1").await.unwrap();
+    let answer = request_once(&gateway.clients, "GET", "/safe/", "r-1").await.unwrap();
     assert_eq!(answer.status(), 200);
     tokio::time::sleep(Duration::from_millis(300)).await;
     site.enter("s-0", &entry("plain", &server.address, "ready"));
@@ -164,6 +164,6 @@
     })
     .await;
     assert!(!gateway.logged().contains("event=upstream_gone upstream=s-0"));
-    let answer = once(&gateway.clients, "GET", "/safe/", "r-2").await.unwrap();
+    let answer = request_once(&gateway.clients, "GET", "/safe/", "r-2").await.unwrap();
     assert_eq!(answer.status(), 200);
 }
--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -61,7 +61,7 @@
         fixture.send("GET", "/safe/", &format!("r-{number}")).await;
     }
     assert_eq!(
-        leaving.arrived().len(),
+        leaving.received().len(),
         0,
         "the upstream got a request after it had announced that it was leaving"
     );
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -253,7 +253,7 @@
 async fn assert_all_moved(fleet: &Fleet, streams: [JoinHandle<Message>; 4]) {
     for stream in streams {
         let answer = stream.await.unwrap();
-        assert!(answer.whole);
+        assert!(answer.complete);
         assert_eq!(answer.text(), "id: 1\ndata: piece\n\nid: 2\ndata: end\n\n");
     }
     assert!(STREAMS.iter().all(|id| fleet.run_count(id) == 2));
