--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -112,9 +112,9 @@
             Event::EngineRestarts => self.restart_engine(pick, time).await,
             Event::EngineOrdersLate => {
                 let engine = &self.engines[pick % self.engines.len()].process;
-                engine.take_orders_late(Some(LATE + LATE_STEP * u32::try_from(pick).unwrap_or(0)));
+                engine.delay_orders(Some(LATE + LATE_STEP * u32::try_from(pick).unwrap_or(0)));
                 sleep(time).await;
-                engine.take_orders_late(None);
+                engine.delay_orders(None);
             }
             Event::EngineHangs => {
                 let time_ms = u64::try_from(time.as_millis()).unwrap_or_default();
@@ -157,7 +157,7 @@
             return;
         }
         let mut entry = engine_entry(ENGINE_SERVICE, &engine.proxy.address, MODEL, version);
-        entry["born"] = json!(engine.process.born());
+        entry["born"] = json!(engine.process.started_at_ms());
         entry["seq"] = json!(0);
         self.site.enter(&format!("e-{number}"), &entry);
     }
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -21,7 +21,7 @@
 /// Time that a load of weights takes.
 const LOAD_TIME: Duration = Duration::from_millis(60);
 /// Longest wait for events.
-const WAIT: Duration = Duration::from_millis(200);
+const MAX_EVENT_WAIT: Duration = Duration::from_millis(200);
 /// Model that every engine has.
 pub const MODEL: &str = "model-a";
 
@@ -36,7 +36,7 @@
     pub holder: String,
     /// Fencing token.
     pub fence: u64,
-    /// Orders that must have been taken before.
+    /// OrderHandling that must have been taken before.
     pub expected: Option<u64>,
     /// When it arrived, in Unix milliseconds.
     #[serde(skip)]
@@ -45,7 +45,7 @@
 
 /// A load of weights that ended well.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Loaded {
+pub struct CompletedLoad {
     /// Version that it has since.
     pub version: u64,
     /// Since when, in Unix milliseconds.
@@ -59,38 +59,38 @@
     pub headers: BTreeMap<String, String>,
     /// When it arrived, in Unix milliseconds.
     pub at_ms: u64,
-    /// Version that it began on; none when it was turned away or came during a load,
+    /// Version that it started_version on; none when it was turned away or came during a load,
     /// when engines of the platform turn it away.
     pub version: Option<u64>,
 }
 
 /// When a request arrived, in Unix milliseconds.
 #[derive(Clone, Copy)]
-struct Arrived(u64);
+struct ArrivedAtMs(u64);
 
 /// What becomes of orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Orders {
+enum OrderHandling {
     /// They are carried out.
     #[default]
-    Taken,
+    Accept,
     /// They are turned away.
-    Refused,
+    Refuse,
     /// Neither they nor questions for its report are answered.
-    Unanswered,
+    Ignore,
     /// They are taken, and their loads never end.
-    Endless,
+    NeverFinish,
     /// They are not answered, and carried out after a time if they are not void by then.
-    Late(Duration),
+    Delay(Duration),
 }
 
 /// What a test makes it do wrong.
 #[derive(Default)]
 struct Faults {
-    hides_start: bool,
-    holds_streams: bool,
+    omits_start_time: bool,
+    stalls_streams: bool,
     queues_runs: bool,
-    orders: Orders,
+    order_handling: OrderHandling,
     hangs_until_ms: u64,
     failing_listings: u32,
     clock_ms: Option<f64>,
@@ -100,26 +100,26 @@
 struct State {
     version: u64,
     /// Start of this run, in Unix milliseconds.
-    born: u64,
+    started_at_ms: u64,
     /// Changes with each run, for those who follow what is kept.
     boot: u64,
     orders: Vec<Order>,
-    loaded: Vec<Loaded>,
-    taken: u64,
+    completed_loads: Vec<CompletedLoad>,
+    accepted_orders: u64,
     busy: bool,
     held: Vec<(String, String, u32)>,
     partial: Vec<(String, String, u32, u32)>,
     /// What it lists beside the parts that it keeps.
-    spoiled: Vec<Value>,
+    extra_items: Vec<Value>,
     events: Vec<Value>,
-    freed: Vec<(String, String)>,
+    freed_parts: Vec<(String, String)>,
     runs: Vec<Run>,
     faults: Faults,
 }
 
 impl State {
-    fn told_start(&self) -> Option<u64> {
-        (!self.faults.hides_start).then_some(self.born)
+    fn reported_start(&self) -> Option<u64> {
+        (!self.faults.omits_start_time).then_some(self.started_at_ms)
     }
 
     fn clock(&self) -> Value {
@@ -127,9 +127,9 @@
     }
 
     /// The state of a run that has just started.
-    fn of_run(version: u64) -> Self {
-        let born = now_ms();
-        Self { version, born, boot: born, ..Self::default() }
+    fn new_incarnation(version: u64) -> Self {
+        let started_at_ms = now_ms();
+        Self { version, started_at_ms, boot: started_at_ms, ..Self::default() }
     }
 }
 
@@ -149,7 +149,7 @@
     /// # Panics
     /// Panics when no address can be had.
     pub async fn start() -> Self {
-        let state: Shared = Arc::new(Mutex::new(State::of_run(1)));
+        let state: Shared = Arc::new(Mutex::new(State::new_incarnation(1)));
         let hanging = state.clone();
         let app = Route::new()
             .at("/coursestile/report", get(report))
@@ -161,8 +161,8 @@
             .around(move |app, mut request| {
                 let hanging = hanging.clone();
                 async move {
-                    request.set_data(Arrived(now_ms()));
-                    hang(&hanging).await;
+                    request.set_data(ArrivedAtMs(now_ms()));
+                    wait_while_hung(&hanging).await;
                     app.call(request).await
                 }
             });
@@ -189,8 +189,8 @@
 
     /// Start of its run, in Unix milliseconds.
     #[must_use]
-    pub fn born(&self) -> u64 {
-        self.state().born
+    pub fn started_at_ms(&self) -> u64 {
+        self.state().started_at_ms
     }
 
     /// Starts again, with older or newer weights: nothing of before is known or kept, and
@@ -198,13 +198,22 @@
     pub fn restart(&self, version: u64) {
         let mut state = self.state();
         let (orders, runs) = (state.orders.clone(), state.runs.clone());
-        let loaded = state.loaded.clone();
-        let faults = Faults { hides_start: state.faults.hides_start, ..Faults::default() };
-        let born = now_ms().max(state.born + 1);
-        *state = State { born, boot: born, faults, orders, loaded, runs, ..State::of_run(version) };
-    }
-
-    /// Orders that have arrived.
+        let completed_loads = state.completed_loads.clone();
+        let faults =
+            Faults { omits_start_time: state.faults.omits_start_time, ..Faults::default() };
+        let started_at_ms = now_ms().max(state.started_at_ms + 1);
+        *state = State {
+            started_at_ms,
+            boot: started_at_ms,
+            faults,
+            orders,
+            completed_loads,
+            runs,
+            ..State::new_incarnation(version)
+        };
+    }
+
+    /// OrderHandling that have arrived.
     #[must_use]
     pub fn orders(&self) -> Vec<Order> {
         self.state().orders.clone()
@@ -212,8 +221,8 @@
 
     /// Loads that have ended well, the first one first.
     #[must_use]
-    pub fn loaded(&self) -> Vec<Loaded> {
-        self.state().loaded.clone()
+    pub fn completed_loads(&self) -> Vec<CompletedLoad> {
+        self.state().completed_loads.clone()
     }
 
     /// Runs that have arrived.
@@ -224,12 +233,12 @@
 
     /// Parts that were freed.
     #[must_use]
-    pub fn freed(&self) -> Vec<(String, String)> {
-        self.state().freed.clone()
+    pub fn freed_parts(&self) -> Vec<(String, String)> {
+        self.state().freed_parts.clone()
     }
 
     /// Keeps a part, and tells it.
-    pub fn keep(&self, scope: &str, part: &str, tokens: u32) {
+    pub fn cache_part(&self, scope: &str, part: &str, tokens: u32) {
         let mut state = self.state();
         let number = state.events.len() + 1;
         state.held.push((scope.to_owned(), part.to_owned(), tokens));
@@ -237,8 +246,8 @@
     }
 
     /// Lets streams stand still after their first event, unless they go on with one.
-    pub fn hold_streams(&self) {
-        self.state().faults.holds_streams = true;
+    pub fn stall_streams(&self) {
+        self.state().faults.stalls_streams = true;
     }
 
     /// Keeps runs waiting from now on, without an answer.
@@ -247,34 +256,35 @@
     }
 
     /// Tells nobody when it started, as upstreams of older software.
-    pub fn hide_start(&self) {
-        self.state().faults.hides_start = true;
+    pub fn omit_start_time(&self) {
+        self.state().faults.omits_start_time = true;
     }
 
     /// Takes no order from now on.
     pub fn refuse_orders(&self) {
-        self.state().faults.orders = Orders::Refused;
+        self.state().faults.order_handling = OrderHandling::Refuse;
     }
 
     /// Takes orders again.
-    pub fn take_orders(&self) {
-        self.state().faults.orders = Orders::Taken;
+    pub fn accept_orders(&self) {
+        self.state().faults.order_handling = OrderHandling::Accept;
     }
 
     /// Answers no order and no question for its report from now on; it still serves.
-    pub fn hang(&self) {
-        self.state().faults.orders = Orders::Unanswered;
+    pub fn ignore_orders(&self) {
+        self.state().faults.order_handling = OrderHandling::Ignore;
     }
 
     /// Takes orders, and never ends the load, from now on.
-    pub fn load_for_ever(&self) {
-        self.state().faults.orders = Orders::Endless;
+    pub fn never_finish_loads(&self) {
+        self.state().faults.order_handling = OrderHandling::NeverFinish;
     }
 
     /// Leaves orders without an answer, and carries them out after a time if they are not
     /// void by then; or ends that.
-    pub fn take_orders_late(&self, delay: Option<Duration>) {
-        self.state().faults.orders = delay.map_or(Orders::Taken, Orders::Late);
+    pub fn delay_orders(&self, delay: Option<Duration>) {
+        self.state().faults.order_handling =
+            delay.map_or(OrderHandling::Accept, OrderHandling::Delay);
     }
 
     /// Says nothing and begins nothing until a deadline, in Unix milliseconds.
@@ -288,22 +298,22 @@
     }
 
     /// Lists something in place of a part that it keeps.
-    pub fn list_also(&self, item: Value) {
-        self.state().spoiled.push(item);
+    pub fn list_extra_item(&self, item: Value) {
+        self.state().extra_items.push(item);
     }
 
     /// Tells something in place of a change.
-    pub fn tell_also(&self, change: Value) {
+    pub fn publish_raw_event(&self, change: Value) {
         self.state().events.push(change);
     }
 
     /// Shows this on its clock, in Unix milliseconds.
-    pub fn show_clock(&self, clock_ms: f64) {
+    pub fn set_clock(&self, clock_ms: f64) {
         self.state().faults.clock_ms = Some(clock_ms);
     }
 
     /// Has a part whose writing broke off.
-    pub fn keep_partial(&self, scope: &str, part: &str) {
+    pub fn add_incomplete_part(&self, scope: &str, part: &str) {
         self.state().partial.push((scope.to_owned(), part.to_owned(), 16, 500));
     }
 }
@@ -315,25 +325,25 @@
 }
 
 /// Waits for ever if it answers nothing.
-async fn pass(shared: &Shared) {
-    let orders = shared.lock().expect("state").faults.orders;
-    if orders == Orders::Unanswered {
+async fn wait_if_ignoring(shared: &Shared) {
+    let orders = shared.lock().expect("state").faults.order_handling;
+    if orders == OrderHandling::Ignore {
         future::pending::<()>().await;
     }
 }
 
 #[handler]
 async fn report(Data(state): Data<&Shared>) -> Json<Value> {
-    pass(state).await;
+    wait_if_ignoring(state).await;
     let state = state.lock().expect("state");
-    Json(json!({ "stage": "both", "busy": state.busy, "seq": state.taken, "queued": 0,
+    Json(json!({ "stage": "both", "busy": state.busy, "seq": state.accepted_orders, "queued": 0,
         "in_flight": 0, "kv_used": 0, "kv_total": 100_000, "handles": 0, "clock_ms": now_ms(),
-        "born": state.told_start(),
+        "born": state.reported_start(),
         "models": [{ "name": MODEL, "version": state.version, "adapters": [] }] }))
 }
 
 /// Waits while the engine hangs.
-async fn hang(shared: &Shared) {
+async fn wait_while_hung(shared: &Shared) {
     while now_ms() < shared.lock().expect("state").faults.hangs_until_ms {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
@@ -341,43 +351,43 @@
 
 #[handler]
 async fn order(Data(shared): Data<&Shared>, Json(order): Json<Order>) -> StatusCode {
-    let (order, born, orders) = {
+    let (order, started_at_ms, orders) = {
         let mut state = shared.lock().expect("state");
         let order = Order { at_ms: now_ms(), ..order };
         state.orders.push(order.clone());
-        (order, state.born, state.faults.orders)
+        (order, state.started_at_ms, state.faults.order_handling)
     };
-    let Orders::Late(delay) = orders else {
-        pass(shared).await;
-        hang(shared).await;
-        return carry_out(shared, &order, born);
+    let OrderHandling::Delay(delay) = orders else {
+        wait_if_ignoring(shared).await;
+        wait_while_hung(shared).await;
+        return carry_out(shared, &order, started_at_ms);
     };
     let later = shared.clone();
     tokio::spawn(async move {
         tokio::time::sleep(delay).await;
-        carry_out(&later, &order, born);
+        carry_out(&later, &order, started_at_ms);
     });
     future::pending().await
 }
 
 /// Carries out an order of the run that it came to.
-fn carry_out(shared: &Shared, given: &Order, born: u64) -> StatusCode {
+fn carry_out(shared: &Shared, given: &Order, started_at_ms: u64) -> StatusCode {
     let mut state = shared.lock().expect("state");
-    if state.born != born {
+    if state.started_at_ms != started_at_ms {
         return StatusCode::MISDIRECTED_REQUEST;
     }
     if given.version == state.version {
         return StatusCode::OK;
     }
-    if state.faults.orders == Orders::Refused
+    if state.faults.order_handling == OrderHandling::Refuse
         || state.busy
-        || given.expected.is_some_and(|expected| expected != state.taken)
+        || given.expected.is_some_and(|expected| expected != state.accepted_orders)
     {
         return StatusCode::CONFLICT;
     }
     state.busy = true;
-    state.taken += 1;
-    if state.faults.orders == Orders::Endless {
+    state.accepted_orders += 1;
+    if state.faults.order_handling == OrderHandling::NeverFinish {
         return StatusCode::ACCEPTED;
     }
     let (later, version) = (shared.clone(), given.version);
@@ -385,11 +395,11 @@
         tokio::time::sleep(LOAD_TIME).await;
         let mut state = later.lock().expect("state");
         // A run that has ended loads no more.
-        if state.born != born {
+        if state.started_at_ms != started_at_ms {
             return;
         }
         state.version = version;
-        state.loaded.push(Loaded { version, at_ms: now_ms() });
+        state.completed_loads.push(CompletedLoad { version, at_ms: now_ms() });
         state.busy = false;
     });
     StatusCode::ACCEPTED
@@ -402,7 +412,7 @@
 
 #[handler]
 async fn events(Data(shared): Data<&Shared>, Query(query): Query<Since>) -> Json<Value> {
-    let until = tokio::time::Instant::now() + WAIT;
+    let until = tokio::time::Instant::now() + MAX_EVENT_WAIT;
     let since = usize::try_from(query.since).unwrap_or_default();
     while shared.lock().expect("state").events.len() <= since && tokio::time::Instant::now() < until
     {
@@ -411,7 +421,7 @@
     let state = shared.lock().expect("state");
     let events: Vec<Value> = state.events.iter().skip(since).cloned().collect();
     Json(json!({ "boot_epoch": state.boot, "next_token": state.events.len(), "lost": false,
-        "events": events, "clock_ms": state.clock(), "born": state.told_start() }))
+        "events": events, "clock_ms": state.clock(), "born": state.reported_start() }))
 }
 
 #[handler]
@@ -425,10 +435,10 @@
         .held
         .iter()
         .map(|(scope, part, tokens)| json!([scope, part, tokens, MODEL]))
-        .chain(state.spoiled.iter().cloned())
+        .chain(state.extra_items.iter().cloned())
         .collect();
     Ok(Json(json!({ "boot_epoch": state.boot, "next_token": state.events.len(), "held": held,
-        "partial": state.partial, "born": state.told_start() })))
+        "partial": state.partial, "born": state.reported_start() })))
 }
 
 #[derive(Deserialize)]
@@ -445,15 +455,15 @@
         return StatusCode::CONFLICT;
     }
     state.held.retain(|(scope, part, _)| !free.parts.contains(&(scope.clone(), part.clone())));
-    state.freed.extend(free.parts);
+    state.freed_parts.extend(free.parts);
     StatusCode::OK
 }
 
 /// The events of a run; one that holds never ends.
-fn stream_body(holds: bool, goes_on: bool) -> Body {
-    let event = if goes_on { "id: 2\ndata: end\n\n" } else { "id: 1\ndata: piece\n\n" };
+fn stream_body(stalls: bool, resumed: bool) -> Body {
+    let event = if resumed { "id: 2\ndata: end\n\n" } else { "id: 1\ndata: piece\n\n" };
     let first = stream::once(async move { std::io::Result::Ok(event) });
-    if holds { Body::from_bytes_stream(first.chain(stream::pending())) } else { event.into() }
+    if stalls { Body::from_bytes_stream(first.chain(stream::pending())) } else { event.into() }
 }
 
 fn runs(shared: Shared) -> impl Endpoint<Output = Response> {
@@ -477,14 +487,14 @@
     let mut state = shared.lock().expect("state");
     let id = headers.get("x-request-id").cloned().unwrap_or_default();
     let expected = headers.get("expect-version").and_then(|text| text.parse::<u64>().ok());
-    let goes_on = headers.contains_key("last-event-id");
-    let holds = state.faults.holds_streams && !goes_on;
+    let resumed = headers.contains_key("last-event-id");
+    let stalls = state.faults.stalls_streams && !resumed;
     let version = state.version;
-    let turned_away = expected.is_some_and(|expected| expected != version);
-    let began = (!turned_away && !state.busy).then_some(version);
-    let at_ms = request.data::<Arrived>().map_or_else(now_ms, |arrived| arrived.0);
-    state.runs.push(Run { headers, at_ms, version: began });
-    if turned_away {
+    let refused = expected.is_some_and(|expected| expected != version);
+    let started_version = (!refused && !state.busy).then_some(version);
+    let at_ms = request.data::<ArrivedAtMs>().map_or_else(now_ms, |arrived| arrived.0);
+    state.runs.push(Run { headers, at_ms, version: started_version });
+    if refused {
         return StatusCode::MISDIRECTED_REQUEST.into_response();
     }
     Response::builder()
@@ -492,5 +502,5 @@
         .header("x-server-seal", "seal")
         .header("versions", version.to_string())
         .header("content-type", "text/event-stream")
-        .body(stream_body(holds, goes_on))
+        .body(stream_body(stalls, resumed))
 }
--- a/tests/admitting.rs
+++ b/tests/admitting.rs
@@ -32,7 +32,7 @@
     let mut engines = Vec::new();
     for number in 0..ENGINES {
         let engine = Engine::start().await;
-        engine.hold_streams();
+        engine.stall_streams();
         site.enter(&format!("e-{number}"), &engine_entry("llm", &engine.address, MODEL, 1));
         engines.push(engine);
     }
--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -231,7 +231,7 @@
 
     /// Makes engines take orders again, and waits until prompts are served.
     async fn assert_served_again(&self, gateway: &Gateway) {
-        self.engines.iter().for_each(Engine::take_orders);
+        self.engines.iter().for_each(Engine::accept_orders);
         let mut number = 0;
         eventually("prompts are served again", async || {
             number += 1;
@@ -243,7 +243,7 @@
 
 /// Time from the naming of a version until an engine had it or a newer one.
 fn took_ms(engine: &Engine, named: &NamedVersion) -> Option<u64> {
-    let loaded = engine.loaded().into_iter().find(|load| load.version >= named.version);
+    let loaded = engine.completed_loads().into_iter().find(|load| load.version >= named.version);
     loaded.map(|load| load.at_ms.saturating_sub(named.at_ms))
 }
 
@@ -379,7 +379,7 @@
 #[tokio::test]
 async fn late_orders_repeated() {
     let fleet = fleet(site_with_limits(1000, APPLY_MS).await, 1, 4).await;
-    fleet.engines.iter().for_each(|engine| engine.take_orders_late(Some(Duration::from_secs(60))));
+    fleet.engines.iter().for_each(|engine| engine.delay_orders(Some(Duration::from_secs(60))));
     fleet.name_version(2);
     sleep(Duration::from_secs(12)).await;
     for engine in &fleet.engines {
@@ -392,9 +392,9 @@
 /// Engines that answer no order, or never end a load, hold up no other engine, even if there are
 /// more of them than may load at once.
 #[rstest]
-#[case::few_silent(8, 3, Engine::hang)]
-#[case::many_silent(10, 6, Engine::hang)]
-#[case::endless_loads(10, 6, Engine::load_for_ever)]
+#[case::few_silent(8, 3, Engine::ignore_orders)]
+#[case::many_silent(10, 6, Engine::ignore_orders)]
+#[case::endless_loads(10, 6, Engine::never_finish_loads)]
 #[tokio::test]
 async fn hanging_engines(
     #[case] engines: usize,
--- a/tests/gateway_listings.rs
+++ b/tests/gateway_listings.rs
@@ -50,8 +50,8 @@
 #[tokio::test]
 async fn listed_beside_spoiled(#[case] item: Value) {
     let store = Engine::start().await;
-    store.keep(SCOPE, "aa", 100);
-    store.list_also(item);
+    store.cache_part(SCOPE, "aa", 100);
+    store.list_extra_item(item);
     let fleet = fleet(&store).await;
     wait_logged(&fleet.gateway, "parts=1 ", 1).await;
     wait_logged(&fleet.gateway, "event=items_unreadable", 1).await;
@@ -68,7 +68,7 @@
     let listed = "event=holder_listed";
     wait_logged(&fleet.gateway, listed, 1).await;
     // The content of the unreadable change is unknown, so everything must be listed again.
-    store.tell_also(change);
+    store.publish_raw_event(change);
     wait_logged(&fleet.gateway, listed, 2).await;
 }
 
@@ -79,7 +79,7 @@
 #[tokio::test]
 async fn impossible_clock(#[case] clock_ms: f64) {
     let store = Engine::start().await;
-    store.show_clock(clock_ms);
+    store.set_clock(clock_ms);
     let fleet = fleet(&store).await;
     wait_logged(&fleet.gateway, "event=clock_unreadable", 1).await;
     assert_eq!(send_prompt(&fleet.gateway, "p-1").await, 200);
--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -66,10 +66,10 @@
     let second = site.gateway("north", &[&first]);
     wait_ready(&first).await;
     wait_ready(&second).await;
-    store.keep("1.model-a", "aa", 100);
-    store.keep("2.model-a", "aa", 100);
+    store.cache_part("1.model-a", "aa", 100);
+    store.cache_part("2.model-a", "aa", 100);
     site.name_weights(MODEL, 2);
-    eventually("old parts are freed", async || !store.freed().is_empty()).await;
+    eventually("old parts are freed", async || !store.freed_parts().is_empty()).await;
     assert_eq!(engines[0].version(), 1);
-    assert_eq!(store.freed(), [("1.model-a".to_owned(), "aa".to_owned())]);
+    assert_eq!(store.freed_parts(), [("1.model-a".to_owned(), "aa".to_owned())]);
 }
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -31,7 +31,7 @@
 /// The entry of an engine's current incarnation.
 fn current_entry(engine: &Engine, version: u64) -> Value {
     let mut entry = engine_entry("llm", &engine.address, MODEL, version);
-    entry["born"] = json!(engine.born());
+    entry["born"] = json!(engine.started_at_ms());
     entry
 }
 
@@ -91,8 +91,8 @@
     }
 
     fn cache_parts(&self) {
-        self.engines[0].keep(SCOPE, "aa", 100);
-        self.engines[0].keep(SCOPE, "bb", 400);
+        self.engines[0].cache_part(SCOPE, "aa", 100);
+        self.engines[0].cache_part(SCOPE, "bb", 400);
     }
 }
 
@@ -114,7 +114,7 @@
 async fn older_weights_unsaid() {
     let fleet = fleet(1).await;
     let engine = &fleet.engines[0];
-    engine.hide_start();
+    engine.omit_start_time();
     fleet.site.enter("e-0", &engine_entry("llm", &engine.address, MODEL, 1));
     fleet.wait_logged("event=leadership_taken").await;
     fleet.site.name_weights(MODEL, 2);
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -178,8 +178,8 @@
         run.get("kv-save") == Some(&store_addresses)
     })
     .await;
-    fleet.store.keep(OLD_SCOPE, "aa", 100);
-    fleet.store.keep(OLD_SCOPE, "bb", 400);
+    fleet.store.cache_part(OLD_SCOPE, "aa", 100);
+    fleet.store.cache_part(OLD_SCOPE, "bb", 400);
     eventually("the store is read", async || {
         number += 1;
         let id = format!("r-{number}");
@@ -198,22 +198,22 @@
     })
     .await;
     assert!(!fleet.run(&format!("r-{number}")).contains_key("kv-fetch"));
-    fleet.store.keep(NEW_SCOPE, "dd", 100);
+    fleet.store.cache_part(NEW_SCOPE, "dd", 100);
     // Each engine writes the new version to its entry with its next heartbeat.
     for (number, engine) in fleet.engines.iter().enumerate() {
         let entry = engine_entry("llm", &engine.address, MODEL, 2);
         fleet.site.enter(&format!("e-{number}"), &entry);
     }
-    eventually("old parts are freed", async || fleet.store.freed().len() == 2).await;
-    assert!(fleet.store.freed().iter().all(|(scope, _)| scope == OLD_SCOPE));
+    eventually("old parts are freed", async || fleet.store.freed_parts().len() == 2).await;
+    assert!(fleet.store.freed_parts().iter().all(|(scope, _)| scope == OLD_SCOPE));
 }
 
 #[tokio::test]
 async fn broken_off_freed() {
     let fleet = fleet(1).await;
-    fleet.store.keep_partial(OLD_SCOPE, "ee");
+    fleet.store.add_incomplete_part(OLD_SCOPE, "ee");
     eventually("the partial part is freed", async || {
-        fleet.store.freed().contains(&(OLD_SCOPE.to_owned(), "ee".to_owned()))
+        fleet.store.freed_parts().contains(&(OLD_SCOPE.to_owned(), "ee".to_owned()))
     })
     .await;
 }
@@ -240,7 +240,7 @@
     for number in 0..40 {
         assert_eq!(fleet.prompt(&format!("p-{number}")).await, 200);
     }
-    fleet.engines.iter().for_each(Engine::hold_streams);
+    fleet.engines.iter().for_each(Engine::stall_streams);
     let clients = &fleet.gateways[0].clients;
     let streams = STREAMS.map(|id| tokio::spawn(stream(clients.clone(), id, own_tokens)));
     eventually("all streams run", async || STREAMS.iter().all(|id| fleet.run_count(id) == 1)).await;
