--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -280,7 +280,7 @@
 
     /// Invariants that the programs saw broken, and panics.
     fn logs(&self) -> Vec<String> {
-        let logs = self.world.boxes.iter().map(|one| one.process.logged());
+        let logs = self.world.boxes.iter().map(|one| one.process.log_text());
         let lines = logs.flat_map(|log| log.lines().map(str::to_owned).collect::<Vec<_>>());
         lines.filter(|line| line.contains("Violated:") || line.contains("panicked")).collect()
     }
--- a/soak/src/frail.rs
+++ b/soak/src/frail.rs
@@ -7,7 +7,7 @@
 
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::server::{ExecutedRequest, Server};
-use coursestile_standins::site::{Site, entry};
+use coursestile_standins::site::{Site, service_entry};
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
@@ -69,7 +69,7 @@
         let number = self.servers().len();
         let server = Server::start(&format!("frail-{number}")).await;
         server.crash_on(DEADLY);
-        site.enter(&server.id, &entry(SERVICE, &server.address, "ready"));
+        site.register(&server.id, &service_entry(SERVICE, &server.address, "ready"));
         self.servers().push(server);
     }
 
@@ -93,7 +93,7 @@
         sleep(BACK_PAUSE).await;
         for id in frail.crashed().into_iter().skip(replaced) {
             replaced += 1;
-            world.site.leave(&id);
+            world.site.deregister(&id);
             frail.start_one(&world.site).await;
         }
     }
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -159,7 +159,7 @@
         let mut entry = engine_entry(ENGINE_SERVICE, &engine.proxy.address, MODEL, version);
         entry["born"] = json!(engine.process.started_at_ms());
         entry["seq"] = json!(0);
-        self.site.enter(&format!("e-{number}"), &entry);
+        self.site.register(&format!("e-{number}"), &entry);
     }
 
     /// Has an upstream be about to leave for a while.
@@ -224,7 +224,7 @@
 async fn restart(process: &Gateway, time: Duration) {
     process.try_signal("-KILL");
     sleep(time).await;
-    process.start_if_ended();
+    process.restart_if_exited();
 }
 
 async fn spoil(proxy: &Proxy, link: Link, time: Duration) {
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -12,7 +12,9 @@
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::server::Server;
-use coursestile_standins::site::{Gateway, Site, document, engine_entry, engine_services, entry};
+use coursestile_standins::site::{
+    Gateway, Site, config_document, engine_entry, engine_services, service_entry,
+};
 use serde_json::{Value, json};
 
 use crate::frail::{self, Frail};
@@ -131,7 +133,7 @@
 /// A configuration; if `with_runs`, with a route to the engines, and if `with_frail` to the
 /// upstreams that crash.
 fn configuration(version: u64, with_runs: bool, with_frail: bool) -> Value {
-    let mut document = document(version);
+    let mut document = config_document(version);
     let mut own = document["routes"][0].clone();
     own["name"] = json!(format!("version-{version}"));
     own["path_prefix"] = json!(version_path(version));
@@ -165,7 +167,7 @@
     /// Fails when an address cannot be had.
     pub async fn start(boxes: usize, moving: bool, with_frail: bool) -> Result<Self> {
         let mut site = Site::start().await;
-        site.own_peer_ports = true;
+        site.distinct_peer_ports = true;
         if moving {
             (site.lease_ms, site.weights_apply_ms) = (MOVING_LEASE_MS, MOVING_APPLY_MS);
         }
@@ -173,7 +175,7 @@
         for number in 0..UPSTREAMS {
             let process = Server::start(&format!("s-{number}")).await;
             let proxy = Proxy::start(&process.address).await?;
-            site.enter(&process.id, &entry("plain", &proxy.address, "ready"));
+            site.register(&process.id, &service_entry("plain", &proxy.address, "ready"));
             upstreams.push(Behind { process, proxy });
         }
         let mut engines = Vec::new();
@@ -181,10 +183,10 @@
             let process = Engine::start().await;
             let proxy = Proxy::start(&process.address).await?;
             let entry = engine_entry(ENGINE_SERVICE, &proxy.address, MODEL, 1);
-            site.enter(&format!("e-{number}"), &entry);
+            site.register(&format!("e-{number}"), &entry);
             engines.push(Behind { process, proxy });
         }
-        site.name_weights(MODEL, 1);
+        site.set_weight_version(MODEL, 1);
         let frail = if with_frail { Some(Frail::start(&site).await) } else { None };
         site.configure(&configuration(1, moving, with_frail));
         let newest = Mutex::new(Newest { version: 1, taken: Instant::now() });
@@ -244,14 +246,14 @@
     fn name_weights(&self) {
         // Under the lock, the store takes versions in their order.
         let mut named_ms = self.named_ms();
-        self.site.name_weights(MODEL, named_ms.len() as u64 + 1);
+        self.site.set_weight_version(MODEL, named_ms.len() as u64 + 1);
         named_ms.push(now_ms());
     }
 
     /// The box that was the last to take the leadership, by its log.
     fn leader(&self) -> usize {
         let fence = |one: &OneBox| -> Option<u64> {
-            let log = one.process.logged();
+            let log = one.process.log_text();
             let (_, taken) = log.rsplit_once("event=leadership_taken fence=")?;
             taken.lines().next()?.parse().ok()
         };
@@ -289,12 +291,12 @@
 
     fn enter(&self, number: usize, state: &str) {
         let upstream = &self.upstreams[number];
-        let mut entry = entry("plain", &upstream.proxy.address, state);
+        let mut entry = service_entry("plain", &upstream.proxy.address, state);
         let start_ms = self.starts_ms[number].load(Ordering::SeqCst);
         if start_ms > 0 {
             entry["born"] = json!(start_ms);
         }
-        self.site.enter(&upstream.process.id, &entry);
+        self.site.register(&upstream.process.id, &entry);
     }
 
     /// Ends all faults.
@@ -317,7 +319,7 @@
 
     fn start_ended(&self) {
         for one in &self.boxes {
-            one.process.start_if_ended();
+            one.process.restart_if_exited();
         }
     }
 }
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -24,9 +24,9 @@
 use metadata::Metadata;
 
 /// How long a test waits for what must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often it looks.
-const LOOK_PERIOD: Duration = Duration::from_millis(10);
+const POLL_PERIOD: Duration = Duration::from_millis(10);
 
 /// Port of each gateway for clients; like the others below the ports that the
 /// system hands out by itself.
@@ -56,7 +56,7 @@
     /// # Panics
     /// Panics when it cannot be sent.
     pub fn signal(&self, name: &str) {
-        assert!(kill(name, self.pid()), "{name}");
+        assert!(send_signal(name, self.pid()), "{name}");
     }
 
     /// Id of the process.
@@ -76,7 +76,7 @@
         // Under the lock nobody else sees its end, after which its id may be another's.
         let mut child = self.child.lock().expect("child");
         if child.try_wait().expect("child").is_none() {
-            assert!(kill(name, child.id()), "{name}");
+            assert!(send_signal(name, child.id()), "{name}");
         }
     }
 
@@ -84,11 +84,11 @@
     ///
     /// # Panics
     /// Panics when it cannot be started.
-    pub fn start_if_ended(&self) {
+    pub fn restart_if_exited(&self) {
         let mut child = self.child.lock().expect("child");
         if child.try_wait().expect("child").is_some() {
             let out = File::options().append(true).open(&self.log).expect("log");
-            *child = start(&self.settings, out);
+            *child = spawn_gateway(&self.settings, out);
         }
     }
 
@@ -96,14 +96,14 @@
     ///
     /// # Panics
     /// Panics when it does not end.
-    pub async fn ended(&mut self) -> Option<i32> {
-        let until = Instant::now() + PATIENCE;
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.get_mut().expect("child").try_wait().expect("child") {
                 return status.code();
             }
             assert!(Instant::now() < until, "the gateway does not end");
-            tokio::time::sleep(LOOK_PERIOD).await;
+            tokio::time::sleep(POLL_PERIOD).await;
         }
     }
 
@@ -118,7 +118,7 @@
 
     /// What it has logged so far.
     #[must_use]
-    pub fn logged(&self) -> String {
+    pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 }
@@ -141,7 +141,7 @@
     pub retry_extra: u32,
     /// Whether each gateway started from now on has a port of its own for peers. It
     /// then calls others at that port of their addresses, where a proxy can stand.
-    pub own_peer_ports: bool,
+    pub distinct_peer_ports: bool,
     /// Time in which gateways started from now on bring engines to named weights.
     pub weights_apply_ms: u64,
     /// Time for which orders of two holders must not follow each other, for gateways
@@ -166,7 +166,7 @@
         Self {
             metadata,
             retry_extra: 1_000_000,
-            own_peer_ports: false,
+            distinct_peer_ports: false,
             weights_apply_ms: 10_000,
             lease_ms: 1000,
             folder,
@@ -194,8 +194,8 @@
         let name = format!("{hall}-{}", self.next_box);
         let clients = format!("{ip}:{CLIENTS_PORT}");
         let ready = format!("{ip}:{READY_PORT}");
-        let own_port = if self.own_peer_ports { u16::from(self.next_box) } else { 0 };
-        let peers = format!("{ip}:{}", PEERS_PORT + own_port);
+        let port_offset = if self.distinct_peer_ports { u16::from(self.next_box) } else { 0 };
+        let peers = format!("{ip}:{}", PEERS_PORT + port_offset);
         let seeds: Vec<&str> = seeds.iter().map(|seed| seed.peers.as_str()).collect();
         let settings = format!(
             "[box]\nname = {name}\nhall = {hall}\nclients = {clients}\nready = {ready}\n\
@@ -211,7 +211,7 @@
         let path = self.folder.join(format!("{name}.ini"));
         std::fs::write(&path, settings).expect("settings");
         let log = self.folder.join(format!("{name}.log"));
-        let child = start(&path, File::create(&log).expect("log"));
+        let child = spawn_gateway(&path, File::create(&log).expect("log"));
         Gateway { child: Mutex::new(child), settings: path, clients, ready, peers, log }
     }
 
@@ -227,18 +227,18 @@
     }
 
     /// Names a weight version, as an operator does.
-    pub fn name_weights(&self, model: &str, version: u64) {
+    pub fn set_weight_version(&self, model: &str, version: u64) {
         let body = json!({ "model": model, "version": version });
         self.metadata.put(&format!("op/version/{model}"), body.to_string().as_bytes(), 0);
     }
 
     /// Writes an upstream's entry, as it does itself.
-    pub fn enter(&self, id: &str, entry: &Value) {
+    pub fn register(&self, id: &str, entry: &Value) {
         self.metadata.put(&format!("servers/{id}"), entry.to_string().as_bytes(), 0);
     }
 
     /// Takes an upstream's entry away.
-    pub fn leave(&self, id: &str) {
+    pub fn deregister(&self, id: &str) {
         self.metadata.remove(&format!("servers/{id}"));
     }
 }
@@ -251,13 +251,13 @@
 }
 
 /// Sends a signal by its number; whether it could be sent.
-fn kill(name: &str, pid: u32) -> bool {
+fn send_signal(name: &str, pid: u32) -> bool {
     let status = Command::new("kill").args([name, &pid.to_string()]).status();
     status.expect("kill").success()
 }
 
 /// Starts a gateway that logs to `out`.
-fn start(settings: &Path, out: File) -> Child {
+fn spawn_gateway(settings: &Path, out: File) -> Child {
     Command::new(programs().join("coursestile-gateway"))
         .args(["--log", "debug"])
         .arg(settings)
@@ -270,7 +270,7 @@
 
 /// Entry of an upstream of a plain service.
 #[must_use]
-pub fn entry(service: &str, address: &str, state: &str) -> Value {
+pub fn service_entry(service: &str, address: &str, state: &str) -> Value {
     json!({ "service": service, "addr": address, "zone": "north", "version": "v1",
         "slots": 8, "state": state, "cold_left_ms": 0, "seq": 1 })
 }
@@ -278,7 +278,7 @@
 /// Entry of a model engine.
 #[must_use]
 pub fn engine_entry(service: &str, address: &str, model: &str, version: u64) -> Value {
-    let mut entry = entry(service, address, "ready");
+    let mut entry = service_entry(service, address, "ready");
     entry["models"] = json!([{ "name": model, "version": version, "adapters": [] }]);
     entry
 }
@@ -286,7 +286,7 @@
 /// A configuration with one route of each kind, to service `plain`, and one
 /// key, `key-1`, of account `petra`.
 #[must_use]
-pub fn document(version: u64) -> Value {
+pub fn config_document(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, resumable: bool| {
         json!({ "name": name, "host": "api.example", "path_prefix": format!("/{name}/"),
             "kind": kind, "timeout_ms": 3000, "slo_ms": 400, "priority": 1, "service": "plain",
@@ -329,9 +329,9 @@
 /// # Panics
 /// Panics when that takes too long.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
         assert!(Instant::now() < until, "waited in vain: {what}");
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
 }
--- a/tests/admitting.rs
+++ b/tests/admitting.rs
@@ -10,7 +10,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::http::Message;
-use coursestile_standins::site::{Gateway, Site, document, engine_entry, eventually};
+use coursestile_standins::site::{Gateway, Site, config_document, engine_entry, eventually};
 use serde_json::json;
 
 const ENGINES: usize = 3;
@@ -33,10 +33,10 @@
     for number in 0..ENGINES {
         let engine = Engine::start().await;
         engine.stall_streams();
-        site.enter(&format!("e-{number}"), &engine_entry("llm", &engine.address, MODEL, 1));
+        site.register(&format!("e-{number}"), &engine_entry("llm", &engine.address, MODEL, 1));
         engines.push(engine);
     }
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["routes"][2]["service"] = json!("llm");
     config["routes"][2]["path_prefix"] = json!("/run/");
     config["services"] = json!([
@@ -45,7 +45,7 @@
             "models": [{ "name": MODEL }] } }
     ]);
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     Fleet { gateway, engines, _site: site }
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -5,7 +5,9 @@
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::Server;
-use coursestile_standins::site::{Gateway, Site, document, engine_entry, entry, eventually};
+use coursestile_standins::site::{
+    Gateway, Site, config_document, engine_entry, eventually, service_entry,
+};
 
 /// A site with one gateway and the upstreams of its service `plain`.
 pub struct GatewayFixture {
@@ -24,10 +26,10 @@
     let mut started_servers = Vec::new();
     for number in 0..servers {
         let server = Server::start(&format!("s-{number}")).await;
-        site.enter(&server.id, &entry("plain", &server.address, "ready"));
+        site.register(&server.id, &service_entry("plain", &server.address, "ready"));
         started_servers.push(server);
     }
-    site.configure(&document(7));
+    site.configure(&config_document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     GatewayFixture { gateway, servers: started_servers, site }
@@ -39,7 +41,7 @@
     let mut engines = Vec::new();
     for number in 0..count {
         let engine = Engine::start().await;
-        site.enter(&format!("e-{number}"), &engine_entry("llm", &engine.address, MODEL, 1));
+        site.register(&format!("e-{number}"), &engine_entry("llm", &engine.address, MODEL, 1));
         engines.push(engine);
     }
     engines
@@ -60,7 +62,7 @@
 pub async fn wait_ready(gateway: &Gateway) {
     eventually("ready", async || {
         let ready = is_ready(gateway).await;
-        assert!(ready || gateway.is_alive(), "it has ended: {}", gateway.logged());
+        assert!(ready || gateway.is_alive(), "it has ended: {}", gateway.log_text());
         ready
     })
     .await;
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -19,7 +19,7 @@
     assert_eq!(fixture.send("POST", "/once/", "r-full").await.status(), 503);
     assert_eq!(fixture.send("POST", "/once/", "r-good").await.status(), 200);
     eventually("it is logged", async || {
-        fixture.gateway.logged().contains("answered request=r-good")
+        fixture.gateway.log_text().contains("answered request=r-good")
     })
     .await;
     for (id, expected_parts) in [
--- a/tests/gateway_crashes.rs
+++ b/tests/gateway_crashes.rs
@@ -11,7 +11,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::{Behavior, Server};
-use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
+use coursestile_standins::site::{Gateway, Site, config_document, eventually, service_entry};
 use rstest::rstest;
 
 /// Time after the third crash within which boxes may still forward the request.
@@ -37,10 +37,10 @@
         for number in 0..servers {
             let server = Server::start(&format!("s-{number}")).await;
             server.crash_on(CRASHING_BODY);
-            site.enter(&server.id, &entry("plain", &server.address, "ready"));
+            site.register(&server.id, &service_entry("plain", &server.address, "ready"));
             started.push(server);
         }
-        site.configure(&document(7));
+        site.configure(&config_document(7));
         let first = site.gateway("north", &[]);
         let second = site.gateway("north", &[&first]);
         let gateways = vec![first, second];
@@ -117,7 +117,7 @@
     }
     for gateway in &fleet.gateways {
         eventually("the box has ended", async || !gateway.is_alive()).await;
-        gateway.start_if_ended();
+        gateway.restart_if_exited();
     }
     for gateway in &fleet.gateways {
         wait_ready(gateway).await;
--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -19,7 +19,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::{Behavior, Server, events_text};
-use coursestile_standins::site::{Site, document, entry, eventually};
+use coursestile_standins::site::{Site, config_document, eventually, service_entry};
 use futures_util::future::{join, join_all};
 use serde_json::json;
 use tokio::task::JoinHandle;
@@ -36,10 +36,10 @@
     let mut started = Vec::new();
     for number in 0..servers {
         let server = Server::start(&format!("s-{number}")).await;
-        site.enter(&server.id, &entry("plain", &server.address, "ready"));
+        site.register(&server.id, &service_entry("plain", &server.address, "ready"));
         started.push(server);
     }
-    let mut config = document(7);
+    let mut config = config_document(7);
     for route in config["routes"].as_array_mut().unwrap() {
         route["timeout_ms"] = json!(60_000);
         route["max_attempts"] = json!(attempts);
@@ -74,10 +74,10 @@
 }
 
 async fn remove_entry(fixture: &GatewayFixture, server: &Server) {
-    fixture.site.leave(&server.id);
+    fixture.site.deregister(&server.id);
     let line = format!("event=upstream_gone upstream={}", server.id);
     eventually("the removal of the entry is known", async || {
-        fixture.gateway.logged().contains(&line)
+        fixture.gateway.log_text().contains(&line)
     })
     .await;
 }
@@ -120,7 +120,7 @@
 
 /// Whether a second upstream was tried before the entry of the first was removed.
 fn retried_before_removal(fixture: &GatewayFixture) -> bool {
-    let log = fixture.gateway.logged();
+    let log = fixture.gateway.log_text();
     let before = log.split("event=upstream_gone").next().unwrap_or_default();
     before.lines().any(|line| line.contains("event=routed") && line.contains("attempt=2"))
 }
--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -9,7 +9,7 @@
 use common::{GatewayFixture, is_ready, start_fixture};
 use coursestile::gateway::decisions::cache_contents::CacheContents;
 use coursestile::platform::{caches, engine, keys};
-use coursestile_standins::site::{entry, eventually};
+use coursestile_standins::site::{eventually, service_entry};
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -43,7 +43,7 @@
 fn write_flawed(fixture: &GatewayFixture, server: usize, flaw: Flaw) {
     let server = &fixture.servers[server];
     let key = format!("servers/{}", server.id);
-    let mut entry = entry("plain", &server.address, "ready");
+    let mut entry = service_entry("plain", &server.address, "ready");
     let metadata = &fixture.site.metadata;
     match flaw {
         Flaw::NoText => return metadata.put(&key, &[0xff, 0x00, 0xfe], 0),
@@ -98,7 +98,7 @@
     let fixture = start_fixture(2).await;
     write_flawed(&fixture, 0, flaw);
     eventually("the unreadable entry is logged", async || {
-        fixture.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.log_text().contains("upstream_unreadable")
     })
     .await;
     assert_served_by(&fixture, &[1]).await;
@@ -123,12 +123,12 @@
     let fixture = start_fixture(1).await;
     write_flawed(&fixture, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
-        fixture.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.log_text().contains("upstream_unreadable")
     })
     .await;
     assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 503);
     let server = &fixture.servers[0];
-    fixture.site.enter(&server.id, &entry("plain", &server.address, "ready"));
+    fixture.site.register(&server.id, &service_entry("plain", &server.address, "ready"));
     eventually("the upstream serves again", async || {
         fixture.send("GET", "/safe/", "r-2").await.status() == 200
     })
@@ -140,17 +140,17 @@
     let fixture = start_fixture(2).await;
     write_flawed(&fixture, 0, Flaw::NoText);
     eventually("the unreadable entry is logged", async || {
-        fixture.gateway.logged().contains("upstream_unreadable")
+        fixture.gateway.log_text().contains("upstream_unreadable")
     })
     .await;
     write_flawed(&fixture, 0, Flaw::NoText);
-    let leaving: Value = entry("plain", &fixture.servers[1].address, "draining");
-    fixture.site.enter("s-1", &leaving);
+    let leaving: Value = service_entry("plain", &fixture.servers[1].address, "draining");
+    fixture.site.register("s-1", &leaving);
     eventually("a later change is known", async || {
-        fixture.gateway.logged().contains("leaving=true")
+        fixture.gateway.log_text().contains("leaving=true")
     })
     .await;
-    assert_eq!(fixture.gateway.logged().matches("upstream_unreadable").count(), 1);
+    assert_eq!(fixture.gateway.log_text().matches("upstream_unreadable").count(), 1);
 }
 
 /// Cache events, a cache listing and an engine's report, as stores and engines write them.
@@ -184,7 +184,7 @@
 
 /// A valid entry in which the value of one field is copied to another.
 fn mixed_entry(from: usize, to: usize) -> Vec<u8> {
-    let mut entry = entry("plain", "10.0.0.1:80", "ready");
+    let mut entry = service_entry("plain", "10.0.0.1:80", "ready");
     let fields: Vec<String> = entry.as_object().unwrap().keys().cloned().collect();
     let value = entry[&fields[from % fields.len()]].clone();
     entry[&fields[to % fields.len()]] = value;
--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -17,7 +17,7 @@
 use common::{start_engines, wait_ready};
 use coursestile_standins::clock::now_ms;
 use coursestile_standins::site::engine::{Engine, MODEL, Order};
-use coursestile_standins::site::{Gateway, Site, document, engine_services, eventually};
+use coursestile_standins::site::{Gateway, Site, config_document, engine_services, eventually};
 use futures_util::future::join_all;
 use rstest::rstest;
 use tokio::time::sleep;
@@ -48,12 +48,12 @@
 /// A fleet in which all boxes are ready and one of them leads.
 async fn fleet(mut site: Site, gateways: usize, engines: usize) -> Fleet {
     let engines = start_engines(&site, engines).await;
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["routes"][2]["service"] = "llm".into();
     config["routes"][2]["path_prefix"] = "/run/".into();
     config["services"] = engine_services(None);
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     let mut started: Vec<Gateway> = Vec::new();
     for _ in 0..gateways {
         let seeds: Vec<&Gateway> = started.iter().collect();
@@ -91,7 +91,7 @@
     /// The box that took the leadership last, if its fence is above `fence`.
     fn leader_after(&self, fence: u64) -> Option<Leader> {
         let leaders = self.gateways.iter().enumerate().filter_map(|(index, gateway)| {
-            Some(Leader { index, fence: logged_fence(&gateway.logged())? })
+            Some(Leader { index, fence: logged_fence(&gateway.log_text())? })
         });
         leaders.filter(|leader| leader.fence > fence).max_by_key(|leader| leader.fence)
     }
@@ -109,7 +109,7 @@
     }
 
     fn name_version(&self, version: u64) -> NamedVersion {
-        self.site.name_weights(MODEL, version);
+        self.site.set_weight_version(MODEL, version);
         NamedVersion { version, at_ms: now_ms() }
     }
 
@@ -130,7 +130,7 @@
         let started_at_ms = now_ms();
         for (gateway, round) in self.gateways.iter().cycle().zip(0..) {
             while now_ms() < started_at_ms + period_ms * round {
-                self.gateways.iter().for_each(Gateway::start_if_ended);
+                self.gateways.iter().for_each(Gateway::restart_if_exited);
                 sleep(POLL_PERIOD).await;
             }
             if now_ms() >= started_at_ms + DISRUPTION_MS {
@@ -139,8 +139,8 @@
             gateway.try_signal("-TERM");
         }
         eventually("all have started again", async || {
-            self.gateways.iter().for_each(Gateway::start_if_ended);
-            self.gateways.iter().all(|gateway| !is_stopping(&gateway.logged()))
+            self.gateways.iter().for_each(Gateway::restart_if_exited);
+            self.gateways.iter().all(|gateway| !is_stopping(&gateway.log_text()))
         })
         .await;
     }
@@ -185,7 +185,7 @@
             self.engines.iter().flat_map(Engine::orders).map(|order| order.at_ms).collect();
         at_ms.sort_unstable();
         let longest_gap_ms = at_ms.windows(2).map(|pair| pair[1] - pair[0]).max();
-        let logs = self.gateways.iter().map(Gateway::logged);
+        let logs = self.gateways.iter().map(Gateway::log_text);
         let leaders: usize = logs.map(|log| log.matches("event=leadership_taken").count()).sum();
         let orders = at_ms.len();
         format!("{leaders} leaders, {orders} orders, longest gap {longest_gap_ms:?} ms")
@@ -206,7 +206,7 @@
     async fn wait_known_by_all(&self, version: u64) -> u64 {
         let text = format!("event=weights_named model={MODEL} version={version}");
         eventually("all boxes know the version", async || {
-            self.gateways.iter().all(|gateway| gateway.logged().contains(&text))
+            self.gateways.iter().all(|gateway| gateway.log_text().contains(&text))
         })
         .await;
         now_ms()
@@ -283,7 +283,7 @@
 async fn kill_and_start(gateway: &Gateway) {
     gateway.try_signal("-KILL");
     eventually("the box has ended", async || !gateway.is_alive()).await;
-    gateway.start_if_ended();
+    gateway.restart_if_exited();
 }
 
 /// Boxes are stopped in rotation, so that each serves for less than the pause between the orders of
@@ -365,8 +365,8 @@
     restarted.signal("-KILL");
     eventually("the box has ended", async || !restarted.is_alive()).await;
     wait_until(known_at_ms + DOWNTIME_MS).await;
-    versions[1..].iter().for_each(|version| fleet.site.name_weights(MODEL, *version));
-    restarted.start_if_ended();
+    versions[1..].iter().for_each(|version| fleet.site.set_weight_version(MODEL, *version));
+    restarted.restart_if_exited();
     wait_ready(restarted).await;
     wait_until(known_at_ms + fleet.site.weights_apply_ms + GOSSIP_MS).await;
     fleet.assert_refused(restarted).await;
--- a/tests/gateway_listings.rs
+++ b/tests/gateway_listings.rs
@@ -6,7 +6,7 @@
 
 use common::{send_prompt, start_engines, wait_ready};
 use coursestile_standins::site::engine::{Engine, MODEL};
-use coursestile_standins::site::{Gateway, Site, document, engine_services, eventually};
+use coursestile_standins::site::{Gateway, Site, config_document, engine_services, eventually};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -23,12 +23,12 @@
 async fn fleet(store: &Engine) -> Fleet {
     let mut site = Site::start().await;
     let engines = start_engines(&site, 2).await;
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["routes"][2]["service"] = json!("llm");
     config["routes"][2]["path_prefix"] = json!("/run/");
     config["services"] = engine_services(Some(&store.address));
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     Fleet { gateway, _engines: engines, _site: site }
@@ -36,7 +36,7 @@
 
 /// Waits until `line` has been logged `count` times.
 async fn wait_logged(gateway: &Gateway, line: &str, count: usize) {
-    eventually(line, async || gateway.logged().matches(line).count() >= count).await;
+    eventually(line, async || gateway.log_text().matches(line).count() >= count).await;
 }
 
 #[rstest]
@@ -83,5 +83,5 @@
     let fleet = fleet(&store).await;
     wait_logged(&fleet.gateway, "event=clock_unreadable", 1).await;
     assert_eq!(send_prompt(&fleet.gateway, "p-1").await, 200);
-    assert!(!fleet.gateway.logged().contains("panicked"), "{}", fleet.gateway.logged());
+    assert!(!fleet.gateway.log_text().contains("panicked"), "{}", fleet.gateway.log_text());
 }
--- a/tests/gateway_members.rs
+++ b/tests/gateway_members.rs
@@ -36,7 +36,7 @@
         postcard::from_bytes::<Members>(&value).is_ok_and(|members| members.len() == 1)
     })
     .await;
-    assert!(fixture.gateway.logged().contains("event=members_unreadable"));
+    assert!(fixture.gateway.log_text().contains("event=members_unreadable"));
 }
 
 #[tokio::test]
--- a/tests/gateway_notices.rs
+++ b/tests/gateway_notices.rs
@@ -14,7 +14,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::server::{Behavior, Server};
-use coursestile_standins::site::{Gateway, Site, entry, eventually};
+use coursestile_standins::site::{Gateway, Site, eventually, service_entry};
 use hyper::{HeaderMap, StatusCode};
 use rstest::rstest;
 use serde_json::json;
@@ -48,7 +48,7 @@
 
 /// Waits until `line` has been logged `times` times.
 async fn wait_logged(gateway: &Gateway, line: &str, times: usize) {
-    eventually(line, async || gateway.logged().matches(line).count() >= times).await;
+    eventually(line, async || gateway.log_text().matches(line).count() >= times).await;
 }
 
 /// Sends 20 requests, which must succeed, and returns how many of them reach `server`.
@@ -61,7 +61,7 @@
     let before = server.received().len();
     for number in 0..20 {
         let answer = send(gateway, path, &format!("{path}-{before}-{number}")).await;
-        assert_eq!(answer.status(), 200, "{}", fixture.gateway.logged());
+        assert_eq!(answer.status(), 200, "{}", fixture.gateway.log_text());
     }
     server.received().len() - before
 }
@@ -77,17 +77,17 @@
     send(&fixture.gateway, path, "told").await;
     assert_eq!(count_reaching(&fixture, &fixture.gateway, path, leaving_upstream).await, 0);
     // Its heartbeats do not announce that it leaves, and its entry may expire and come back.
-    let mut same_entry = entry("plain", &leaving_upstream.address, "ready");
+    let mut same_entry = service_entry("plain", &leaving_upstream.address, "ready");
     same_entry["seq"] = json!(9);
-    fixture.site.enter(&leaving_upstream.id, &same_entry);
-    fixture.site.leave(&leaving_upstream.id);
+    fixture.site.register(&leaving_upstream.id, &same_entry);
+    fixture.site.deregister(&leaving_upstream.id);
     wait_logged(
         &fixture.gateway,
         &format!("event=upstream_gone upstream={}", leaving_upstream.id),
         1,
     )
     .await;
-    fixture.site.enter(&leaving_upstream.id, &same_entry);
+    fixture.site.register(&leaving_upstream.id, &same_entry);
     wait_logged(
         &fixture.gateway,
         &format!("event=upstream_seen upstream={}", leaving_upstream.id),
@@ -120,9 +120,9 @@
     server.script(&[Behavior::Leaving]);
     send(&fixture.gateway, "/safe/", "told").await;
     assert_eq!(send(&fixture.gateway, "/safe/", "r-1").await.status(), 503);
-    let mut restarted = entry("plain", &server.address, "ready");
+    let mut restarted = service_entry("plain", &server.address, "ready");
     restarted["born"] = json!(1_800_000_000_000_u64);
-    fixture.site.enter(&server.id, &restarted);
+    fixture.site.register(&server.id, &restarted);
     eventually("the upstream serves again", async || {
         send(&fixture.gateway, "/safe/", "r-2").await.status() == 200
     })
@@ -178,7 +178,7 @@
     }
     let arrived: usize = fixture.servers.iter().map(|server| server.received().len()).sum();
     assert_eq!(arrived, before);
-    let log = fixture.gateway.logged();
+    let log = fixture.gateway.log_text();
     let held_ms = log
         .lines()
         .filter(|line| line.contains("event=refused"))
@@ -203,7 +203,7 @@
     let other_upstream =
         fixture.servers.iter().find(|server| server.id != backing_off.id).expect("two");
     // Without this entry, the first box can only send to `backing_off`.
-    fixture.site.leave(&other_upstream.id);
+    fixture.site.deregister(&other_upstream.id);
     wait_logged(
         &fixture.gateway,
         &format!("event=upstream_gone upstream={}", other_upstream.id),
@@ -212,7 +212,9 @@
     .await;
     backing_off.script(&[Behavior::RetryAfter(Duration::from_secs(20))]);
     send(&fixture.gateway, "/safe/", "told").await;
-    fixture.site.enter(&other_upstream.id, &entry("plain", &other_upstream.address, "ready"));
+    fixture
+        .site
+        .register(&other_upstream.id, &service_entry("plain", &other_upstream.address, "ready"));
     wait_logged(&peer, &format!("event=upstream_seen upstream={}", other_upstream.id), 2).await;
     eventually("the peer avoids the upstream", async || {
         count_reaching(&fixture, &peer, "/safe/", backing_off).await == 0
--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -7,7 +7,7 @@
 use common::{start_fixture, wait_ready};
 use coursestile_standins::site::client::request_once;
 use coursestile_standins::site::server::{Behavior, Server};
-use coursestile_standins::site::{entry, eventually};
+use coursestile_standins::site::{eventually, service_entry};
 use rstest::rstest;
 use serde_json::json;
 
@@ -52,14 +52,16 @@
     let other_incarnation = Server::start("a-old").await;
     other_incarnation.script(&vec![Behavior::OtherIncarnation; 100]);
     // The box prefers an upstream of its own hall, so the other one is in another hall.
-    let mut remote_entry = entry("plain", &fixture.servers[0].address, "ready");
+    let mut remote_entry = service_entry("plain", &fixture.servers[0].address, "ready");
     remote_entry["zone"] = json!("south");
-    fixture.site.enter(&fixture.servers[0].id, &remote_entry);
-    fixture.site.enter("a-old", &entry("plain", &other_incarnation.address, "ready"));
+    fixture.site.register(&fixture.servers[0].id, &remote_entry);
+    fixture.site.register("a-old", &service_entry("plain", &other_incarnation.address, "ready"));
     let peer = fixture.site.gateway("north", &[&fixture.gateway]);
     wait_ready(&peer).await;
     let known = async || {
-        [&fixture.gateway, &peer].iter().all(|gateway| gateway.logged().contains("upstream=a-old"))
+        [&fixture.gateway, &peer]
+            .iter()
+            .all(|gateway| gateway.log_text().contains("upstream=a-old"))
     };
     eventually("both boxes know the upstream", known).await;
     // Another incarnation, which has its address now, got the request; the one that was meant no
@@ -84,9 +86,11 @@
 async fn again_when_unsent() {
     let fixture = start_fixture(1).await;
     // Nothing listens at this address.
-    fixture.site.enter("s-gone", &entry("plain", "127.0.0.1:9", "ready"));
-    eventually("the box knows the upstream", async || fixture.gateway.logged().contains("s-gone"))
-        .await;
+    fixture.site.register("s-gone", &service_entry("plain", "127.0.0.1:9", "ready"));
+    eventually("the box knows the upstream", async || {
+        fixture.gateway.log_text().contains("s-gone")
+    })
+    .await;
     for number in 0..6 {
         let id = format!("r-{number}");
         let answer = fixture.send("POST", "/once/", &id).await;
--- a/tests/gateway_release.rs
+++ b/tests/gateway_release.rs
@@ -10,7 +10,7 @@
 use coursestile::gateway::decisions::context::OLD_CONTEXT_READ_MS;
 use coursestile::gateway::decisions::release::{ContextRelease, KnownBoxes, MAX_TRANSFER_MS};
 use coursestile_standins::site::engine::{Engine, MODEL};
-use coursestile_standins::site::{Site, document, engine_services, eventually};
+use coursestile_standins::site::{Site, config_document, engine_services, eventually};
 
 fn address(last: u8) -> IpAddr {
     Ipv4Addr::new(10, 0, 0, last).into()
@@ -58,17 +58,17 @@
     let store = Engine::start().await;
     let engines = start_engines(&site, 3).await;
     engines[0].refuse_orders();
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["services"] = engine_services(Some(&store.address));
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     let first = site.gateway("north", &[]);
     let second = site.gateway("north", &[&first]);
     wait_ready(&first).await;
     wait_ready(&second).await;
     store.cache_part("1.model-a", "aa", 100);
     store.cache_part("2.model-a", "aa", 100);
-    site.name_weights(MODEL, 2);
+    site.set_weight_version(MODEL, 2);
     eventually("old parts are freed", async || !store.freed_parts().is_empty()).await;
     assert_eq!(engines[0].version(), 1);
     assert_eq!(store.freed_parts(), [("1.model-a".to_owned(), "aa".to_owned())]);
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -15,7 +15,7 @@
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::server::{Behavior, Server};
 use coursestile_standins::site::{
-    Gateway, Site, document, engine_entry, engine_services, entry, eventually,
+    Gateway, Site, config_document, engine_entry, engine_services, eventually, service_entry,
 };
 use serde_json::{Value, json};
 
@@ -40,15 +40,15 @@
     let mut started = Vec::new();
     for number in 0..engines {
         let engine = Engine::start().await;
-        site.enter(&format!("e-{number}"), &current_entry(&engine, 1));
+        site.register(&format!("e-{number}"), &current_entry(&engine, 1));
         started.push(engine);
     }
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["routes"][2]["service"] = json!("llm");
     config["routes"][2]["path_prefix"] = json!("/run/");
     config["services"] = engine_services(None);
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     Fleet { gateway, engines: started, site }
@@ -67,12 +67,12 @@
     }
 
     async fn wait_logged(&self, text: &str) {
-        eventually(text, async || self.gateway.logged().contains(text)).await;
+        eventually(text, async || self.gateway.log_text().contains(text)).await;
     }
 
     /// Prompt tokens that the engine was expected to prefill in the last attempt of a request.
     fn expected_prefill_tokens(&self, id: &str) -> Option<u32> {
-        let logged = self.gateway.logged();
+        let logged = self.gateway.log_text();
         let line = logged.lines().rfind(|line| line.contains(&format!("routed request={id} ")))?;
         let rest = line.split(" read_tokens=").nth(1)?;
         rest.split(' ').next()?.parse().ok()
@@ -100,11 +100,11 @@
 async fn older_weights_again() {
     let fleet = fleet(3).await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
     fleet.wait_logged("upstream=e-0 model=model-a version=2 end=\"done\"").await;
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
+    fleet.site.register("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.wait_version(2).await;
     assert_eq!(fleet.prompt("r-1").await, 200);
 }
@@ -115,9 +115,9 @@
     let fleet = fleet(1).await;
     let engine = &fleet.engines[0];
     engine.omit_start_time();
-    fleet.site.enter("e-0", &engine_entry("llm", &engine.address, MODEL, 1));
+    fleet.site.register("e-0", &engine_entry("llm", &engine.address, MODEL, 1));
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_logged("upstream=e-0 model=model-a version=2 end=\"done\"").await;
     engine.restart(1);
     let mut number = 0;
@@ -132,12 +132,12 @@
 async fn restarted_in_a_load() {
     let fleet = fleet(2).await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     eventually("the engine has got an order", async || !fleet.engines[0].orders().is_empty()).await;
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
+    fleet.site.register("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.engines[0].restart(1);
-    fleet.site.enter("e-0", &current_entry(&fleet.engines[0], 1));
+    fleet.site.register("e-0", &current_entry(&fleet.engines[0], 1));
     fleet.wait_version(2).await;
 }
 
@@ -150,7 +150,7 @@
     let mut restarted = current_entry(&fleet.engines[0], 1);
     // Only the entry may show the restart, which cache events would do a moment later.
     restarted["seq"] = json!(0);
-    fleet.site.enter("e-0", &restarted);
+    fleet.site.register("e-0", &restarted);
     fleet.wait_logged("event=upstream_restarted upstream=e-0").await;
     assert_eq!(fleet.prompt("r-1").await, 200);
     assert_ne!(fleet.expected_prefill_tokens("r-1"), Some(200));
@@ -168,7 +168,7 @@
     fleet.wait_cached().await;
     // The metadata store reports the entry of the earlier incarnation once more.
     old_entry["seq"] = json!(9);
-    fleet.site.enter("e-0", &old_entry);
+    fleet.site.register("e-0", &old_entry);
     fleet.wait_logged("event=upstream_outdated upstream=e-0").await;
     fleet.wait_cached().await;
 }
@@ -178,12 +178,12 @@
     let mut site = Site::start().await;
     let server = Server::start("s-0").await;
     let entry_of_incarnation = |born: u64| {
-        let mut entry = entry("plain", &server.address, "ready");
+        let mut entry = service_entry("plain", &server.address, "ready");
         entry["born"] = json!(born);
         entry
     };
-    site.enter("s-0", &entry_of_incarnation(1));
-    site.configure(&document(7));
+    site.register("s-0", &entry_of_incarnation(1));
+    site.configure(&config_document(7));
     let gateway = site.gateway("north", &[]);
     wait_ready(&gateway).await;
     server.script(&[Behavior::Close]);
@@ -192,7 +192,7 @@
         Client::connect(&gateway.clients).await.send(&bytes).await.expect("an answer").status()
     };
     let (first, ()) =
-        tokio::join!(send("r-1"), async { site.enter("s-0", &entry_of_incarnation(2)) });
+        tokio::join!(send("r-1"), async { site.register("s-0", &entry_of_incarnation(2)) });
     assert_eq!(first, 502, "the request may have run");
     assert_eq!(server.count("r-1"), 1);
     assert_eq!(send("r-2").await, 200);
--- a/tests/gateway_silence.rs
+++ b/tests/gateway_silence.rs
@@ -17,7 +17,7 @@
 use coursestile_standins::site::client::{Client, request};
 use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::server::{Server, WORK_HEADER};
-use coursestile_standins::site::{document, entry, eventually};
+use coursestile_standins::site::{config_document, eventually, service_entry};
 use futures_util::future::join_all;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -82,10 +82,12 @@
         for number in 0..upstreams {
             let server = Server::start(&format!("s-{number}")).await;
             let proxy = FaultProxy::start(&server.address).await;
-            fixture.site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
+            fixture.site.register(&server.id, &service_entry("plain", &proxy.address, "ready"));
             let seen = format!("upstream_seen upstream={}", server.id);
-            eventually("the upstream is known", async || fixture.gateway.logged().contains(&seen))
-                .await;
+            eventually("the upstream is known", async || {
+                fixture.gateway.log_text().contains(&seen)
+            })
+            .await;
             fixture.servers.push(server);
             proxies.push(proxy);
         }
@@ -194,8 +196,8 @@
     let fixture = start_fixture(0).await;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
     let address = listener.local_addr().expect("address").to_string();
-    fixture.site.enter("s-0", &entry("plain", &address, "ready"));
-    let known = async || fixture.gateway.logged().contains("upstream_seen upstream=s-0");
+    fixture.site.register("s-0", &service_entry("plain", &address, "ready"));
+    let known = async || fixture.gateway.log_text().contains("upstream_seen upstream=s-0");
     eventually("the upstream is known", known).await;
     let client_proxy = FaultProxy::start(&fixture.gateway.clients).await;
     let mut client = Client::connect(&client_proxy.address).await;
@@ -229,9 +231,9 @@
     eventually("the peer is queried", async || unresponsive_peer.connections() > 0).await;
     store_proxy.set_target("127.0.0.1:1");
     store_proxy.reset_open_connections();
-    fixture.site.configure(&document(8));
+    fixture.site.configure(&config_document(8));
     let since = Instant::now();
-    let in_force = async || cut_box.logged().contains("configuration_in_force version=8");
+    let in_force = async || cut_box.log_text().contains("configuration_in_force version=8");
     eventually("the configuration is in force", in_force).await;
     assert!(since.elapsed() < Duration::from_secs(2), "{:?}", since.elapsed());
     assert!(fixture.gateway.is_alive());
--- a/tests/gateway_silent_calls.rs
+++ b/tests/gateway_silent_calls.rs
@@ -15,7 +15,9 @@
 use coursestile_standins::site::engine::{Engine, MODEL};
 use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::server::Server;
-use coursestile_standins::site::{Gateway, Site, document, engine_entry, entry, eventually};
+use coursestile_standins::site::{
+    Gateway, Site, config_document, engine_entry, eventually, service_entry,
+};
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -48,17 +50,17 @@
         let engine_proxy = FaultProxy::start(&engine.address).await;
         let store_proxy = FaultProxy::start(&store.address).await;
         let metadata_proxy = FaultProxy::start(&site.metadata.address).await;
-        site.enter("e-0", &engine_entry("llm", &engine_proxy.address, MODEL, 1));
+        site.register("e-0", &engine_entry("llm", &engine_proxy.address, MODEL, 1));
         let (mut servers, mut upstream_proxies) = (Vec::new(), Vec::new());
         for number in 0..3 {
             let server = Server::start(&format!("s-{number}")).await;
             let proxy = FaultProxy::start(&server.address).await;
-            site.enter(&server.id, &entry("plain", &proxy.address, "ready"));
+            site.register(&server.id, &service_entry("plain", &proxy.address, "ready"));
             upstream_proxies.push(proxy);
             servers.push(server);
         }
         site.configure(&config(7, &store_proxy.address));
-        site.name_weights(MODEL, 1);
+        site.set_weight_version(MODEL, 1);
         let gateway = site.gateway_at("north", &[], &metadata_proxy.address);
         wait_ready(&gateway).await;
         let client_proxy = FaultProxy::start(&gateway.clients).await;
@@ -82,11 +84,11 @@
 
     fn in_force(&self, version: u64) -> bool {
         let text = format!("event=configuration_in_force version={version} ");
-        self.gateway.logged().contains(&text)
+        self.gateway.log_text().contains(&text)
     }
 
     async fn wait_logged(&self, text: &str, times: usize) {
-        let logged = async || self.gateway.logged().matches(text).count() >= times;
+        let logged = async || self.gateway.log_text().matches(text).count() >= times;
         eventually(text, logged).await;
     }
 
@@ -106,7 +108,7 @@
 }
 
 fn config(version: u64, store_address: &str) -> Value {
-    let mut config = document(version);
+    let mut config = config_document(version);
     config["services"].as_array_mut().expect("services").extend([
         json!({ "name": "llm", "max_conns": 100, "engine": { "slots": 8, "kv_capacity": 40000,
             "kv_token_bytes": 18432, "link_mbps": 100_000, "managed": true,
@@ -135,7 +137,7 @@
     proxied.silence_all();
     proxied.configure(8);
     let proxy_address = &proxied.upstream_proxies[0].address;
-    proxied.site.enter("s-0", &entry("plain", proxy_address, "draining"));
+    proxied.site.register("s-0", &service_entry("plain", proxy_address, "draining"));
     let left_at = Instant::now();
     let applied = time_until("the configuration is in force", async || proxied.in_force(8)).await;
     assert!(applied < CHANGE_APPLY, "{applied:?}");
@@ -174,7 +176,7 @@
         proxied.metadata_proxy.silence_open_connections();
         tokio::time::sleep(Duration::from_millis(1500)).await;
     }
-    let logged = proxied.gateway.logged();
+    let logged = proxied.gateway.log_text();
     assert!(!logged.contains("event=leadership_ended"), "{logged}");
 }
 
@@ -184,11 +186,11 @@
 async fn order_given() {
     let proxied = ProxiedSite::start().await;
     proxied.wait_logged("event=leadership_taken", 1).await;
-    proxied.site.name_weights(MODEL, 2);
+    proxied.site.set_weight_version(MODEL, 2);
     let loaded = async |version: u64| proxied.engine.version() == version;
     eventually("the engine has the weights", async || loaded(2).await).await;
     proxied.engine_proxy.silence_open_connections();
-    proxied.site.name_weights(MODEL, 3);
+    proxied.site.set_weight_version(MODEL, 3);
     let elapsed = time_until("the engine has the weights", async || loaded(3).await).await;
     assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
     let fences: Vec<u64> = proxied.engine.orders().iter().map(|order| order.fence).collect();
@@ -203,7 +205,7 @@
     let listed = "event=holder_listed holder=Store(\"vault\")";
     proxied.wait_logged(listed, 1).await;
     proxied.store_proxy.silence_open_connections();
-    let listed_again = async || proxied.gateway.logged().matches(listed).count() > 1;
+    let listed_again = async || proxied.gateway.log_text().matches(listed).count() > 1;
     let elapsed = time_until("the store is listed again", listed_again).await;
     assert!(elapsed < Duration::from_secs(4), "{elapsed:?}");
 }
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -18,11 +18,11 @@
     let slow_request = String::from_utf8(slow_request)
         .unwrap()
         .replace("X-Deadline-Ms: 3000", "X-Deadline-Ms: 9000");
-    let mut newer_config = coursestile_standins::site::document(8);
+    let mut newer_config = coursestile_standins::site::config_document(8);
     newer_config["routes"][1]["timeout_ms"] = serde_json::json!(9000);
     fixture.site.configure(&newer_config);
     eventually("the configuration is in force", async || {
-        fixture.gateway.logged().contains("in_force version=8")
+        fixture.gateway.log_text().contains("in_force version=8")
     })
     .await;
     let mut slow_client = Client::connect(&fixture.gateway.clients).await;
@@ -37,7 +37,7 @@
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     let answer = slow_client.read().await.expect("an answer");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "answer to r-1: "));
-    assert_eq!(fixture.gateway.ended().await, Some(0));
+    assert_eq!(fixture.gateway.wait_for_exit().await, Some(0));
 }
 
 #[tokio::test]
@@ -45,7 +45,7 @@
     let fixture = start_fixture(1).await;
     fixture.gateway.signal("-HUP");
     eventually("the settings are read", async || {
-        fixture.gateway.logged().contains("event=reloaded")
+        fixture.gateway.log_text().contains("event=reloaded")
     })
     .await;
     assert_eq!(fixture.send("GET", "/safe/", "r-1").await.status(), 200);
--- a/tests/gateway_urgency.rs
+++ b/tests/gateway_urgency.rs
@@ -72,5 +72,5 @@
     }
     let priority = |id| fixture.first_arrival(id).header("priority").map(str::to_owned);
     assert_eq!((priority("r-1").as_deref(), priority("r-2").as_deref()), (Some("1"), Some("5")));
-    assert!(fixture.gateway.logged().contains("event=ranked_late request=r-2"));
+    assert!(fixture.gateway.log_text().contains("event=ranked_late request=r-2"));
 }
--- a/tests/gateway_watch.rs
+++ b/tests/gateway_watch.rs
@@ -9,20 +9,20 @@
 use common::{GatewayFixture, start_fixture, wait_ready};
 use coursestile_standins::site::fault_proxy::FaultProxy;
 use coursestile_standins::site::metadata::StoreFault;
-use coursestile_standins::site::{Gateway, Site, document, entry, eventually};
+use coursestile_standins::site::{Gateway, Site, config_document, eventually, service_entry};
 
 /// Time after which a change counts as late: twice the bound of the smallest deployment, and half
 /// of the time that a lost watch call took to be noticed.
 const LATE_AFTER: Duration = Duration::from_secs(4);
 
 fn in_force(gateway: &Gateway, version: u64) -> bool {
-    gateway.logged().contains(&format!("event=configuration_in_force version={version} "))
+    gateway.log_text().contains(&format!("event=configuration_in_force version={version} "))
 }
 
 /// Loses the watch call that the gateway has just made after a change: the store stops answering
 /// and is back after 100 ms.
 async fn lose_watch(fixture: &GatewayFixture) {
-    fixture.site.configure(&document(8));
+    fixture.site.configure(&config_document(8));
     eventually("the change is in force", async || in_force(&fixture.gateway, 8)).await;
     fixture.site.metadata.set_fault(StoreFault::Unresponsive);
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -38,7 +38,7 @@
 async fn change_after_lost() {
     let fixture = start_fixture(1).await;
     lose_watch(&fixture).await;
-    fixture.site.configure(&document(9));
+    fixture.site.configure(&config_document(9));
     let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&fixture.gateway, 9)).await;
     assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
@@ -51,10 +51,10 @@
     let fixture = start_fixture(2).await;
     lose_watch(&fixture).await;
     let leaving = &fixture.servers[0];
-    fixture.site.enter(&leaving.id, &entry("plain", &leaving.address, "draining"));
+    fixture.site.register(&leaving.id, &service_entry("plain", &leaving.address, "draining"));
     let left_at = Instant::now();
     let known_line = "upstream=s-0 service=plain hall=north leaving=true";
-    eventually("the departure is known", async || fixture.gateway.logged().contains(known_line))
+    eventually("the departure is known", async || fixture.gateway.log_text().contains(known_line))
         .await;
     assert!(left_at.elapsed() < LATE_AFTER, "known only after {:?}", left_at.elapsed());
     for number in 0..10 {
@@ -74,7 +74,7 @@
 async fn start_gateway_behind_proxy() -> (Site, Gateway, FaultProxy) {
     let mut site = Site::start().await;
     let proxy = FaultProxy::start(&site.metadata.address).await;
-    site.configure(&document(8));
+    site.configure(&config_document(8));
     let gateway = site.gateway_at("north", &[], &proxy.address);
     wait_ready(&gateway).await;
     (site, gateway, proxy)
@@ -88,13 +88,13 @@
 async fn connections_silent() {
     let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     proxy.silence_open_connections();
-    site.configure(&document(9));
+    site.configure(&config_document(9));
     let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 9)).await;
     assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
     // Its next calls use new connections, too.
     proxy.silence_open_connections();
-    site.configure(&document(10));
+    site.configure(&config_document(10));
     let changed_at = Instant::now();
     eventually("the change is in force", async || in_force(&gateway, 10)).await;
     assert!(changed_at.elapsed() < LATE_AFTER, "in force only after {:?}", changed_at.elapsed());
@@ -106,9 +106,9 @@
 async fn reset_between() {
     let (site, gateway, proxy) = start_gateway_behind_proxy().await;
     for version in (9..15).step_by(2) {
-        site.configure(&document(version));
+        site.configure(&config_document(version));
         proxy.reset_open_connections();
-        site.configure(&document(version + 1));
+        site.configure(&config_document(version + 1));
         let newest = version + 1;
         eventually("the change is in force", async || in_force(&gateway, newest)).await;
     }
@@ -120,14 +120,15 @@
 #[tokio::test]
 async fn gone_beside_reset() {
     let (site, gateway, proxy) = start_gateway_behind_proxy().await;
-    site.enter("s-0", &entry("plain", "127.0.0.1:9", "ready"));
+    site.register("s-0", &service_entry("plain", "127.0.0.1:9", "ready"));
     let seen = "event=upstream_seen upstream=s-0";
-    eventually("the upstream is known", async || gateway.logged().contains(seen)).await;
+    eventually("the upstream is known", async || gateway.log_text().contains(seen)).await;
     proxy.reset_open_connections();
-    eventually("the reset is noticed", async || gateway.logged().contains("dependency_lost")).await;
-    site.leave("s-0");
+    eventually("the reset is noticed", async || gateway.log_text().contains("dependency_lost"))
+        .await;
+    site.deregister("s-0");
     let left_at = Instant::now();
     let gone = "event=upstream_gone upstream=s-0";
-    eventually("the departure is known", async || gateway.logged().contains(gone)).await;
+    eventually("the departure is known", async || gateway.log_text().contains(gone)).await;
     assert!(left_at.elapsed() < DEPARTURE_APPLY, "known only after {:?}", left_at.elapsed());
 }
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -12,7 +12,7 @@
 use coursestile_standins::site::http::Message;
 use coursestile_standins::site::metadata::StoreFault;
 use coursestile_standins::site::{
-    Gateway, Site, document, engine_entry, engine_services, eventually,
+    Gateway, Site, config_document, engine_entry, engine_services, eventually,
 };
 use serde_json::json;
 use tokio::task::JoinHandle;
@@ -45,14 +45,14 @@
 async fn fleet_on_site(site: Site) -> Fleet {
     let store = Engine::start().await;
     let engines = start_engines(&site, 4).await;
-    let mut config = document(7);
+    let mut config = config_document(7);
     config["routes"][2]["service"] = json!("llm");
     config["routes"][2]["path_prefix"] = json!("/run/");
     config["routes"][3]["service"] = json!("llm");
     config["routes"][3]["timeout_ms"] = json!(20_000);
     config["services"] = engine_services(Some(&store.address));
     site.configure(&config);
-    site.name_weights(MODEL, 1);
+    site.set_weight_version(MODEL, 1);
     Fleet { gateways: Vec::new(), engines, store, site }
 }
 
@@ -73,7 +73,7 @@
 
     async fn wait_logged(&self, text: &str) {
         eventually(text, async || {
-            self.gateways.iter().any(|gateway| gateway.logged().contains(text))
+            self.gateways.iter().any(|gateway| gateway.log_text().contains(text))
         })
         .await;
     }
@@ -101,10 +101,10 @@
 async fn one_holder() {
     let fleet = fleet(3).await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
-    fleet.site.name_weights(MODEL, 3);
-    fleet.site.name_weights(MODEL, 5);
+    fleet.site.set_weight_version(MODEL, 3);
+    fleet.site.set_weight_version(MODEL, 5);
     fleet.wait_version(5).await;
     let orders: Vec<_> = fleet.engines.iter().flat_map(Engine::orders).collect();
     assert!(orders.iter().all(|order| order.holder == orders[0].holder));
@@ -115,16 +115,16 @@
 async fn holder_replaced() {
     let mut fleet = fleet(3).await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
     let leader_index = fleet
         .gateways
         .iter()
-        .position(|gateway| gateway.logged().contains("event=leadership_taken"));
+        .position(|gateway| gateway.log_text().contains("event=leadership_taken"));
     let killed_leader = fleet.gateways.remove(leader_index.expect("a leader"));
     killed_leader.signal("-KILL");
     drop(killed_leader);
-    fleet.site.name_weights(MODEL, 3);
+    fleet.site.set_weight_version(MODEL, 3);
     fleet.wait_version(3).await;
     for engine in &fleet.engines {
         let fences: Vec<u64> = engine.orders().iter().map(|order| order.fence).collect();
@@ -144,11 +144,11 @@
     fleet.add_gateway(&metadata_address).await;
     store_access.refuse_calls();
     fleet.wait_logged("event=renewed_through_peer renewed=true").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
     let orders: Vec<_> = fleet.engines.iter().flat_map(Engine::orders).collect();
     assert!(orders.iter().all(|order| order.fence == orders[0].fence));
-    assert!(!fleet.gateways[0].logged().contains("event=leadership_ended"));
+    assert!(!fleet.gateways[0].log_text().contains("event=leadership_ended"));
 }
 
 #[tokio::test]
@@ -156,10 +156,10 @@
     let fleet = fleet(2).await;
     fleet.wait_logged("event=leadership_taken").await;
     fleet.site.metadata.set_fault(StoreFault::WriteAnswersLost);
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
     fleet.site.metadata.set_fault(StoreFault::None);
-    fleet.site.name_weights(MODEL, 3);
+    fleet.site.set_weight_version(MODEL, 3);
     fleet.wait_version(3).await;
 }
 
@@ -189,7 +189,7 @@
     })
     .await;
     fleet.wait_logged("event=leadership_taken").await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     fleet.wait_version(2).await;
     eventually("the new scope is used", async || {
         number += 1;
@@ -202,7 +202,7 @@
     // Each engine writes the new version to its entry with its next heartbeat.
     for (number, engine) in fleet.engines.iter().enumerate() {
         let entry = engine_entry("llm", &engine.address, MODEL, 2);
-        fleet.site.enter(&format!("e-{number}"), &entry);
+        fleet.site.register(&format!("e-{number}"), &entry);
     }
     eventually("old parts are freed", async || fleet.store.freed_parts().len() == 2).await;
     assert!(fleet.store.freed_parts().iter().all(|(scope, _)| scope == OLD_SCOPE));
@@ -244,7 +244,7 @@
     let clients = &fleet.gateways[0].clients;
     let streams = STREAMS.map(|id| tokio::spawn(stream(clients.clone(), id, own_tokens)));
     eventually("all streams run", async || STREAMS.iter().all(|id| fleet.run_count(id) == 1)).await;
-    fleet.site.name_weights(MODEL, 2);
+    fleet.site.set_weight_version(MODEL, 2);
     streams
 }
 
@@ -289,7 +289,7 @@
     let metadata_address = site.metadata.address.clone();
     let mut fleet = fleet_on_site(site).await;
     let idle_engine = Engine::start().await;
-    fleet.site.enter("e-4", &engine_entry("llm", &idle_engine.address, MODEL, 1));
+    fleet.site.register("e-4", &engine_entry("llm", &idle_engine.address, MODEL, 1));
     fleet.engines.push(idle_engine);
     fleet.add_gateway(&metadata_address).await;
     // A box that has just started may not know yet since when weights are overdue.
