--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -61,9 +61,9 @@
     let head = ConfigHead { base_revision: state.revision, entries: Vec::new() };
     let head = serde_json::to_vec(&head).expect("a head can be written");
     platform.compare_and_swap(HEAD_KEY, 0, &head).await.expect("the platform answers");
-    fleet.must_operate(&["model", "set", "summary", "v1"]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v1"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, state.revision + 1, boxes.len()).await;
+    fleet.wait_for_revision(&boxes, state.revision + 1, boxes.len()).await;
     fleet
 }
 
@@ -205,12 +205,18 @@
 
 /// Time from a change's acceptance until all nine boxes serve it.
 async fn in_force() {
-    let fleet = full_fleet(&Plan::today()).await;
+    let fleet = full_fleet(&Plan::full_size()).await;
     let mut times = histogram();
     for number in 0..CHANGES {
         let share = (1 + number % 3).to_string();
-        let text =
-            fleet.must_operate(&["account", "set", "account-1", "--share", &share, "--json"]);
+        let text = fleet.must_run_operator_tool(&[
+            "account",
+            "set",
+            "account-1",
+            "--share",
+            &share,
+            "--json",
+        ]);
         let accepted_at = Instant::now();
         let made: Value = serde_json::from_str(&text).unwrap_or_default();
         let revision = made["revision"].as_u64().expect("a revision");
--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -90,7 +90,7 @@
                 let pid = process.pid();
                 signal(process, with);
                 tokio::time::sleep(stays).await;
-                process.start_again(pid).await;
+                process.restart_after_exit(pid).await;
                 return;
             }
             set(&fleet, fault, pick, true).await;
@@ -129,24 +129,24 @@
         Fault::BoxFrozen => signal(entry_box, stop),
         Fault::EngineFrozen => signal(engine, stop),
         Fault::StoreFrozen => signal(store, stop),
-        Fault::EngineSlow => fleet.try_fault(engine, slowdown).await,
-        Fault::LinkSlow => fleet.try_fault(store, slowdown).await,
+        Fault::EngineSlow => fleet.try_set_fault(engine, slowdown).await,
+        Fault::LinkSlow => fleet.try_set_fault(store, slowdown).await,
         Fault::StreamsBroken => {
             let pieces = if on { 7 } else { 0 };
-            fleet.try_fault(engine, json!({ "break_after_pieces": pieces })).await;
+            fleet.try_set_fault(engine, json!({ "break_after_pieces": pieces })).await;
         }
-        Fault::PiecesReordered => fleet.try_fault(engine, json!({ "reorder": on })).await,
-        Fault::ReadsCorrupt => fleet.try_fault(store, json!({ "corrupt_reads": on })).await,
+        Fault::PiecesReordered => fleet.try_set_fault(engine, json!({ "reorder": on })).await,
+        Fault::ReadsCorrupt => fleet.try_set_fault(store, json!({ "corrupt_reads": on })).await,
         Fault::WorkerLosesAnswer => {
-            fleet.try_fault(worker, json!({ "lose_answers": u8::from(on) })).await;
+            fleet.try_set_fault(worker, json!({ "lose_answers": u8::from(on) })).await;
         }
-        Fault::PlatformOut => fleet.try_fault(&fleet.platform, json!({ "outage": on })).await,
+        Fault::PlatformOut => fleet.try_set_fault(&fleet.platform, json!({ "outage": on })).await,
         Fault::PlatformLosesAnswers => {
-            fleet.try_fault(&fleet.platform, json!({ "lose_answers": u8::from(on) })).await;
+            fleet.try_set_fault(&fleet.platform, json!({ "lose_answers": u8::from(on) })).await;
         }
         Fault::PlatformSlow => {
             let slow_ms = if on { 700 } else { 0 };
-            fleet.try_fault(&fleet.platform, json!({ "slow_ms": slow_ms })).await;
+            fleet.try_set_fault(&fleet.platform, json!({ "slow_ms": slow_ms })).await;
         }
         Fault::HallCut => {
             let hall = ["north", "east", "west"][pick % 3];
@@ -180,7 +180,7 @@
     let args: Vec<_> = args.iter().map(|arg| (*arg).to_owned()).collect();
     let run = move || {
         let args: Vec<_> = args.iter().map(String::as_str).collect();
-        fleet.operate(&args).0
+        fleet.run_operator_tool(&args).0
     };
     tokio::task::spawn_blocking(run).await.unwrap_or(-1)
 }
@@ -205,7 +205,7 @@
     let workload = Workload::new(Kind::Sanam, options.seed, rate_per_s, options.seconds);
     let revision = create_accounts(&fleet, &workload);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, revision, boxes.len()).await;
+    fleet.wait_for_revision(&boxes, revision, boxes.len()).await;
     let faults_s = options.seconds.saturating_sub(CALM_S).max(1);
     let until = Instant::now() + Duration::from_secs(faults_s);
     let injector = tokio::spawn(inject(fleet.clone(), options.seed, until));
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -63,7 +63,7 @@
 ];
 
 fn plan(policy: &Policy) -> Plan {
-    let mut plan = Plan::today();
+    let mut plan = Plan::full_size();
     plan.stores = policy.stores;
     plan.cache_tokens = CACHE_TOKENS;
     plan.store_bytes = policy.store_bytes;
@@ -85,7 +85,7 @@
     let fleet = Arc::new(Fleet::start(&plan(policy)).await);
     let revision = create_accounts(&fleet, workload);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, revision, boxes.len()).await;
+    fleet.wait_for_revision(&boxes, revision, boxes.len()).await;
     fleet
 }
 
@@ -196,7 +196,7 @@
             }
             Self::LinkSlow => {
                 for store in &fleet.stores {
-                    fleet.fault(store, json!({ "slowdown": if on { 10 } else { 1 } })).await;
+                    fleet.set_fault(store, json!({ "slowdown": if on { 10 } else { 1 } })).await;
                 }
             }
             Self::EnginesFreeze => {
@@ -209,7 +209,7 @@
                     fleet.boxes[4].process.signal("-KILL");
                 }
             }
-            Self::PlatformOut => fleet.fault(&fleet.platform, json!({ "outage": on })).await,
+            Self::PlatformOut => fleet.set_fault(&fleet.platform, json!({ "outage": on })).await,
         }
     }
 }
--- a/load/src/control.rs
+++ b/load/src/control.rs
@@ -98,7 +98,7 @@
         let revision = create_accounts(&fleet, &workload);
         let all: Vec<_> = fleet.boxes.iter().collect();
         // Views of a fleet that starts all at once take longer to converge.
-        fleet.wait_in_force(&all, revision, boxes / 2).await;
+        fleet.wait_for_revision(&all, revision, boxes / 2).await;
         tokio::time::sleep(SETTLE).await;
         let (begun_at, before) = (Instant::now(), sample(&fleet).await);
         tokio::time::sleep(Duration::from_secs(options.seconds)).await;
--- a/load/src/demo.rs
+++ b/load/src/demo.rs
@@ -21,17 +21,20 @@
 
 async fn show(kind: Kind, options: &Options) -> u64 {
     println!("== {}: 3 halls, 9 boxes, 18 engines, 2 stores, 3 workers", kind.name());
-    let fleet = Arc::new(Fleet::start(&Plan::today()).await);
+    let fleet = Arc::new(Fleet::start(&Plan::full_size()).await);
     let workload = Workload::new(kind, options.seed, options.rate_per_s, options.seconds);
     let revision = create_accounts(&fleet, &workload);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, revision, boxes.len()).await;
-    println!("\n$ coursestile account list\n{}", fleet.must_operate(&["account", "list"]));
+    fleet.wait_for_revision(&boxes, revision, boxes.len()).await;
+    println!(
+        "\n$ coursestile account list\n{}",
+        fleet.must_run_operator_tool(&["account", "list"])
+    );
     let outcome = send(&fleet, &workload, Sending { progress: true, ..Sending::default() }).await;
     if let Some(trace) = &outcome.trace {
-        println!("\n$ coursestile trace {trace}\n{}", fleet.operate(&["trace", trace]).1);
+        println!("\n$ coursestile trace {trace}\n{}", fleet.run_operator_tool(&["trace", trace]).1);
     }
-    println!("$ coursestile status\n{}", fleet.operate(&["status"]).1);
+    println!("$ coursestile status\n{}", fleet.run_operator_tool(&["status"]).1);
     print_head();
     print_row(kind.name(), &outcome);
     println!("\nrequests sent {}, whole answers {}", outcome.sent, outcome.whole);
--- a/load/src/runner.rs
+++ b/load/src/runner.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::Fleet;
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
@@ -41,12 +41,20 @@
 pub fn create_accounts(fleet: &Fleet, workload: &Workload) -> u64 {
     let template = workload.kind.name();
     let weights = workload.kind.weights();
-    fleet.must_operate(&["template", "set", template, "--models", "summary", "--weights", weights]);
-    let mut text = fleet.must_operate(&["model", "set", "summary", "v1", "--json"]);
+    fleet.must_run_operator_tool(&[
+        "template",
+        "set",
+        template,
+        "--models",
+        "summary",
+        "--weights",
+        weights,
+    ]);
+    let mut text = fleet.must_run_operator_tool(&["model", "set", "summary", "v1", "--json"]);
     for (account, weight) in ACCOUNT_WEIGHTS.iter().enumerate() {
         let (name, key) = (format!("{template}-{account}"), api_key(workload, account));
         let share = weight.to_string();
-        text = fleet.must_operate(&[
+        text = fleet.must_run_operator_tool(&[
             "account",
             "set",
             &name,
@@ -248,7 +256,7 @@
         let mut outcome = self.outcome.lock().expect("outcome lock");
         match read {
             Read::Whole { text, version } => {
-                let right = text == whole(&version, prompt, max_tokens as usize);
+                let right = text == full_answer(&version, prompt, max_tokens as usize);
                 outcome.whole += u64::from(right);
                 outcome.wrong += u64::from(!right);
                 outcome.whole_by_account[arrival.account] += u64::from(right);
--- a/standins/src/answer.rs
+++ b/standins/src/answer.rs
@@ -33,7 +33,7 @@
 
 /// The whole answer of `tokens` words.
 #[must_use]
-pub fn whole(version: &str, prompt: &str, tokens: usize) -> String {
+pub fn full_answer(version: &str, prompt: &str, tokens: usize) -> String {
     let mut generator = Generator::new(version, prompt);
     (0..tokens).map(|_| generator.next_word()).collect()
 }
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 
 pub use plan::{HallPlan, Plan};
 pub use process::Process;
-pub use relays::Kind;
+pub use relays::RelayKind;
 use relays::Relays;
 use starter::Starter;
 
@@ -31,7 +31,7 @@
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time in which a cut has broken all open connections.
-const CUT_TIME: Duration = Duration::from_millis(500);
+const CUT_DELAY: Duration = Duration::from_millis(500);
 
 static FLEETS: AtomicU16 = AtomicU16::new(0);
 
@@ -57,7 +57,7 @@
     pub workers: Vec<Process>,
     /// Wires between halls, one for each direction, named `from-to`.
     pub wires: Vec<Process>,
-    /// Relays on the ways of boxes, if the plan has them.
+    /// Relays on the relay_addresses of boxes, if the plan has them.
     pub relays: Relays,
     /// Client for calls.
     pub http: reqwest::Client,
@@ -71,7 +71,7 @@
 /// # Panics
 /// Panics when the running program's path is not known.
 #[must_use]
-pub fn programs() -> PathBuf {
+pub fn program_dir() -> PathBuf {
     let mut dir = std::env::current_exe().expect("own path");
     dir.pop();
     if dir.ends_with("deps") {
@@ -88,7 +88,7 @@
     pub async fn start(plan: &Plan) -> Self {
         let count = FLEETS.fetch_add(1, Ordering::Relaxed);
         let pid = std::process::id();
-        let network = Network::take();
+        let network = Network::reserve();
         let dir = std::env::temp_dir().join(format!("coursestile-{pid}-{count}"));
         std::fs::create_dir_all(&dir).expect("folder for logs");
         let prefix = network.prefix().to_owned();
@@ -157,7 +157,7 @@
         let seeds: Vec<_> = hosts.iter().map(|(_, _, host)| format!("{host}:7000")).collect();
         for (name, hall, host) in &hosts {
             let upstreams = self.upstream_settings(&plan, hall);
-            let platform = self.relays.way(&self.platform);
+            let platform = self.relays.url_for(&self.platform);
             let routes = routes.get(hall).map_or("", String::as_str);
             let peers = format!("seeds = {}\nroutes = {routes}", seeds.join(", "));
             let settings = starter.settings(name, hall, host, &peers, &platform, &upstreams);
@@ -178,11 +178,19 @@
             let mut own = Vec::new();
             for to in halls.clone().filter(|to| to.name != from.name) {
                 let far = hosts.iter().filter(|(_, hall, _)| *hall == to.name);
-                let way = |host: &String| (format!("{}:7000", starter.address()), host.clone());
-                let ways: Vec<_> = far.map(|(_, _, host)| host).map(way).collect();
-                let pairs = ways.iter().map(|(way, host)| format!("{way}>{host}:7000"));
+                let relay_address =
+                    |host: &String| (format!("{}:7000", starter.address()), host.clone());
+                let relay_addresses: Vec<_> =
+                    far.map(|(_, _, host)| host).map(relay_address).collect();
+                let pairs = relay_addresses
+                    .iter()
+                    .map(|(relay_address, host)| format!("{relay_address}>{host}:7000"));
                 let pairs = pairs.collect::<Vec<_>>().join(",");
-                own.extend(ways.iter().map(|(way, host)| format!("{host}:7000>{way}")));
+                own.extend(
+                    relay_addresses
+                        .iter()
+                        .map(|(relay_address, host)| format!("{host}:7000>{relay_address}")),
+                );
                 let name = format!("{}-{}", from.name, to.name);
                 self.wires.push(starter.standin("wire", &name, "", &[("pairs".to_owned(), pairs)]));
             }
@@ -196,11 +204,11 @@
         for wire in &self.wires {
             let (from, to) = wire.name.split_once('-').unwrap_or_default();
             if from == hall || to == hall {
-                self.try_fault(wire, json!({ "outage": cut })).await;
+                self.try_set_fault(wire, json!({ "outage": cut })).await;
             }
         }
         // Open connections break at the wires' next look.
-        tokio::time::sleep(CUT_TIME).await;
+        tokio::time::sleep(CUT_DELAY).await;
     }
 
     fn upstream_settings(&self, plan: &Plan, hall: &str) -> String {
@@ -211,7 +219,7 @@
                 "[upstream.{}]\nkind = engine\nurl = {}\nmodel = summary\nslots = {}\ncache_tokens = {}\n\
                  prefill_token_us = 30\nchecks_orders = {}\n",
                 engine.name,
-                self.relays.way(engine),
+                self.relays.url_for(engine),
                 plan.slots,
                 plan.cache_tokens,
                 plan.checks_orders
@@ -224,7 +232,7 @@
                 "[upstream.{}]\nkind = store\nurl = {}\ncapacity_bytes = {share}\n\
                  link_bytes_per_ms = {}\n",
                 store.name,
-                self.relays.way(store),
+                self.relays.url_for(store),
                 plan.link_bytes_per_ms
             );
         }
@@ -237,7 +245,7 @@
                 "[upstream.{}]\nkind = service\nurl = {}\nservice = scores\n\
                  repeatable = /fixtures\n",
                 worker.name,
-                self.relays.way(worker)
+                self.relays.url_for(worker)
             );
         }
         text
@@ -271,7 +279,7 @@
     ///
     /// # Panics
     /// Panics when the stand-in refuses it.
-    pub async fn fault(&self, process: &Process, fault: Value) {
+    pub async fn set_fault(&self, process: &Process, fault: Value) {
         let call = self.http.post(format!("{}/fault", process.url())).json(&fault);
         let answer = call.send().await;
         // A process that is told to die does not answer.
@@ -280,7 +288,7 @@
     }
 
     /// Sets a fault at a stand-in, unless it does not answer.
-    pub async fn try_fault(&self, process: &Process, fault: Value) {
+    pub async fn try_set_fault(&self, process: &Process, fault: Value) {
         let call = self.http.post(format!("{}/fault", process.url())).json(&fault);
         // A killed or frozen process comes back without the fault, or keeps it
         // until it is healed.
@@ -302,7 +310,7 @@
     ///
     /// # Panics
     /// Panics when that takes too long.
-    pub async fn wait_in_force(&self, boxes: &[&EntryBox], revision: u64, members: usize) {
+    pub async fn wait_for_revision(&self, boxes: &[&EntryBox], revision: u64, members: usize) {
         let until = Instant::now() + START_TIMEOUT;
         for entry_box in boxes {
             loop {
@@ -323,9 +331,10 @@
     /// # Panics
     /// Panics when the tool cannot be started.
     #[must_use]
-    pub fn operate(&self, args: &[&str]) -> (i32, String) {
-        let boxes: Vec<_> = self.boxes.iter().map(|one| one.operators.clone()).collect();
-        let output = Command::new(programs().join("coursestile"))
+    pub fn run_operator_tool(&self, args: &[&str]) -> (i32, String) {
+        let boxes: Vec<_> =
+            self.boxes.iter().map(|entry_box| entry_box.operators.clone()).collect();
+        let output = Command::new(program_dir().join("coursestile"))
             .args(args)
             .env("COURSESTILE_PLATFORM", self.platform.url())
             .env("COURSESTILE_BOXES", boxes.join(","))
@@ -341,8 +350,8 @@
     /// # Panics
     /// Panics when it fails.
     #[allow(clippy::must_use_candidate, reason = "most callers want the effect only")]
-    pub fn must_operate(&self, args: &[&str]) -> String {
-        let (code, text) = self.operate(args);
+    pub fn must_run_operator_tool(&self, args: &[&str]) -> String {
+        let (code, text) = self.run_operator_tool(args);
         assert_eq!(code, 0, "{args:?}: {text}");
         text
     }
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -82,7 +82,7 @@
 
     /// The size of today: three halls, 9 boxes, 18 engines, 2 stores, 3 workers.
     #[must_use]
-    pub fn today() -> Self {
+    pub fn full_size() -> Self {
         let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 3, 6, 1));
         Self { stores: 2, ..Self::new(halls.to_vec()) }
     }
--- a/standins/src/fleet/process.rs
+++ b/standins/src/fleet/process.rs
@@ -42,7 +42,7 @@
 
     /// Sends a signal, unless the process has ended.
     pub fn try_signal(&self, signal: &str) -> bool {
-        if self.ended() {
+        if self.has_exited() {
             return false;
         }
         let pid = self.pid().to_string();
@@ -65,8 +65,8 @@
 
     /// Starts it again once the process `pid` has ended, unless another one was
     /// started in its place meanwhile.
-    pub async fn start_again(&self, pid: u32) {
-        while self.pid() == pid && !self.ended() {
+    pub async fn restart_after_exit(&self, pid: u32) {
+        while self.pid() == pid && !self.has_exited() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         let mut child = self.child();
@@ -77,7 +77,7 @@
 
     /// Whether the process has ended.
     #[must_use]
-    pub fn ended(&self) -> bool {
+    pub fn has_exited(&self) -> bool {
         matches!(self.child().try_wait(), Ok(Some(_)))
     }
 
--- a/standins/src/fleet/relays.rs
+++ b/standins/src/fleet/relays.rs
@@ -1,6 +1,6 @@
-//! Relays on the ways from boxes to the platform, to each other and to upstreams.
+//! Relays on the relay_addresses from boxes to the platform, to each other and to upstreams.
 //!
-//! One for each kind of way, so that the connections of a kind can be silenced
+//! One for each kind of relay_address, so that the connections of a kind can be silenced
 //! while both their ends stay up.
 
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 use super::starter::Starter;
 use super::{Fleet, Process};
 
-/// A kind of way that boxes' connections take.
+/// A kind of relay_address that boxes' connections take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum RelayKind {
     /// To the platform's service.
     Platform,
     /// To other boxes.
@@ -26,7 +26,7 @@
     Workers,
 }
 
-impl Kind {
+impl RelayKind {
     /// All kinds.
     pub const ALL: [Self; 5] =
         [Self::Platform, Self::Peers, Self::Engines, Self::Stores, Self::Workers];
@@ -45,15 +45,17 @@
 /// The relays of a fleet, and the ways over them.
 #[derive(Default)]
 pub struct Relays {
-    by_kind: BTreeMap<Kind, Process>,
-    ways: BTreeMap<String, String>,
+    by_kind: BTreeMap<RelayKind, Process>,
+    relay_addresses: BTreeMap<String, String>,
     silences: AtomicU64,
 }
 
 impl Relays {
     /// URL at which boxes reach a process.
-    pub(super) fn way(&self, process: &Process) -> String {
-        self.ways.get(&process.address).map_or_else(|| process.url(), |way| format!("http://{way}"))
+    pub(super) fn url_for(&self, process: &Process) -> String {
+        self.relay_addresses
+            .get(&process.address)
+            .map_or_else(|| process.url(), |relay_address| format!("http://{relay_address}"))
     }
 
     /// All relays.
@@ -61,12 +63,12 @@
         self.by_kind.values()
     }
 
-    fn start(&mut self, starter: &mut Starter<'_>, kind: Kind, addresses: Vec<String>) {
+    fn start(&mut self, starter: &mut Starter<'_>, kind: RelayKind, addresses: Vec<String>) {
         let mut pairs = Vec::new();
         for address in addresses {
-            let way = format!("{}:7000", starter.address());
-            pairs.push(format!("{way}>{address}"));
-            self.ways.insert(address, way);
+            let relay_address = format!("{}:7000", starter.address());
+            pairs.push(format!("{relay_address}>{address}"));
+            self.relay_addresses.insert(address, relay_address);
         }
         let pairs = ("pairs".to_owned(), pairs.join(","));
         self.by_kind.insert(kind, starter.standin("wire", kind.name(), "", &[pairs]));
@@ -74,42 +76,44 @@
 }
 
 impl Fleet {
-    /// Starts a relay for each kind of way; returns the routes to all boxes.
+    /// Starts a relay for each kind of relay_address; returns the routes to all boxes.
     pub(super) fn start_relays(
         &mut self,
         starter: &mut Starter<'_>,
         hosts: &[(String, String, String)],
     ) -> String {
         let boxes: Vec<_> = hosts.iter().map(|(_, _, host)| format!("{host}:7000")).collect();
-        for kind in Kind::ALL {
+        for kind in RelayKind::ALL {
             let addresses = match kind {
-                Kind::Platform => vec![self.platform.address.clone()],
-                Kind::Peers => boxes.clone(),
-                Kind::Engines => addresses(&self.engines),
-                Kind::Stores => addresses(&self.stores),
-                Kind::Workers => addresses(&self.workers),
+                RelayKind::Platform => vec![self.platform.address.clone()],
+                RelayKind::Peers => boxes.clone(),
+                RelayKind::Engines => addresses(&self.engines),
+                RelayKind::Stores => addresses(&self.stores),
+                RelayKind::Workers => addresses(&self.workers),
             };
             self.relays.start(starter, kind, addresses);
         }
-        let ways = boxes.iter().map(|address| format!("{address}>{}", self.relays.ways[address]));
-        ways.collect::<Vec<_>>().join(", ")
+        let relay_addresses = boxes
+            .iter()
+            .map(|address| format!("{address}>{}", self.relays.relay_addresses[address]));
+        relay_addresses.collect::<Vec<_>>().join(", ")
     }
 
     /// Silences the connections of a kind that are open; later ones are sound.
     ///
     /// # Panics
     /// Panics when the fleet has no relays.
-    pub async fn silence(&self, kind: Kind) {
+    pub async fn silence_connections(&self, kind: RelayKind) {
         let silences = self.relays.silences.fetch_add(1, Ordering::Relaxed) + 1;
-        self.fault(&self.relays.by_kind[&kind], json!({ "silences": silences })).await;
+        self.set_fault(&self.relays.by_kind[&kind], json!({ "silences": silences })).await;
     }
 
     /// Has a relay lose what is sent, or no more.
     ///
     /// # Panics
     /// Panics when the fleet has no relays.
-    pub async fn darken(&self, kind: Kind, dark: bool) {
-        self.fault(&self.relays.by_kind[&kind], json!({ "dark": dark })).await;
+    pub async fn drop_traffic(&self, kind: RelayKind, dark: bool) {
+        self.set_fault(&self.relays.by_kind[&kind], json!({ "dark": dark })).await;
     }
 }
 
--- a/standins/src/fleet/starter.rs
+++ b/standins/src/fleet/starter.rs
@@ -4,7 +4,7 @@
 
 use super::plan::Plan;
 use super::process::Process;
-use super::{CLUSTER_KEY, EntryBox, programs};
+use super::{CLUSTER_KEY, EntryBox, program_dir};
 
 /// Starts the processes of one fleet.
 pub(super) struct Starter<'a> {
@@ -28,7 +28,7 @@
         args: &[(String, String)],
     ) -> Process {
         let address = format!("{}:7000", self.address());
-        let program = programs().join(format!("standin-{kind}")).to_string_lossy().into_owned();
+        let program = program_dir().join(format!("standin-{kind}")).to_string_lossy().into_owned();
         let mut command = vec![program, "--listen".to_owned(), address.clone()];
         for (option, value) in args {
             command.extend([format!("--{option}"), value.clone()]);
@@ -39,7 +39,7 @@
     pub(super) fn entry_box(&self, name: &str, hall: &str, host: &str, settings: &str) -> EntryBox {
         let path = self.dir.join(format!("{name}.ini"));
         std::fs::write(&path, settings).expect("settings file");
-        let program = programs().join("coursestiled").to_string_lossy().into_owned();
+        let program = program_dir().join("coursestiled").to_string_lossy().into_owned();
         let command = vec![program, path.to_string_lossy().into_owned()];
         let log = self.dir.join(format!("{name}.log"));
         let process = Process::start(name, hall, &format!("{host}:8000"), command, log);
--- a/standins/src/loopback.rs
+++ b/standins/src/loopback.rs
@@ -11,7 +11,7 @@
 /// Host number on which that port is bound.
 const RESERVATION_HOST: u8 = 254;
 /// First of the second bytes that are used; lower ones are left to people.
-const LEAST_BYTE: u8 = 16;
+const MIN_SECOND_OCTET: u8 = 16;
 /// Networks that are tried before giving up.
 const ATTEMPTS: usize = 1000;
 
@@ -27,9 +27,9 @@
     /// # Panics
     /// Panics when none can be had.
     #[must_use]
-    pub fn take() -> Self {
+    pub fn reserve() -> Self {
         for _ in 0..ATTEMPTS {
-            let prefix = format!("127.{}.{}", fastrand::u8(LEAST_BYTE..), fastrand::u8(..));
+            let prefix = format!("127.{}.{}", fastrand::u8(MIN_SECOND_OCTET..), fastrand::u8(..));
             let address = format!("{prefix}.{RESERVATION_HOST}:{RESERVATION_PORT}");
             if let Ok(reservation) = TcpListener::bind(address) {
                 return Self { prefix, _reservation: reservation };
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -19,7 +19,7 @@
 
 use serde_json::{Value, json};
 
-use crate::fleet::programs;
+use crate::fleet::program_dir;
 use crate::loopback::Network;
 use metadata::Metadata;
 
@@ -162,7 +162,7 @@
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).expect("folder");
         let metadata = Metadata::start().await;
-        let network = Network::take();
+        let network = Network::reserve();
         Self {
             metadata,
             retry_extra: 1_000_000,
@@ -258,7 +258,7 @@
 
 /// Starts a gateway that logs to `out`.
 fn spawn_gateway(settings: &Path, out: File) -> Child {
-    Command::new(programs().join("coursestile-gateway"))
+    Command::new(program_dir().join("coursestile-gateway"))
         .args(["--log", "debug"])
         .arg(settings)
         .stdin(Stdio::null())
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{check_completion, completion_request, completion_text, start_fleet};
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
 
@@ -30,7 +30,7 @@
 }
 
 fn expected_long_text() -> String {
-    whole("v1", "A long report, please.", 300)
+    full_answer("v1", "A long report, please.", 300)
 }
 
 #[tokio::test]
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn pieces_reordered() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    fleet.fault(&fleet.engines[0], json!({ "reorder": true, "slow_ms": 50 })).await;
+    fleet.set_fault(&fleet.engines[0], json!({ "reorder": true, "slow_ms": 50 })).await;
     for number in 0..5 {
         check_completion(&fleet, 0, KEY, &format!("Question {number}?"), 60).await;
     }
@@ -63,7 +63,7 @@
 async fn stream_broken() {
     let fleet = start_fleet(&Plan::one_hall(1, 2, 0)).await;
     for engine in &fleet.engines {
-        fleet.fault(engine, json!({ "break_after_pieces": 25 })).await;
+        fleet.set_fault(engine, json!({ "break_after_pieces": 25 })).await;
     }
     check_completion(&fleet, 0, KEY, "Broken once?", 40).await;
 }
@@ -108,7 +108,7 @@
         .map(|data| serde_json::from_str::<Value>(data).unwrap())
         .map(|piece| piece["choices"][0]["text"].as_str().unwrap().to_owned())
         .collect();
-    let expected = whole("v1", "Go on?", 80);
+    let expected = full_answer("v1", "Go on?", 80);
     assert_eq!(text, expected[10 * 5..], "each word has five bytes");
     assert!(remaining.contains("[DONE]"));
 }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -5,7 +5,7 @@
 
 use common::{check_completion, completion_request, start_fleet};
 use coursestile::settings::Settings;
-use coursestile_standins::fleet::{Plan, programs};
+use coursestile_standins::fleet::{Plan, program_dir};
 use rstest::rstest;
 use serde_json::Value;
 
@@ -82,7 +82,7 @@
 #[case(&["--help"], 0, "Usage: coursestiled")]
 #[case(&["--version"], 0, "coursestiled 0.1")]
 fn daemon_arguments(#[case] args: &[&str], #[case] code: i32, #[case] expected: &str) {
-    let output = std::process::Command::new(programs().join("coursestiled")).args(args).output();
+    let output = std::process::Command::new(program_dir().join("coursestiled")).args(args).output();
     let output = output.unwrap();
     let text = String::from_utf8([output.stdout, output.stderr].concat()).unwrap();
     assert_eq!(output.status.code(), Some(code), "{text}");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::{Fleet, Plan};
 use reqwest::{RequestBuilder, Response};
 use serde_json::{Value, json};
@@ -24,14 +24,24 @@
 /// `petra-key`, and waits until each box has this configuration.
 pub async fn start_fleet(plan: &Plan) -> Fleet {
     let fleet = Fleet::start(plan).await;
-    fleet.must_operate(&["template", "set", "group", "--share", "1", "--models", "summary"]);
-    fleet.must_operate(&["model", "set", "summary", "v1"]);
+    fleet.must_run_operator_tool(&[
+        "template", "set", "group", "--share", "1", "--models", "summary",
+    ]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v1"]);
     for name in ["sanam", "petra"] {
         let key = format!("{name}-key");
-        fleet.must_operate(&["account", "set", name, "--template", "group", "--add-key", &key]);
+        fleet.must_run_operator_tool(&[
+            "account",
+            "set",
+            name,
+            "--template",
+            "group",
+            "--add-key",
+            &key,
+        ]);
     }
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 4, boxes.len()).await;
+    fleet.wait_for_revision(&boxes, 4, boxes.len()).await;
     fleet
 }
 
@@ -59,7 +69,7 @@
 /// Sends a completion request and compares the whole response text with the expected one.
 pub async fn check_completion(fleet: &Fleet, at: usize, key: &str, prompt: &str, tokens: u32) {
     let response = completion_request(fleet, at, key, prompt, tokens).send().await.unwrap();
-    let expected = whole("v1", prompt, tokens as usize);
+    let expected = full_answer("v1", prompt, tokens as usize);
     assert_eq!(completion_text(response).await, expected);
 }
 
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -28,12 +28,12 @@
 #[tokio::test]
 async fn answer_lost() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    fleet.fault(&fleet.platform, json!({ "lose_answers": 2 })).await;
-    fleet.must_operate(&["account", "set", "extra", "--template", "group"]);
-    let history = fleet.must_operate(&["history"]);
+    fleet.set_fault(&fleet.platform, json!({ "lose_answers": 2 })).await;
+    fleet.must_run_operator_tool(&["account", "set", "extra", "--template", "group"]);
+    let history = fleet.must_run_operator_tool(&["history"]);
     assert_eq!(history.matches("name: \"extra\"").count(), 1, "{history}");
-    let first = fleet.must_operate(&["model", "set", "summary", "v1", "--id", "mine"]);
-    let again = fleet.must_operate(&["model", "set", "summary", "v1", "--id", "mine"]);
+    let first = fleet.must_run_operator_tool(&["model", "set", "summary", "v1", "--id", "mine"]);
+    let again = fleet.must_run_operator_tool(&["model", "set", "summary", "v1", "--id", "mine"]);
     assert_eq!(first, again, "the same change sent again applies once");
 }
 
@@ -59,9 +59,9 @@
 async fn key_revoked() {
     let halls = vec![HallPlan::new("north", 2, 1, 0), HallPlan::new("east", 2, 1, 0)];
     let fleet = start_fleet(&Plan::new(halls)).await;
-    fleet.fault(&fleet.platform, json!({ "slow_ms": 300 })).await;
-    fleet.must_operate(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
-    fleet.must_operate(&["account", "set", "petra", "--share", "0"]);
+    fleet.set_fault(&fleet.platform, json!({ "slow_ms": 300 })).await;
+    fleet.must_run_operator_tool(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
+    fleet.must_run_operator_tool(&["account", "set", "petra", "--share", "0"]);
     tokio::time::sleep(Duration::from_secs(3)).await;
     for at in 0..4 {
         assert_eq!(status_of(&fleet, at, "sanam-key").await, 401, "box {at}");
@@ -72,18 +72,18 @@
 #[tokio::test]
 async fn platform_out() {
     let fleet = start_fleet(&Plan::one_hall(3, 1, 0)).await;
-    fleet.fault(&fleet.platform, json!({ "outage": true })).await;
+    fleet.set_fault(&fleet.platform, json!({ "outage": true })).await;
     // All boxes but one are restarted during the platform's outage.
     for at in [0, 1] {
         fleet.boxes[at].process.restart();
-        fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
+        fleet.wait_for_revision(&[&fleet.boxes[at]], 4, 3).await;
         assert_eq!(status_of(&fleet, at, "sanam-key").await, 200);
     }
-    assert_ne!(fleet.operate(&["model", "set", "summary", "v1"]).0, 0);
-    fleet.fault(&fleet.platform, json!({ "outage": false })).await;
-    fleet.must_operate(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
+    assert_ne!(fleet.run_operator_tool(&["model", "set", "summary", "v1"]).0, 0);
+    fleet.set_fault(&fleet.platform, json!({ "outage": false })).await;
+    fleet.must_run_operator_tool(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 5, 3).await;
+    fleet.wait_for_revision(&boxes, 5, 3).await;
     assert_eq!(status_of(&fleet, 0, "sanam-key").await, 401);
 }
 
@@ -91,11 +91,11 @@
 async fn box_frozen() {
     let fleet = start_fleet(&Plan::one_hall(2, 1, 0)).await;
     fleet.boxes[0].process.signal("-STOP");
-    fleet.must_operate(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
+    fleet.must_run_operator_tool(&["account", "set", "sanam", "--drop-key", "sanam-key"]);
     tokio::time::sleep(Duration::from_secs(2)).await;
     fleet.boxes[0].process.signal("-CONT");
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 5, 2).await;
+    fleet.wait_for_revision(&boxes, 5, 2).await;
     for _ in 0..20 {
         let revision = fleet.status(&fleet.boxes[0]).await.unwrap()["revision"].as_u64().unwrap();
         assert!(revision >= 5, "the revision went back to {revision}");
@@ -122,23 +122,23 @@
     assert!(head.base_revision > 0 && head.entries.len() <= 64);
     assert_eq!((state.revision, state.accounts.len()), (94, 2));
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 94, 2).await;
-    let (code, text) = fleet.operate(&["in-force", "94"]);
+    fleet.wait_for_revision(&boxes, 94, 2).await;
+    let (code, text) = fleet.run_operator_tool(&["in-force", "94"]);
     assert_eq!(code, 0, "{text}");
 }
 
 #[tokio::test]
 async fn change_refused() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    let (code, text) = fleet.operate(&["account", "set", "new", "--template", "none"]);
+    let (code, text) = fleet.run_operator_tool(&["account", "set", "new", "--template", "none"]);
     assert_eq!((code, text.contains("no template 'none'")), (1, true), "{text}");
-    let (code, text) = fleet.operate(&["template", "remove", "group"]);
+    let (code, text) = fleet.run_operator_tool(&["template", "remove", "group"]);
     assert_eq!((code, text.contains("account 'petra' uses")), (1, true), "{text}");
     let invalid_args = ["template", "set", "t!", "--share", "-1", "--priority", "9"];
-    let (code, text) = fleet.operate(&invalid_args);
+    let (code, text) = fleet.run_operator_tool(&invalid_args);
     assert_eq!(code, 1);
     for message in ["'t!' is not a name", "share -1", "priority 9"] {
         assert!(text.contains(message), "{text}");
     }
-    assert_eq!(fleet.operate(&["account", "fly"]).0, 2);
+    assert_eq!(fleet.run_operator_tool(&["account", "fly"]).0, 2);
 }
--- a/tests/crashing_requests.rs
+++ b/tests/crashing_requests.rs
@@ -17,7 +17,7 @@
 async fn start_hall() -> Fleet {
     let fleet = start_fleet(&Plan::one_hall(2, 8, 8)).await;
     for upstream in fleet.engines.iter().chain(&fleet.workers) {
-        fleet.fault(upstream, json!({ "die_on": "deadly" })).await;
+        fleet.set_fault(upstream, json!({ "die_on": "deadly" })).await;
     }
     fleet
 }
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -7,7 +7,7 @@
 
 use common::start_fixture;
 use coursestile::explain::{LogLine, request_timeline};
-use coursestile_standins::fleet::programs;
+use coursestile_standins::fleet::program_dir;
 use coursestile_standins::site::eventually;
 use coursestile_standins::site::server::Behavior;
 
@@ -30,7 +30,7 @@
         ),
         ("r-good", ["event=routed", "upstream=s-0", "event=answered"]),
     ] {
-        let output = Command::new(programs().join("coursestile"))
+        let output = Command::new(program_dir().join("coursestile"))
             .args(["explain", id])
             .arg(&fixture.gateway.log)
             .output()
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -35,7 +35,7 @@
 
 impl Forwarder {
     async fn new(fleet: &Fleet) -> Self {
-        let network = Network::take();
+        let network = Network::reserve();
         let address = format!("{}.1:7000", network.prefix());
         let status = fleet.status(&fleet.boxes[0]).await.unwrap();
         let (name, incarnation) =
@@ -149,7 +149,7 @@
     };
     leaver.send(Message::Gossip(Gossip::Join { member }));
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 4, 3).await;
+    fleet.wait_for_revision(&boxes, 4, 3).await;
     let ticket = Ticket { spender: leaver.id.clone(), expires_at_ms: now_ms() + 60_000, serial: 1 };
     let key = format!("{}/1", ticket.sign(&cluster_key(), "petra"));
     let post_order = |at: usize| {
--- a/tests/gateway_input.rs
+++ b/tests/gateway_input.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 use common::start_fixture;
-use coursestile_standins::fleet::programs;
+use coursestile_standins::fleet::program_dir;
 use rstest::rstest;
 
 const HEAD: &str = "Host: api.example\r\nX-Api-Key: key-1\r\n";
@@ -79,7 +79,7 @@
         "[box]\nname = a\nclients = nowhere\nseeds = 10.0.0.1:1,what\ncolour = red\n[bounds]\nstop_s = soon\n",
     )
     .unwrap();
-    let program = programs().join("coursestile-gateway");
+    let program = program_dir().join("coursestile-gateway");
     let output = Command::new(program).arg(&path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
     let text = String::from_utf8(output.stderr).unwrap();
--- a/tests/halls_cut.rs
+++ b/tests/halls_cut.rs
@@ -34,12 +34,12 @@
     let fleet = three_halls().await;
     serve_everywhere(&fleet, "before").await;
     fleet.cut_hall("east", true).await;
-    fleet.fault(&fleet.platform, json!({ "outage": true })).await;
+    fleet.set_fault(&fleet.platform, json!({ "outage": true })).await;
     serve_everywhere(&fleet, "cut just now").await;
     tokio::time::sleep(Duration::from_secs(6)).await;
     serve_everywhere(&fleet, "cut for long").await;
     fleet.cut_hall("east", false).await;
-    fleet.fault(&fleet.platform, json!({ "outage": false })).await;
+    fleet.set_fault(&fleet.platform, json!({ "outage": false })).await;
     serve_everywhere(&fleet, "healed").await;
 }
 
@@ -53,15 +53,15 @@
     for entry_box in &east {
         entry_box.process.restart();
     }
-    fleet.must_operate(&["account", "set", "petra", "--drop-key", "petra-key"]);
+    fleet.must_run_operator_tool(&["account", "set", "petra", "--drop-key", "petra-key"]);
     let other_halls: Vec<_> =
         fleet.boxes.iter().filter(|entry_box| entry_box.process.hall != "east").collect();
-    fleet.wait_in_force(&other_halls, 5, 4).await;
+    fleet.wait_for_revision(&other_halls, 5, 4).await;
     // The platform is still reached from each hall, so that the hall gets the change from there.
-    fleet.wait_in_force(&east, 5, 2).await;
+    fleet.wait_for_revision(&east, 5, 2).await;
     fleet.cut_hall("east", false).await;
     let all: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&all, 5, 6).await;
+    fleet.wait_for_revision(&all, 5, 6).await;
 }
 
 #[tokio::test]
--- a/tests/kept_context.rs
+++ b/tests/kept_context.rs
@@ -20,7 +20,7 @@
     let prompt = format!("{}What now?", context_text(context_seed, 3000));
     let response = completion_request(fleet, 0, key, &prompt, 5).send().await.unwrap();
     let body: Value = response.json().await.unwrap();
-    let expected = coursestile_standins::answer::whole("v1", &prompt, 5);
+    let expected = coursestile_standins::answer::full_answer("v1", &prompt, 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
     body["usage"]["prompt_tokens_details"]["cached_tokens"].as_u64().unwrap()
 }
@@ -69,7 +69,7 @@
     let fleet = start_fleet(&small_cache_plan()).await;
     store_and_evict(&fleet, "sanam-key", "rulebook").await;
     // The store returns other bytes than were sealed.
-    fleet.fault(&fleet.stores[0], json!({ "corrupt_reads": true })).await;
+    fleet.set_fault(&fleet.stores[0], json!({ "corrupt_reads": true })).await;
     for _ in 0..2 {
         assert_eq!(send_prompt(&fleet, "sanam-key", "rulebook").await % 3000, 0);
         store_and_evict(&fleet, "sanam-key", "pushed out").await;
@@ -80,7 +80,7 @@
 async fn half_written() {
     let fleet = start_fleet(&small_cache_plan()).await;
     // The engine restarts in the middle of an export; the store also serves partial blocks.
-    fleet.fault(&fleet.stores[0], json!({ "slowdown": 40, "serve_unsealed": true })).await;
+    fleet.set_fault(&fleet.stores[0], json!({ "slowdown": 40, "serve_unsealed": true })).await;
     let prompt = format!("{}What now?", context_text("rulebook", 3000));
     for _ in 0..3 {
         check_completion(&fleet, 0, "sanam-key", &prompt, 5).await;
@@ -142,7 +142,7 @@
         fleet.boxes[at].process.restart();
     }
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 4, 2).await;
+    fleet.wait_for_revision(&boxes, 4, 2).await;
     // On the first request, the new dispatcher reads the list of blocks from the store.
     check_completion(&fleet, 0, "sanam-key", "Wake up.", 2).await;
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -167,7 +167,7 @@
     let response =
         completion_request(&fleet, 0, "sanam-key", &prompt("page two"), 5).send().await.unwrap();
     let body: Value = response.json().await.unwrap();
-    let expected = coursestile_standins::answer::whole("v1", &prompt("page two"), 5);
+    let expected = coursestile_standins::answer::full_answer("v1", &prompt("page two"), 5);
     assert_eq!(body["choices"][0]["text"], expected, "{body}");
     let cached = &body["usage"]["prompt_tokens_details"]["cached_tokens"];
     assert_eq!(cached.as_u64(), Some(2048), "just what both have in common");
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{check_completion, completion_request, completion_text, start_fleet};
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::{Fleet, HallPlan, Plan};
 use serde_json::json;
 
@@ -35,15 +35,15 @@
     let long_completion =
         tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
     send_short_requests(&fleet, 8).await;
-    fleet.must_operate(&["upstream", "leave", "north-e1"]);
+    fleet.must_run_operator_tool(&["upstream", "leave", "north-e1"]);
     // The platform has accepted the change. From here on, it is down.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    fleet.fault(&fleet.platform, json!({ "outage": true })).await;
+    fleet.set_fault(&fleet.platform, json!({ "outage": true })).await;
     tokio::time::sleep(Duration::from_millis(2500)).await;
     let runs_before = started_runs(&fleet, 0).await;
     send_short_requests(&fleet, 40).await;
     assert_eq!(started_runs(&fleet, 0).await, runs_before, "no new work after 3 s");
-    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 600));
+    assert_eq!(long_completion.await.unwrap(), full_answer("v1", "A long one.", 600));
 }
 
 #[tokio::test]
@@ -72,9 +72,9 @@
         fleet.http.get(format!("http://{}/ready", fleet.boxes[0].operators)).send().await;
     assert_eq!(readiness.unwrap().status(), 503, "the balancer is told");
     check_completion(&fleet, 0, KEY, "Still taken?", 3).await;
-    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 900));
+    assert_eq!(long_completion.await.unwrap(), full_answer("v1", "A long one.", 900));
     for _ in 0..100 {
-        if fleet.boxes[0].process.ended() {
+        if fleet.boxes[0].process.has_exited() {
             return;
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -112,7 +112,7 @@
                     let body = json!({ "model": "summary", "prompt": prompt, "max_tokens": 40 });
                     let call = http.post(format!("{}/v1/completions", urls[at])).bearer_auth(KEY);
                     let response = call.json(&body).send().await.expect("the request was cut");
-                    assert_eq!(completion_text(response).await, whole("v1", &prompt, 40));
+                    assert_eq!(completion_text(response).await, full_answer("v1", &prompt, 40));
                     served_count.fetch_add(1, Ordering::Relaxed);
                 }
             })
@@ -121,11 +121,11 @@
     for at in 0..3 {
         tokio::time::sleep(Duration::from_millis(500)).await;
         fleet.boxes[at].process.signal("-TERM");
-        while !fleet.boxes[at].process.ended() {
+        while !fleet.boxes[at].process.has_exited() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         fleet.boxes[at].process.restart();
-        fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
+        fleet.wait_for_revision(&[&fleet.boxes[at]], 4, 3).await;
     }
     is_done.store(true, Ordering::Relaxed);
     for caller in callers {
--- a/tests/once.rs
+++ b/tests/once.rs
@@ -82,7 +82,7 @@
     let fleet = start_slow_workers(5).await;
     let key = format!("{}/1", request_ticket(&fleet, 0, KEY).await);
     for worker in &fleet.workers {
-        fleet.fault(worker, json!({ "lose_answers": 1 })).await;
+        fleet.set_fault(worker, json!({ "lose_answers": 1 })).await;
     }
     for at in [0, 1, 0] {
         let response = post_order(&fleet, at, &key, 500).await.unwrap();
@@ -172,12 +172,12 @@
     // Every box is restarted, one after another, and hands the ledgers over.
     for at in 0..3 {
         fleet.boxes[at].process.signal("-TERM");
-        while !fleet.boxes[at].process.ended() {
+        while !fleet.boxes[at].process.has_exited() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
         fleet.boxes[at].process.restart();
         fleet.wait_for(&format!("http://{}/live", fleet.boxes[at].operators)).await;
-        fleet.wait_in_force(&[&fleet.boxes[at]], 4, 3).await;
+        fleet.wait_for_revision(&[&fleet.boxes[at]], 4, 3).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         for asked_box in 0..3 {
             let repeated = post_order(&fleet, asked_box, &used_key, 1500).await.unwrap();
@@ -216,7 +216,7 @@
     for other_box in other_boxes {
         other_box.process.signal("-CONT");
     }
-    while !leaving_box.process.ended() {
+    while !leaving_box.process.has_exited() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let repeated = post_order(&fleet, 1, &key, 3000).await.unwrap();
@@ -232,7 +232,7 @@
     assert_eq!(run_number(post_order(&fleet, 0, &key, 1000).await.unwrap()).await, 1);
     let (restarted_box, other_boxes) = fleet.boxes.split_first().unwrap();
     restarted_box.process.signal("-TERM");
-    while !restarted_box.process.ended() {
+    while !restarted_box.process.has_exited() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for other_box in other_boxes {
@@ -240,7 +240,7 @@
     }
     restarted_box.process.restart();
     fleet.wait_for(&format!("http://{}/live", restarted_box.operators)).await;
-    fleet.wait_in_force(&[restarted_box], 4, 1).await;
+    fleet.wait_for_revision(&[restarted_box], 4, 1).await;
     let resume = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
         for other_box in other_boxes {
@@ -265,14 +265,14 @@
     tokio::time::sleep(Duration::from_secs(7)).await;
     fleet.boxes[2].process.signal("-STOP");
     restarted_box.process.signal("-TERM");
-    while !restarted_box.process.ended() {
+    while !restarted_box.process.has_exited() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     restarted_box.process.restart();
     fleet.wait_for(&format!("http://{}/live", restarted_box.operators)).await;
     tokio::time::sleep(Duration::from_secs(11)).await;
     fleet.boxes[2].process.signal("-CONT");
-    fleet.wait_in_force(&[&fleet.boxes[2], restarted_box], 4, 3).await;
+    fleet.wait_for_revision(&[&fleet.boxes[2], restarted_box], 4, 3).await;
     tokio::time::sleep(Duration::from_secs(3)).await;
     for at in [0, 1, 2] {
         assert_eq!(
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -27,7 +27,7 @@
 
 /// Sets the model's version; returns the time until each of `engines` has loaded it.
 async fn load_time(fleet: &Fleet, engines: &[usize], version: &str) -> Duration {
-    fleet.must_operate(&["model", "set", "summary", version]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", version]);
     let started_at = Instant::now();
     for engine in engines {
         while !has_loaded(fleet, *engine, version).await && started_at.elapsed() < LOAD_TIMEOUT {
@@ -70,7 +70,7 @@
             let stopped_at = tokio::time::Instant::now();
             let pid = process.pid();
             process.try_signal("-TERM");
-            process.start_again(pid).await;
+            process.restart_after_exit(pid).await;
             let period = STOP_PERIOD * u32::try_from(fleet.boxes.len()).unwrap();
             tokio::time::sleep_until(stopped_at + period).await;
         }
@@ -162,7 +162,7 @@
     let fleet = start_fleet(&Plan::one_hall(2, 6, 0)).await;
     wait_lease_held(&fleet).await;
     for engine in &fleet.engines[..3] {
-        fleet.fault(engine, fault.clone()).await;
+        fleet.set_fault(engine, fault.clone()).await;
     }
     let elapsed = load_time(&fleet, &[3, 4, 5], "v2").await;
     check_fence_order(&fleet).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -78,7 +78,7 @@
 async fn retries_bounded() {
     let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
     for engine in &fleet.engines {
-        fleet.fault(engine, json!({ "outage": true })).await;
+        fleet.set_fault(engine, json!({ "outage": true })).await;
     }
     let mut requests = Vec::new();
     for number in 0..100 {
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{completion_request, completion_text, context_text, start_fleet};
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::Plan;
 use futures_util::future::join_all;
 
@@ -30,6 +30,6 @@
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet.boxes[dispatcher_box].process.kill();
     for (number, answer) in join_all(answers).await.into_iter().enumerate() {
-        assert_eq!(answer.unwrap(), whole("v1", &prompt(number + 1), 150));
+        assert_eq!(answer.unwrap(), full_answer("v1", &prompt(number + 1), 150));
     }
 }
--- a/tests/resting_workers.rs
+++ b/tests/resting_workers.rs
@@ -10,7 +10,7 @@
 const KEY: &str = "sanam-key";
 
 async fn set_refusing(fleet: &Fleet, worker: &Process, is_refusing: bool) {
-    fleet.fault(worker, json!({ "outage": is_refusing, "outage_retry_s": 30 })).await;
+    fleet.set_fault(worker, json!({ "outage": is_refusing, "outage_retry_s": 30 })).await;
 }
 
 /// Number of calls that a worker has refused.
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -8,7 +8,7 @@
 use common::{
     check_completion, completion_request, request_ticket, run_count, service_call, start_fleet,
 };
-use coursestile_standins::fleet::{Fleet, HallPlan, Kind, Plan};
+use coursestile_standins::fleet::{Fleet, HallPlan, Plan, RelayKind};
 use futures_util::future::join_all;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -26,7 +26,7 @@
 }
 
 fn change_share(fleet: &Fleet, share: &str) {
-    fleet.must_operate(&["account", "set", "petra", "--share", share]);
+    fleet.must_run_operator_tool(&["account", "set", "petra", "--share", share]);
 }
 
 /// Waits until all boxes have `revision` in force, for at most [`IN_FORCE_WITHIN`].
@@ -64,7 +64,7 @@
     let fleet = two_halls().await;
     change_share(&fleet, "2");
     wait_in_force(&fleet, 5).await;
-    fleet.silence(Kind::Platform).await;
+    fleet.silence_connections(RelayKind::Platform).await;
     change_share(&fleet, "3");
     wait_in_force(&fleet, 6).await;
 }
@@ -74,10 +74,10 @@
 #[tokio::test]
 async fn platform_dark() {
     let fleet = two_halls().await;
-    fleet.darken(Kind::Platform, true).await;
+    fleet.drop_traffic(RelayKind::Platform, true).await;
     change_share(&fleet, "2");
     tokio::time::sleep(Duration::from_secs(1)).await;
-    fleet.darken(Kind::Platform, false).await;
+    fleet.drop_traffic(RelayKind::Platform, false).await;
     wait_in_force(&fleet, 5).await;
 }
 
@@ -88,7 +88,7 @@
 async fn peers_silenced() {
     let fleet = two_halls().await;
     let prefix = request_ticket(&fleet, 0, KEY).await;
-    fleet.silence(Kind::Peers).await;
+    fleet.silence_connections(RelayKind::Peers).await;
     change_share(&fleet, "2");
     wait_in_force(&fleet, 5).await;
     for at in 0..fleet.boxes.len() {
@@ -105,7 +105,7 @@
 async fn engines_silenced() {
     let fleet = two_halls().await;
     warm_up(&fleet).await;
-    fleet.silence(Kind::Engines).await;
+    fleet.silence_connections(RelayKind::Engines).await;
     let boxes = 0..fleet.boxes.len();
     let box_requests =
         boxes.flat_map(|at| (0..CONCURRENT_REQUESTS).map(move |number| (at, number)));
@@ -132,7 +132,7 @@
     for response in join_all((0..CONCURRENT_REQUESTS).map(post_order)).await {
         assert_eq!(response.unwrap().status(), 200);
     }
-    fleet.silence(Kind::Workers).await;
+    fleet.silence_connections(RelayKind::Workers).await;
     for response in join_all((CONCURRENT_REQUESTS..2 * CONCURRENT_REQUESTS).map(post_order)).await {
         assert_eq!(response.unwrap().status(), 200, "a call after the silence");
     }
@@ -145,8 +145,8 @@
     warm_up(&fleet).await;
     change_share(&fleet, "2");
     wait_in_force(&fleet, 5).await;
-    for kind in Kind::ALL {
-        fleet.silence(kind).await;
+    for kind in RelayKind::ALL {
+        fleet.silence_connections(kind).await;
     }
     change_share(&fleet, "3");
     wait_in_force(&fleet, 6).await;
@@ -186,8 +186,8 @@
     fleet.boxes[0].process.signal("-TERM");
     // The ledger is handed over when the load balancer has had time to notice the stop.
     tokio::time::sleep(Duration::from_millis(2400)).await;
-    fleet.silence(Kind::Peers).await;
-    while !fleet.boxes[0].process.ended() {
+    fleet.silence_connections(RelayKind::Peers).await;
+    while !fleet.boxes[0].process.has_exited() {
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     for at in [1, 2] {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::{completion_request, completion_text, start_fleet};
-use coursestile_standins::answer::whole;
+use coursestile_standins::answer::full_answer;
 use coursestile_standins::fleet::{Fleet, Plan};
 use serde_json::{Value, json};
 
@@ -36,11 +36,15 @@
     let long_completion =
         tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.must_operate(&["model", "set", "summary", "v2"]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
     wait_version(&fleet, "v2").await;
     let response = completion_request(&fleet, 1, KEY, "A new one.", 10).send().await.unwrap();
-    assert_eq!(completion_text(response).await, whole("v2", "A new one.", 10));
-    assert_eq!(long_completion.await.unwrap(), whole("v1", "A long one.", 500), "it kept its own");
+    assert_eq!(completion_text(response).await, full_answer("v2", "A new one.", 10));
+    assert_eq!(
+        long_completion.await.unwrap(),
+        full_answer("v1", "A long one.", 500),
+        "it kept its own"
+    );
 }
 
 #[tokio::test]
@@ -48,14 +52,14 @@
     let fleet = start_fleet(&Plan::one_hall(2, 4, 0)).await;
     for round in 0..40 {
         if round == 10 {
-            fleet.must_operate(&["model", "set", "summary", "v2"]);
+            fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
         }
         let prompt = format!("Question {round}?");
         let response = completion_request(&fleet, round % 2, KEY, &prompt, 5).send().await.unwrap();
         let body: Value = response.json().await.unwrap();
         let version = body["system_fingerprint"].as_str().unwrap_or_else(|| panic!("{body}"));
         assert!(round < 10 || round < 15 || version == "v2", "round {round}: {body}");
-        assert_eq!(body["choices"][0]["text"], whole(version, &prompt, 5));
+        assert_eq!(body["choices"][0]["text"], full_answer(version, &prompt, 5));
     }
 }
 
@@ -64,10 +68,10 @@
     // The engine does not check the version that a request expects, and refuses load orders.
     let fleet =
         start_fleet(&with_engine_option(Plan::one_hall(1, 1, 0), "check-version", "false")).await;
-    fleet.fault(&fleet.engines[0], json!({ "refuse_orders": true })).await;
-    fleet.must_operate(&["model", "set", "summary", "v2"]);
+    fleet.set_fault(&fleet.engines[0], json!({ "refuse_orders": true })).await;
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 5, 1).await;
+    fleet.wait_for_revision(&boxes, 5, 1).await;
     for _ in 0..3 {
         let refused = completion_request(&fleet, 0, KEY, "Which version?", 5).send().await.unwrap();
         assert!(!refused.status().is_success(), "nothing of v1 is let through");
@@ -77,15 +81,15 @@
 #[tokio::test]
 async fn version_not_allowed() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 0)).await;
-    fleet.must_operate(&["account", "set", "sanam", "--models", "summary=v1"]);
-    fleet.must_operate(&["model", "set", "summary", "v2"]);
+    fleet.must_run_operator_tool(&["account", "set", "sanam", "--models", "summary=v1"]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
-    fleet.wait_in_force(&boxes, 6, 1).await;
+    fleet.wait_for_revision(&boxes, 6, 1).await;
     let refused = completion_request(&fleet, 0, KEY, "Mine?", 5).send().await.unwrap();
     assert_eq!(refused.status(), 403);
     wait_version(&fleet, "v2").await;
     let response = completion_request(&fleet, 0, "petra-key", "Mine?", 5).send().await.unwrap();
-    assert_eq!(completion_text(response).await, whole("v2", "Mine?", 5));
+    assert_eq!(completion_text(response).await, full_answer("v2", "Mine?", 5));
 }
 
 /// Index of the first box that has acquired the hall's lease.
@@ -104,7 +108,7 @@
     }
     let (old_holder, new_holder) = if lease_holder(&fleet) == Some(0) { (0, 1) } else { (1, 0) };
     fleet.boxes[old_holder].process.signal("-STOP");
-    fleet.must_operate(&["model", "set", "summary", "v2"]);
+    fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
     // The lease expires, and the other box acquires it and gives orders with a new fencing token.
     wait_version(&fleet, "v2").await;
     fleet.boxes[old_holder].process.signal("-CONT");
