--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -88,7 +88,7 @@
                 upstream.process.clear_script();
             }
             Event::UpstreamRests => {
-                upstream.process.script(&[Behavior::RetryAfter(REST + time), Behavior::Answer])
+                upstream.process.script(&[Behavior::RetryAfter(REST + time), Behavior::Answer]);
             }
             Event::UpstreamSaysLeaving => {
                 upstream.process.script(&[Behavior::Leaving, Behavior::Leaving]);
