--- a/standins/src/answer.rs
+++ b/standins/src/answer.rs
@@ -1,11 +1,12 @@
 //! The text that a stand-in engine generates.
 //!
-//! Each word is a function of the weight version and of every byte before it,
-//! as with a real model at temperature zero. A continuation of a prompt plus
-//! the words so far therefore yields the same words as an unbroken run, and a
-//! mixed, wrong or shortened answer shows at once.
+//! Each word is a function of the weight version and all preceding text, as
+//! with a real model at temperature zero. Continuing from a prompt and the
+//! words generated so far therefore yields the same words as an uninterrupted
+//! run, and an answer that is wrong, truncated or mixed from several versions
+//! or prompts differs from the expected one.
 
-/// Incremental generator of an answer.
+/// Generates an answer word by word.
 #[derive(Clone)]
 pub struct Generator {
     hasher: blake3::Hasher,
@@ -31,7 +32,7 @@
     }
 }
 
-/// The whole answer of `tokens` words.
+/// Returns the complete answer of `tokens` words.
 #[must_use]
 pub fn full_answer(version: &str, prompt: &str, tokens: usize) -> String {
     let mut generator = Generator::new(version, prompt);
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! Starts a small fleet as plain processes on loopback addresses.
+//! Starts a small fleet of processes on loopback addresses.
 //!
-//! Every fleet has a loopback network of its own, so that fleets beside each
-//! other do not meet. All processes end with the fleet.
+//! Each fleet has its own loopback network, so that fleets that run at the same
+//! time don't share addresses. All processes are killed when the fleet is dropped.
 
 mod plan;
 mod process;
@@ -25,27 +25,27 @@
 
 use crate::loopback::Network;
 
-/// Key shared by all boxes of a fleet.
+/// Cluster key shared by all boxes of a fleet.
 pub const CLUSTER_KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
-/// Time in which a process must answer.
+/// Time within which a process must answer after its start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Time in which a cut has broken all open connections.
+/// Time within which a cut has broken all open connections.
 const CUT_DELAY: Duration = Duration::from_millis(500);
 
 static FLEETS: AtomicU16 = AtomicU16::new(0);
 
-/// An entry box.
+/// A box that runs the product, for callers to connect to.
 pub struct EntryBox {
-    /// Its process; the address is the callers'.
+    /// Its process, with the address for callers.
     pub process: Process,
-    /// Operators' address.
+    /// Address for operators.
     pub operators: String,
 }
 
 /// A running fleet.
 pub struct Fleet {
-    /// The platform's service.
+    /// The platform's key-value service.
     pub platform: Process,
     /// Entry boxes.
     pub boxes: Vec<EntryBox>,
@@ -55,18 +55,18 @@
     pub stores: Vec<Process>,
     /// Workers of the plain service.
     pub workers: Vec<Process>,
-    /// Wires between halls, one for each direction, named `from-to`.
+    /// TCP relays between halls, one for each direction, named `from-to`.
     pub wires: Vec<Process>,
-    /// Relays on the relay_addresses of boxes, if the plan has them.
+    /// TCP relays through which boxes connect to everything, if the plan has them.
     pub relays: Relays,
-    /// Client for calls.
+    /// Client for calls to the processes.
     pub http: reqwest::Client,
     dir: PathBuf,
-    /// Held for as long as the fleet lives.
+    /// Keeps the loopback network reserved until the fleet is dropped.
     _network: Network,
 }
 
-/// Folder of the programs beside the running one.
+/// Folder that holds the programs of the build.
 ///
 /// # Panics
 /// Panics when the running program's path is not known.
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Starts the wires; returns the routes of each hall's boxes.
+    /// Starts the relays between halls; returns the setting `routes` for the boxes of each hall.
     fn start_wires(
         &mut self,
         starter: &mut Starter<'_>,
@@ -199,7 +199,7 @@
         routes
     }
 
-    /// Cuts a hall off from the others, or heals that.
+    /// Cuts the connections between a hall and the others, or restores them.
     pub async fn cut_hall(&self, hall: &str, cut: bool) {
         for wire in &self.wires {
             let (from, to) = wire.name.split_once('-').unwrap_or_default();
@@ -207,7 +207,7 @@
                 self.try_set_fault(wire, json!({ "outage": cut })).await;
             }
         }
-        // Open connections break at the wires' next look.
+        // The relays check for the fault periodically, and break open connections then.
         tokio::time::sleep(CUT_DELAY).await;
     }
 
@@ -236,7 +236,7 @@
                 plan.link_bytes_per_ms
             );
         }
-        // Every hall may use the workers of the others, its own first.
+        // Each hall lists all workers, its own first.
         let mut workers: Vec<_> = self.workers.iter().collect();
         workers.sort_by_key(|worker| worker.hall != hall);
         for worker in workers {
@@ -263,10 +263,10 @@
         }
     }
 
-    /// Waits until something answers at `url`.
+    /// Waits until a server answers at `url`, with any status.
     ///
     /// # Panics
-    /// Panics when nothing does in time.
+    /// Panics when none does in time.
     pub async fn wait_for(&self, url: &str) {
         let until = Instant::now() + START_TIMEOUT;
         while self.http.get(url).send().await.is_err() {
@@ -275,38 +275,39 @@
         }
     }
 
-    /// Sets a fault at a stand-in.
+    /// Sets faults of a stand-in.
     ///
     /// # Panics
-    /// Panics when the stand-in refuses it.
+    /// Panics when the stand-in refuses them or does not answer.
     pub async fn set_fault(&self, process: &Process, fault: Value) {
         let call = self.http.post(format!("{}/fault", process.url())).json(&fault);
         let answer = call.send().await;
-        // A process that is told to die does not answer.
+        // The fault `die` ends the process before it answers.
         let died = fault == json!({ "die": true });
         assert!(died || answer.is_ok_and(|answer| answer.status().is_success()), "{fault}");
     }
 
-    /// Sets a fault at a stand-in, unless it does not answer.
+    /// As `set_fault`, but ignores refusals and missing answers.
     pub async fn try_set_fault(&self, process: &Process, fault: Value) {
         let call = self.http.post(format!("{}/fault", process.url())).json(&fault);
-        // A killed or frozen process comes back without the fault, or keeps it
-        // until it is healed.
+        // A killed process restarts without the fault; a frozen one may take it when it
+        // continues, and then has it until it is reset.
         let _ = call.timeout(Duration::from_secs(5)).send().await;
     }
 
-    /// Reads a page of JSON.
+    /// Reads JSON from `url`; `None` if there is no answer within 3 s or it is no JSON.
     pub async fn get(&self, url: &str) -> Option<Value> {
         let call = self.http.get(url).timeout(Duration::from_secs(3));
         call.send().await.ok()?.json().await.ok()
     }
 
-    /// A box's status page.
+    /// Status of a box, as its operators' address reports it.
     pub async fn status(&self, entry_box: &EntryBox) -> Option<Value> {
         self.get(&format!("http://{}/status", entry_box.operators)).await
     }
 
-    /// Waits until each of `boxes` serves `revision` and sees `members` boxes.
+    /// Waits until each of `boxes` serves `revision` or a later one and sees at least `members`
+    /// boxes.
     ///
     /// # Panics
     /// Panics when that takes too long.
@@ -326,7 +327,8 @@
         }
     }
 
-    /// Runs the operators' tool; returns its exit code and what it printed.
+    /// Runs the operators' tool; returns its exit code, or -1 if a signal ended it, and its
+    /// output.
     ///
     /// # Panics
     /// Panics when the tool cannot be started.
@@ -345,11 +347,11 @@
         (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
     }
 
-    /// Runs the operators' tool, which must succeed.
+    /// Runs the operators' tool, which must succeed; returns its output.
     ///
     /// # Panics
     /// Panics when it fails.
-    #[allow(clippy::must_use_candidate, reason = "most callers want the effect only")]
+    #[allow(clippy::must_use_candidate, reason = "most callers need only the effect")]
     pub fn must_run_operator_tool(&self, args: &[&str]) -> String {
         let (code, text) = self.run_operator_tool(args);
         assert_eq!(code, 0, "{args:?}: {text}");
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -1,55 +1,55 @@
-//! What a fleet consists of.
+//! Size and settings of a fleet.
 
-/// What a hall has.
+/// Size of a data hall.
 #[derive(Clone)]
 pub struct HallPlan {
-    /// Name.
+    /// Name of the hall.
     pub name: String,
-    /// Entry boxes.
+    /// Number of entry boxes.
     pub boxes: usize,
-    /// Model engines.
+    /// Number of model engines.
     pub engines: usize,
-    /// Workers of the plain service.
+    /// Number of workers of the plain service.
     pub workers: usize,
 }
 
 impl HallPlan {
-    /// A hall of that size.
+    /// A hall of this size.
     #[must_use]
     pub fn new(name: &str, boxes: usize, engines: usize, workers: usize) -> Self {
         Self { name: name.to_owned(), boxes, engines, workers }
     }
 }
 
-/// What a fleet has.
+/// Size and settings of a fleet.
 #[derive(Clone)]
 pub struct Plan {
     /// Data halls.
     pub halls: Vec<HallPlan>,
-    /// Context stores, shared by all halls.
+    /// Number of context stores, which all halls share.
     pub stores: usize,
-    /// Bytes of a store.
+    /// Capacity of a store, memory and disk together.
     pub store_bytes: u64,
     /// Rate of a store's link.
     pub link_bytes_per_ms: u64,
     /// Size of an engine's prefix cache.
     pub cache_tokens: u64,
-    /// Requests that an engine is given at once.
+    /// Setting `slots` of engines: requests that an engine is sent at the same time.
     pub slots: u32,
-    /// Further arguments of engines.
+    /// Further options of the engines' command line.
     pub engine_args: Vec<(String, String)>,
-    /// Further arguments of workers.
+    /// Further options of the workers' command line.
     pub worker_args: Vec<(String, String)>,
     /// Lines of the settings' policy section.
     pub policy: String,
     /// Lines of the settings' limits section.
     pub limits: String,
-    /// Whether engines check who orders.
+    /// Whether boxes are told that engines check the fencing token of orders.
     pub checks_orders: bool,
-    /// Whether messages between halls go over wires that can be cut.
+    /// Whether connections between halls pass through relays that can be cut.
     pub wires: bool,
-    /// Whether boxes reach the platform, each other and upstreams over relays
-    /// that can be silenced.
+    /// Whether connections of boxes to the platform, each other and upstreams pass through
+    /// relays that can be silenced.
     pub relays: bool,
 }
 
@@ -74,13 +74,14 @@
         }
     }
 
-    /// One hall.
+    /// A single hall.
     #[must_use]
     pub fn one_hall(boxes: usize, engines: usize, workers: usize) -> Self {
         Self::new(vec![HallPlan::new("north", boxes, engines, workers)])
     }
 
-    /// The size of today: three halls, 9 boxes, 18 engines, 2 stores, 3 workers.
+    /// The size of a complete installation: three halls, 9 boxes, 18 engines, 2 stores and
+    /// 3 workers.
     #[must_use]
     pub fn full_size() -> Self {
         let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 3, 6, 1));
--- a/standins/src/fleet/process.rs
+++ b/standins/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A program as a process that can be stopped, killed and started again.
+//! A child process that can be signalled, killed and restarted.
 
 use std::fs::File;
 use std::path::{Path, PathBuf};
@@ -6,13 +6,13 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A running process.
+/// A child process of the fleet; it is killed when this is dropped.
 pub struct Process {
-    /// Name in the fleet.
+    /// Name within the fleet.
     pub name: String,
-    /// Data hall; empty for what all halls share.
+    /// Data hall; empty for processes that all halls share.
     pub hall: String,
-    /// Where it is called.
+    /// Address at which it is called.
     pub address: String,
     child: Mutex<Child>,
     command: Vec<String>,
@@ -32,7 +32,7 @@
         Self { name, hall, address, child, command, log }
     }
 
-    /// Sends a signal, by its name.
+    /// Sends a signal, given as an option of `kill`, such as `-STOP`.
     ///
     /// # Panics
     /// Panics when it cannot be sent.
@@ -40,7 +40,7 @@
         assert!(self.try_signal(signal), "kill {signal} {}", self.name);
     }
 
-    /// Sends a signal, unless the process has ended.
+    /// Sends a signal unless the process has exited; returns whether it was sent.
     pub fn try_signal(&self, signal: &str) -> bool {
         if self.has_exited() {
             return false;
@@ -50,21 +50,21 @@
         sent.is_ok_and(|status| status.success())
     }
 
-    /// Ends the process without a warning.
+    /// Kills the process with SIGKILL and waits until it has exited.
     pub fn kill(&self) {
         let mut child = self.child();
         let _ = child.kill();
         let _ = child.wait();
     }
 
-    /// Starts it again with the same command, ending it before if need be.
+    /// Starts the process again with the same command, after killing it if it still runs.
     pub fn restart(&self) {
         self.kill();
         *self.child() = spawn(&self.command, &self.log);
     }
 
-    /// Starts it again once the process `pid` has ended, unless another one was
-    /// started in its place meanwhile.
+    /// Waits until the process `pid` has exited, then starts it again unless that has already
+    /// been done.
     pub async fn restart_after_exit(&self, pid: u32) {
         while self.pid() == pid && !self.has_exited() {
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the process has ended.
+    /// Whether the process has exited.
     #[must_use]
     pub fn has_exited(&self) -> bool {
         matches!(self.child().try_wait(), Ok(Some(_)))
@@ -91,7 +91,7 @@
         self.child.lock().expect("child lock")
     }
 
-    /// Base URL.
+    /// Base URL of its HTTP interface.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
--- a/standins/src/fleet/relays.rs
+++ b/standins/src/fleet/relays.rs
@@ -1,7 +1,7 @@
-//! Relays on the relay_addresses from boxes to the platform, to each other and to upstreams.
+//! TCP relays between boxes and the platform, other boxes, and upstreams.
 //!
-//! One for each kind of relay_address, so that the connections of a kind can be silenced
-//! while both their ends stay up.
+//! Each kind of target has its own relay, so that the connections to targets of this kind
+//! can be silenced while both ends stay up.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,7 +11,7 @@
 use super::starter::Starter;
 use super::{Fleet, Process};
 
-/// A kind of relay_address that boxes' connections take.
+/// The kind of target that a relay leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayKind {
     /// To the platform's service.
@@ -42,23 +42,24 @@
     }
 }
 
-/// The relays of a fleet, and the ways over them.
+/// The relays of a fleet.
 #[derive(Default)]
 pub struct Relays {
     by_kind: BTreeMap<RelayKind, Process>,
+    /// Relay address by the address of the target.
     relay_addresses: BTreeMap<String, String>,
     silences: AtomicU64,
 }
 
 impl Relays {
-    /// URL at which boxes reach a process.
+    /// URL at which boxes reach a process: that of its relay, if there is one.
     pub(super) fn url_for(&self, process: &Process) -> String {
         self.relay_addresses
             .get(&process.address)
             .map_or_else(|| process.url(), |relay_address| format!("http://{relay_address}"))
     }
 
-    /// All relays.
+    /// Processes of all relays.
     pub(super) fn processes(&self) -> impl Iterator<Item = &Process> {
         self.by_kind.values()
     }
@@ -76,7 +77,7 @@
 }
 
 impl Fleet {
-    /// Starts a relay for each kind of relay_address; returns the routes to all boxes.
+    /// Starts a relay for each kind of target; returns the setting `routes` for all boxes.
     pub(super) fn start_relays(
         &mut self,
         starter: &mut Starter<'_>,
@@ -99,7 +100,7 @@
         relay_addresses.collect::<Vec<_>>().join(", ")
     }
 
-    /// Silences the connections of a kind that are open; later ones are sound.
+    /// Silences the open connections through a relay; new ones work.
     ///
     /// # Panics
     /// Panics when the fleet has no relays.
@@ -108,7 +109,7 @@
         self.set_fault(&self.relays.by_kind[&kind], json!({ "silences": silences })).await;
     }
 
-    /// Has a relay lose what is sent, or no more.
+    /// Makes a relay drop all bytes that pass through it, or stops that.
     ///
     /// # Panics
     /// Panics when the fleet has no relays.
--- a/standins/src/fleet/starter.rs
+++ b/standins/src/fleet/starter.rs
@@ -1,4 +1,4 @@
-//! Starts the processes of a fleet, each at an address of its own.
+//! Starts the processes of a fleet, each on its own loopback address.
 
 use std::path::PathBuf;
 
--- a/standins/src/loopback.rs
+++ b/standins/src/loopback.rs
@@ -1,31 +1,32 @@
-//! Loopback networks that no other test has at the same time.
+//! Loopback networks that only one test uses at a time.
 //!
-//! A port that the system hands out and takes back may be handed out again at
-//! once. So each fleet gets addresses of its own, and fixed ports on them.
+//! The system may assign an ephemeral port to another process as soon as it is
+//! released, so a restarted process could find its port taken. Each fleet
+//! therefore has its own addresses, with fixed ports.
 
 use std::net::TcpListener;
 
-/// Port that is bound for as long as a network is taken; below the ports that
-/// the system hands out by itself.
+/// Port that is bound while a network is reserved; below the ephemeral range, so
+/// that the system assigns it to no other socket.
 const RESERVATION_PORT: u16 = 20_007;
-/// Host number on which that port is bound.
+/// Last octet of the address on which that port is bound.
 const RESERVATION_HOST: u8 = 254;
-/// First of the second bytes that are used; lower ones are left to people.
+/// Lowest second octet of reserved networks; lower ones are left for manual use.
 const MIN_SECOND_OCTET: u8 = 16;
-/// Networks that are tried before giving up.
+/// Networks that are tried before `reserve` fails.
 const ATTEMPTS: usize = 1000;
 
-/// A loopback network, taken until this is dropped.
+/// A loopback network, reserved until this is dropped.
 pub struct Network {
     prefix: String,
     _reservation: TcpListener,
 }
 
 impl Network {
-    /// Takes a network that nobody has.
+    /// Reserves a network that no process has reserved.
     ///
     /// # Panics
-    /// Panics when none can be had.
+    /// Panics when no free network is found.
     #[must_use]
     pub fn reserve() -> Self {
         for _ in 0..ATTEMPTS {
@@ -38,7 +39,7 @@
         panic!("no loopback network is free");
     }
 
-    /// Its first three bytes.
+    /// First three octets of its addresses, such as `127.16.0`.
     #[must_use]
     pub fn prefix(&self) -> &str {
         &self.prefix
--- a/standins/src/site/client.rs
+++ b/standins/src/site/client.rs
@@ -1,4 +1,4 @@
-//! A client of the platform that writes any bytes.
+//! An HTTP client that sends arbitrary bytes, well-formed or not.
 
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -6,7 +6,7 @@
 
 use super::http::{Message, MessageReader};
 
-/// A client's connection.
+/// A client connection to a gateway.
 pub struct Client {
     reader: MessageReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
@@ -21,7 +21,7 @@
         Self::try_connect(address).await.expect("connection")
     }
 
-    /// Connects to a gateway that may not be there.
+    /// Connects to a gateway that may be down.
     ///
     /// # Errors
     /// Fails when it cannot be reached.
@@ -30,15 +30,15 @@
         Ok(Self { reader: MessageReader::new(read), write })
     }
 
-    /// Sends bytes and reads the next answer; `None` when the connection ends
-    /// without one.
+    /// Sends bytes and reads the next answer; `None` if the connection ends
+    /// before the header of one is complete.
     pub async fn send(&mut self, bytes: &[u8]) -> Option<Message> {
-        // A gateway may close early, and its answer still be there.
+        // The write can fail because the gateway closed early; its answer can still be read.
         let _ = self.write.write_all(bytes).await;
         self.reader.next(true).await
     }
 
-    /// Sends bytes only.
+    /// Sends bytes without waiting for an answer.
     ///
     /// # Panics
     /// Panics when the connection is broken.
@@ -46,13 +46,13 @@
         self.write.write_all(bytes).await.expect("write");
     }
 
-    /// Reads the next answer.
+    /// Reads the next answer; `None` if the connection ends before one.
     pub async fn read(&mut self) -> Option<Message> {
         self.reader.next(true).await
     }
 }
 
-/// The bytes of a request to `path` with `key-1`.
+/// Bytes of a request with the API key `key-1`; `extra` holds further header lines.
 #[must_use]
 pub fn request(method: &str, path: &str, id: &str, extra: &str, body: &str) -> Vec<u8> {
     format!(
@@ -63,7 +63,7 @@
     .into_bytes()
 }
 
-/// Sends one request on a connection of its own.
+/// Sends a single request without a body on a new connection.
 pub async fn request_once(address: &str, method: &str, path: &str, id: &str) -> Option<Message> {
     Client::connect(address).await.send(&request(method, path, id, "", "")).await
 }
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -1,4 +1,7 @@
-//! A model engine or a store of context, by its reports, orders and events.
+//! Stand-in for a model engine or a context store: its reports, orders, cache events and runs.
+//!
+//! A part is a unit of cached context, identified by its scope and name. An incarnation lasts
+//! from one start of the engine to the next.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,49 +21,49 @@
 
 use crate::clock::now_ms;
 
-/// Time that a load of weights takes.
+/// Time that it takes to load weights.
 const LOAD_TIME: Duration = Duration::from_millis(60);
-/// Longest wait for events.
+/// Longest time that a call for events waits for new ones.
 const MAX_EVENT_WAIT: Duration = Duration::from_millis(200);
-/// Model that every engine has.
+/// Model that every engine serves.
 pub const MODEL: &str = "model-a";
 
 /// An order as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Order {
-    /// What is ordered.
+    /// Operation.
     pub op: String,
-    /// Version to load.
+    /// Weight version to load.
     pub version: u64,
-    /// Who orders.
+    /// Holder of the lease under which the order was given.
     pub holder: String,
     /// Fencing token.
     pub fence: u64,
-    /// OrderHandling that must have been taken before.
+    /// Number of orders that the engine must have accepted before this one, if given.
     pub expected: Option<u64>,
     /// When it arrived, in Unix milliseconds.
     #[serde(skip)]
     pub at_ms: u64,
 }
 
-/// A load of weights that ended well.
+/// A load of weights that succeeded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompletedLoad {
-    /// Version that it has since.
+    /// Weight version that was loaded.
     pub version: u64,
-    /// Since when, in Unix milliseconds.
+    /// When the load ended, in Unix milliseconds.
     pub at_ms: u64,
 }
 
-/// A request for a run as it arrived.
+/// A request to run or resume an answer, as it arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// Headers.
     pub headers: BTreeMap<String, String>,
     /// When it arrived, in Unix milliseconds.
     pub at_ms: u64,
-    /// Version that it started_version on; none when it was turned away or came during a load,
-    /// when engines of the platform turn it away.
+    /// Weight version that it started on; `None` if it was refused, or if it arrived during a
+    /// load, when real engines would refuse it.
     pub version: Option<u64>,
 }
 
@@ -68,23 +71,24 @@
 #[derive(Clone, Copy)]
 struct ArrivedAtMs(u64);
 
-/// What becomes of orders.
+/// How orders are handled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum OrderHandling {
-    /// They are carried out.
+    /// Orders are carried out.
     #[default]
     Accept,
-    /// They are turned away.
+    /// Orders are answered with 409.
     Refuse,
-    /// Neither they nor questions for its report are answered.
+    /// Neither orders nor requests for the report are answered.
     Ignore,
-    /// They are taken, and their loads never end.
+    /// Orders are accepted, but their loads never end.
     NeverFinish,
-    /// They are not answered, and carried out after a time if they are not void by then.
+    /// Orders are not answered, but carried out after this time unless the engine has
+    /// restarted or would refuse them by then.
     Delay(Duration),
 }
 
-/// What a test makes it do wrong.
+/// Faults that a test has set.
 #[derive(Default)]
 struct Faults {
     omits_start_time: bool,
@@ -99,9 +103,9 @@
 #[derive(Default)]
 struct State {
     version: u64,
-    /// Start of this run, in Unix milliseconds.
+    /// Start of this incarnation, in Unix milliseconds.
     started_at_ms: u64,
-    /// Changes with each run, for those who follow what is kept.
+    /// Epoch of the event numbers; changes with each incarnation.
     boot: u64,
     orders: Vec<Order>,
     completed_loads: Vec<CompletedLoad>,
@@ -109,7 +113,7 @@
     busy: bool,
     held: Vec<(String, String, u32)>,
     partial: Vec<(String, String, u32, u32)>,
-    /// What it lists beside the parts that it keeps.
+    /// Items that are listed in addition to the cached parts.
     extra_items: Vec<Value>,
     events: Vec<Value>,
     freed_parts: Vec<(String, String)>,
@@ -126,7 +130,7 @@
         self.faults.clock_ms.map_or_else(|| json!(now_ms()), |clock_ms| json!(clock_ms))
     }
 
-    /// The state of a run that has just started.
+    /// The state of an incarnation that has just started.
     fn new_incarnation(version: u64) -> Self {
         let started_at_ms = now_ms();
         Self { version, started_at_ms, boot: started_at_ms, ..Self::default() }
@@ -135,19 +139,19 @@
 
 type Shared = Arc<Mutex<State>>;
 
-/// An engine or a store.
+/// An engine or a context store.
 pub struct Engine {
-    /// Address.
+    /// Address that it listens on.
     pub address: String,
     state: Shared,
     serving: JoinHandle<()>,
 }
 
 impl Engine {
-    /// Starts one whose weights have version 1.
+    /// Starts an engine with weight version 1.
     ///
     /// # Panics
-    /// Panics when no address can be had.
+    /// Panics when no port can be bound.
     pub async fn start() -> Self {
         let state: Shared = Arc::new(Mutex::new(State::new_incarnation(1)));
         let hanging = state.clone();
@@ -181,20 +185,21 @@
         self.state.lock().expect("no task panics under the lock")
     }
 
-    /// Version of its weights.
+    /// Weight version that is loaded.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.state().version
     }
 
-    /// Start of its run, in Unix milliseconds.
+    /// Start of its current incarnation, in Unix milliseconds.
     #[must_use]
     pub fn started_at_ms(&self) -> u64 {
         self.state().started_at_ms
     }
 
-    /// Starts again, with older or newer weights: nothing of before is known or kept, and
-    /// the orders taken are counted anew. What a test asks of the past stays.
+    /// Restarts the engine with the given weights. Its cache and events are lost, the count of
+    /// accepted orders starts at 0, and faults are cleared, apart from an omitted start time.
+    /// The records of orders, loads and runs stay, for the test to read.
     pub fn restart(&self, version: u64) {
         let mut state = self.state();
         let (orders, runs) = (state.orders.clone(), state.runs.clone());
@@ -213,31 +218,31 @@
         };
     }
 
-    /// OrderHandling that have arrived.
+    /// Orders that have arrived, refused ones included.
     #[must_use]
     pub fn orders(&self) -> Vec<Order> {
         self.state().orders.clone()
     }
 
-    /// Loads that have ended well, the first one first.
+    /// Loads that have succeeded, oldest first.
     #[must_use]
     pub fn completed_loads(&self) -> Vec<CompletedLoad> {
         self.state().completed_loads.clone()
     }
 
-    /// Runs that have arrived.
+    /// Requests for runs that have arrived, refused ones included.
     #[must_use]
     pub fn runs(&self) -> Vec<Run> {
         self.state().runs.clone()
     }
 
-    /// Parts that were freed.
+    /// Scope and name of the parts that were freed by call.
     #[must_use]
     pub fn freed_parts(&self) -> Vec<(String, String)> {
         self.state().freed_parts.clone()
     }
 
-    /// Keeps a part, and tells it.
+    /// Caches a part and publishes an event about it.
     pub fn cache_part(&self, scope: &str, part: &str, tokens: u32) {
         let mut state = self.state();
         let number = state.events.len() + 1;
@@ -245,74 +250,74 @@
         state.events.push(json!([number, "+", scope, part, tokens, MODEL]));
     }
 
-    /// Lets streams stand still after their first event, unless they go on with one.
+    /// Makes new streams stall after their first event; resumed streams don't stall.
     pub fn stall_streams(&self) {
         self.state().faults.stalls_streams = true;
     }
 
-    /// Keeps runs waiting from now on, without an answer.
+    /// Leaves new runs waiting for ever, without an answer.
     pub fn queue_runs(&self) {
         self.state().faults.queues_runs = true;
     }
 
-    /// Tells nobody when it started, as upstreams of older software.
+    /// Omits the start time from its answers, as upstreams with older software do.
     pub fn omit_start_time(&self) {
         self.state().faults.omits_start_time = true;
     }
 
-    /// Takes no order from now on.
+    /// Refuses orders from now on.
     pub fn refuse_orders(&self) {
         self.state().faults.order_handling = OrderHandling::Refuse;
     }
 
-    /// Takes orders again.
+    /// Carries out orders again.
     pub fn accept_orders(&self) {
         self.state().faults.order_handling = OrderHandling::Accept;
     }
 
-    /// Answers no order and no question for its report from now on; it still serves.
+    /// Answers neither orders nor requests for the report from now on; runs are still served.
     pub fn ignore_orders(&self) {
         self.state().faults.order_handling = OrderHandling::Ignore;
     }
 
-    /// Takes orders, and never ends the load, from now on.
+    /// Accepts orders from now on, but never ends their loads.
     pub fn never_finish_loads(&self) {
         self.state().faults.order_handling = OrderHandling::NeverFinish;
     }
 
-    /// Leaves orders without an answer, and carries them out after a time if they are not
-    /// void by then; or ends that.
+    /// Doesn't answer orders, but carries them out after `delay` unless the engine has
+    /// restarted or would refuse them by then; `None` restores the usual handling.
     pub fn delay_orders(&self, delay: Option<Duration>) {
         self.state().faults.order_handling =
             delay.map_or(OrderHandling::Accept, OrderHandling::Delay);
     }
 
-    /// Says nothing and begins nothing until a deadline, in Unix milliseconds.
+    /// Holds all calls until a time, in Unix milliseconds.
     pub fn hang_until(&self, until_ms: u64) {
         self.state().faults.hangs_until_ms = until_ms;
     }
 
-    /// Fails the next calls that list what is kept.
+    /// Fails the next calls that list the cached parts.
     pub fn fail_listings(&self, count: u32) {
         self.state().faults.failing_listings = count;
     }
 
-    /// Lists something in place of a part that it keeps.
+    /// Adds an arbitrary item, such as a malformed one, to the list of cached parts.
     pub fn list_extra_item(&self, item: Value) {
         self.state().extra_items.push(item);
     }
 
-    /// Tells something in place of a change.
+    /// Publishes an arbitrary event, such as a malformed one.
     pub fn publish_raw_event(&self, change: Value) {
         self.state().events.push(change);
     }
 
-    /// Shows this on its clock, in Unix milliseconds.
+    /// Sends this as the time on its clock with events, in Unix milliseconds.
     pub fn set_clock(&self, clock_ms: f64) {
         self.state().faults.clock_ms = Some(clock_ms);
     }
 
-    /// Has a part whose writing broke off.
+    /// Adds a part whose write was interrupted.
     pub fn add_incomplete_part(&self, scope: &str, part: &str) {
         self.state().partial.push((scope.to_owned(), part.to_owned(), 16, 500));
     }
@@ -324,7 +329,7 @@
     }
 }
 
-/// Waits for ever if it answers nothing.
+/// Waits for ever if orders are ignored.
 async fn wait_if_ignoring(shared: &Shared) {
     let orders = shared.lock().expect("state").faults.order_handling;
     if orders == OrderHandling::Ignore {
@@ -342,7 +347,7 @@
         "models": [{ "name": MODEL, "version": state.version, "adapters": [] }] }))
 }
 
-/// Waits while the engine hangs.
+/// Waits while all calls are held.
 async fn wait_while_hung(shared: &Shared) {
     while now_ms() < shared.lock().expect("state").faults.hangs_until_ms {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -370,7 +375,7 @@
     future::pending().await
 }
 
-/// Carries out an order of the run that it came to.
+/// Carries out an order, unless the engine has restarted since it arrived.
 fn carry_out(shared: &Shared, given: &Order, started_at_ms: u64) -> StatusCode {
     let mut state = shared.lock().expect("state");
     if state.started_at_ms != started_at_ms {
@@ -394,7 +399,7 @@
     tokio::spawn(async move {
         tokio::time::sleep(LOAD_TIME).await;
         let mut state = later.lock().expect("state");
-        // A run that has ended loads no more.
+        // The engine has restarted since, so that this load is void.
         if state.started_at_ms != started_at_ms {
             return;
         }
@@ -459,7 +464,7 @@
     StatusCode::OK
 }
 
-/// The events of a run; one that holds never ends.
+/// The events of a run; a stream that stalls never ends.
 fn stream_body(stalls: bool, resumed: bool) -> Body {
     let event = if resumed { "id: 2\ndata: end\n\n" } else { "id: 1\ndata: piece\n\n" };
     let first = stream::once(async move { std::io::Result::Ok(event) });
--- a/standins/src/site/fault_proxy.rs
+++ b/standins/src/site/fault_proxy.rs
@@ -1,10 +1,10 @@
-//! A network path to one address whose open connections can go silent, or be
-//! reset, while new ones work.
+//! A TCP proxy to one address that can silence or reset its open connections
+//! while new ones work.
 //!
-//! A silent connection stays open and moves nothing: what arrives on it is
-//! dropped before the system acknowledges it, so that neither bytes nor probes of
-//! either side are answered, as when a device between two machines forgets a
-//! connection.
+//! A silent connection stays open but carries nothing: a socket filter drops
+//! arriving packets before the kernel acknowledges them, so neither data nor
+//! keep-alive probes of either side are answered. The same happens when a NAT
+//! device or firewall between two machines loses the state of a connection.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -16,11 +16,11 @@
 use tokio::sync::broadcast::{Receiver, Sender, channel};
 use tokio::task::JoinHandle;
 
-/// Filter that accepts no byte of any packet: "return 0".
+/// Code and operand of the BPF instruction `return 0`, which accepts no byte of a packet.
 const DROP_ALL: (u16, u32) = (0x06, 0);
 /// Time for which a silent connection is held open: longer than any test.
 const SILENT_HOLD_TIME: Duration = Duration::from_secs(600);
-/// Orders that a slow connection may be behind with.
+/// Faults that are queued for a connection that has not handled them yet.
 const FAULT_BACKLOG: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,9 +29,9 @@
     Reset,
 }
 
-/// A path to one address.
+/// A proxy to one address.
 pub struct FaultProxy {
-    /// Where the path begins.
+    /// Address that clients connect to.
     pub address: String,
     target: Arc<Mutex<String>>,
     faults: Sender<Fault>,
@@ -40,10 +40,10 @@
 }
 
 impl FaultProxy {
-    /// Opens a path to `target`.
+    /// Starts a proxy to `target`.
     ///
     /// # Panics
-    /// Panics when no address can be had.
+    /// Panics when no port can be bound.
     pub async fn start(target: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
         let address = listener.local_addr().expect("address").to_string();
@@ -55,7 +55,7 @@
         Self { address, target, faults, accepted_count, accepting }
     }
 
-    /// Leads new connections elsewhere; open ones stay.
+    /// Sets the target of new connections; open ones keep theirs.
     ///
     /// # Panics
     /// Panics when a task has panicked under the lock.
@@ -63,9 +63,9 @@
         target.clone_into(&mut self.target.lock().expect("target"));
     }
 
-    /// Silences all open connections, for ever; new ones work.
+    /// Silences all open connections for good; new ones work.
     pub fn silence_open_connections(&self) {
-        // Nobody listens when none is open.
+        // `send` fails when no connection is open.
         let _ = self.faults.send(Fault::Silence);
     }
 
@@ -74,7 +74,7 @@
         let _ = self.faults.send(Fault::Reset);
     }
 
-    /// Number of connections taken so far.
+    /// Number of connections accepted so far.
     #[must_use]
     pub fn accepted_count(&self) -> usize {
         self.accepted_count.load(Ordering::Relaxed)
@@ -104,7 +104,7 @@
     let Ok(mut far) = TcpStream::connect(&target).await else {
         return;
     };
-    // A relay must not hold back small messages, else it would slow what it carries.
+    // Without TCP_NODELAY the proxy would delay small messages.
     let nodelay = near.set_nodelay(true).and(far.set_nodelay(true));
     nodelay.expect("socket option");
     let fault = tokio::select! {
@@ -121,19 +121,19 @@
             reset_on_drop(&near);
             reset_on_drop(&far);
         }
-        // The path is gone.
+        // The proxy was dropped.
         Err(_) => {}
     }
 }
 
-/// Has the system drop all that arrives on a connection.
+/// Has the kernel drop all packets that arrive on a connection.
 fn drop_incoming(stream: &TcpStream) {
     let (code, accepted_bytes) = DROP_ALL;
     let filter = SockFilter::new(code, 0, 0, accepted_bytes);
     SockRef::from(stream).attach_filter(&[filter]).expect("socket filter");
 }
 
-/// Has the system reset a connection when it is dropped.
+/// Has the kernel reset a connection when its socket is dropped.
 fn reset_on_drop(stream: &TcpStream) {
     SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("socket option");
 }
--- a/standins/src/site/http.rs
+++ b/standins/src/site/http.rs
@@ -1,42 +1,41 @@
-//! Just enough of HTTP/1.1 to read whole messages and to write any bytes,
-//! well-formed or not.
+//! Minimal HTTP/1.1 parser for requests and answers, independent of the product's.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A message: its first line, headers in lower case, and body.
+/// A request or an answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Message {
     /// Request line or status line.
     pub start_line: String,
-    /// Headers, names in lower case.
+    /// Headers, with their names in lower case.
     pub headers: Vec<(String, String)>,
-    /// Body, decoded from chunks.
+    /// Body, with any chunked encoding removed.
     pub body: Vec<u8>,
-    /// Whether the body ended as it should.
+    /// Whether the body was received completely.
     pub complete: bool,
 }
 
 impl Message {
-    /// A header's value.
+    /// Value of the first header with this name, which must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Second word of the first line: path of a request, status of an answer.
+    /// Second word of the start line: the path of a request or the status of an answer.
     #[must_use]
     pub fn path_or_status(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// Status of an answer.
+    /// Status of an answer; 0 if it is no number.
     #[must_use]
     pub fn status(&self) -> u16 {
         self.path_or_status().parse().unwrap_or_default()
     }
 
-    /// Body as text.
+    /// Body as text, with invalid UTF-8 replaced.
     #[must_use]
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
@@ -55,8 +54,8 @@
         Self { stream, buffer: Vec::new() }
     }
 
-    /// The next message; `None` when the connection ends before one.
-    /// `until_eof` says that a body without a length lasts until the end.
+    /// Reads the next message; `None` if the connection ends before its header does.
+    /// With `until_eof`, a body without a length extends to the end of the connection.
     pub async fn next(&mut self, until_eof: bool) -> Option<Message> {
         let head_end = loop {
             if let Some(at) = position(&self.buffer, b"\r\n\r\n") {
--- a/standins/src/site/metadata/calls.rs
+++ b/standins/src/site/metadata/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of the platform's metadata store.
+//! HTTP calls of the metadata store.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,10 +13,10 @@
 
 use super::{Item, Shared, StoreFault, Tables};
 
-/// Items on one page.
+/// Most items on a page of a range.
 const PAGE_ITEMS: usize = 3;
 
-/// The store's calls.
+/// Routes of the store's calls.
 pub(super) fn routes(shared: &Arc<Shared>) -> impl Endpoint<Output = Response> + 'static {
     Route::new()
         .at("/coursestile/kv-key", get(read))
@@ -30,7 +30,7 @@
         .map_to_response()
 }
 
-/// Counts a call, and answers it as the fault has it; true lets it through.
+/// Counts a call; returns the answer, as an error, if a fault keeps the call from being served.
 async fn check_call(shared: &Shared, name: &'static str) -> Result<(), Response> {
     *shared.tables().calls.entry(name).or_default() += 1;
     let fault = shared.tables().fault;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Answers a write that is done.
+/// Returns the answer to a completed write, late if the fault says so.
 async fn answer_write(shared: &Shared, answer: Response) -> Response {
     if shared.tables().fault == StoreFault::WriteAnswersLost {
         tokio::time::sleep(Duration::from_secs(60)).await;
--- a/standins/src/site/metadata/mod.rs
+++ b/standins/src/site/metadata/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's metadata store: items with revisions, watches, transactions
-//! and leases, and the faults that it can have.
+//! Stand-in for the platform's metadata store: items with revisions, watches,
+//! transactions and leases. Tests can inject faults.
 
 mod calls;
 
@@ -16,20 +16,20 @@
 
 use calls::routes;
 
-/// How often leases are looked at.
+/// Interval at which expired leases are removed.
 const LEASE_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// What is wrong with the store.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The store works.
     #[default]
     None,
-    /// It answers 503 to everything; leases run out.
+    /// Every call is answered with 503; leases expire as nobody can renew them.
     Unavailable,
-    /// It says nothing.
+    /// Calls get no answer for a minute, and are not carried out.
     Unresponsive,
-    /// Writes are done and not answered.
+    /// Writes are carried out, but their answers are held back for a minute.
     WriteAnswersLost,
 }
 
@@ -39,7 +39,7 @@
     rev: u64,
     created_rev: u64,
     lease: u64,
-    /// Its content is told as a text that stands for no bytes.
+    /// Whether the content is sent as text that is not valid base64.
     undecodable: bool,
 }
 
@@ -102,9 +102,9 @@
     }
 }
 
-/// The store.
+/// A metadata store.
 pub struct Metadata {
-    /// Address.
+    /// Address that it listens on.
     pub address: String,
     shared: Arc<Shared>,
     serving: JoinHandle<()>,
@@ -130,7 +130,7 @@
         Self { address, shared, serving }
     }
 
-    /// Opens another address of the same store, for one box.
+    /// Opens another address of the same store, for a single box.
     ///
     /// # Panics
     /// Panics when no address can be had.
@@ -149,7 +149,7 @@
             }
         });
         let serving = tokio::spawn(async move {
-            // It ends with the test.
+            // The task is aborted when the endpoint is dropped.
             let _ = Server::new_with_acceptor(acceptor).run(app).await;
         });
         MetadataEndpoint { address, refuses_calls, serving }
@@ -161,7 +161,7 @@
         self.shared.notify_watches();
     }
 
-    /// Writes an item whose content is told as a text that stands for no bytes.
+    /// Writes an item whose content is sent as text that is not valid base64.
     ///
     /// # Panics
     /// Panics when a task has panicked under the lock.
@@ -183,20 +183,20 @@
         self.shared.notify_watches();
     }
 
-    /// Content of an item.
+    /// Content of an item, if it exists.
     #[must_use]
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         self.shared.tables().items.get(key).map(|item| item.value.clone())
     }
 
-    /// Brings fault, or ends it.
+    /// Sets the fault of the store, or clears it with `StoreFault::None`.
     pub fn set_fault(&self, fault: StoreFault) {
         self.shared.tables().fault = fault;
-        // Waiting watches are cut.
+        // Waiting watches check for the fault too.
         self.shared.notify_watches();
     }
 
-    /// Forgets the changes so far.
+    /// Discards the history of changes; watches from before it get 410 (Gone).
     pub fn compact(&self) {
         let mut tables = self.shared.tables();
         tables.history.clear();
@@ -205,28 +205,28 @@
         self.shared.notify_watches();
     }
 
-    /// How often a call was created_rev.
+    /// How often a call was made, by the name in its path, such as `kv-range`.
     #[must_use]
     pub fn call_count(&self, name: &str) -> u64 {
         self.shared.tables().calls.get(name).copied().unwrap_or_default()
     }
 }
 
-/// An address of the store for one box, which the store may turn away.
+/// Another address of the store, for a single box, whose calls can be refused.
 pub struct MetadataEndpoint {
-    /// Address.
+    /// Address that it listens on.
     pub address: String,
     refuses_calls: Arc<AtomicBool>,
     serving: JoinHandle<()>,
 }
 
 impl MetadataEndpoint {
-    /// Serves the box again.
+    /// Serves the box's calls again.
     pub fn accept_calls(&self) {
         self.refuses_calls.store(false, Ordering::Relaxed);
     }
 
-    /// Turns the box away from now on; a waiting watch goes on.
+    /// Answers the box's new calls with 503; a watch that already waits goes on.
     pub fn refuse_calls(&self) {
         self.refuses_calls.store(true, Ordering::Relaxed);
     }
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in of the users' platform: its metadata store, its upstreams, and
-//! settings for the product's gateways, which run as real processes.
+//! Stand-in for the platform around the gateways: a metadata store and
+//! upstreams. The gateways run as real processes with generated settings.
 //!
-//! Everything but the gateways lives in the test's own process, so that a test
-//! sees what arrived and steers what is answered.
+//! Everything but the gateways runs inside the test process, so that a test can
+//! inspect the requests that arrived and control the answers.
 
 pub mod client;
 pub mod engine;
@@ -23,35 +23,35 @@
 use crate::loopback::Network;
 use metadata::Metadata;
 
-/// How long a test waits for what must come.
+/// Time within which a condition that a test waits for must hold.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it looks.
+/// Interval at which such a condition is checked.
 const POLL_PERIOD: Duration = Duration::from_millis(10);
 
-/// Port of each gateway for clients; like the others below the ports that the
-/// system hands out by itself.
+/// Port of each gateway for clients. Like the other fixed ports it is below the
+/// ephemeral range, so that the system assigns it to no other socket.
 const CLIENTS_PORT: u16 = 8000;
-/// Port of each gateway for the balancer's question.
+/// Port of each gateway for readiness probes of the load balancer in front of it.
 const READY_PORT: u16 = 8001;
-/// Port of each gateway for its peers.
+/// Port of each gateway for its peers; the first of several if those are distinct.
 const PEERS_PORT: u16 = 7000;
 
 /// A gateway process.
 pub struct Gateway {
     child: Mutex<Child>,
     settings: PathBuf,
-    /// Where clients reach it.
+    /// Address for clients.
     pub clients: String,
-    /// Where the balancer asks.
+    /// Address for readiness probes.
     pub ready: String,
-    /// IP address and port for peers.
+    /// Address for peers.
     pub peers: String,
-    /// Its log.
+    /// Path of its log file.
     pub log: PathBuf,
 }
 
 impl Gateway {
-    /// Sends a signal by its number.
+    /// Sends a signal, given as an option of `kill`, such as `-9`.
     ///
     /// # Panics
     /// Panics when it cannot be sent.
@@ -59,7 +59,7 @@
         assert!(send_signal(name, self.pid()), "{name}");
     }
 
-    /// Id of the process.
+    /// Process id.
     ///
     /// # Panics
     /// Panics when a task has panicked under the lock.
@@ -73,14 +73,15 @@
     /// # Panics
     /// Panics when the system does not tell.
     pub fn try_signal(&self, name: &str) {
-        // Under the lock nobody else sees its end, after which its id may be another's.
+        // The lock keeps other threads from reaping the process, after which its id could be
+        // reused by another process.
         let mut child = self.child.lock().expect("child");
         if child.try_wait().expect("child").is_none() {
             assert!(send_signal(name, child.id()), "{name}");
         }
     }
 
-    /// Starts the process again, at the same addresses, if it has ended.
+    /// Starts the process again with the same settings if it has exited.
     ///
     /// # Panics
     /// Panics when it cannot be started.
@@ -92,17 +93,17 @@
         }
     }
 
-    /// Waits until the process ends; its exit code.
+    /// Waits until the process exits; returns its exit code, or `None` if a signal ended it.
     ///
     /// # Panics
-    /// Panics when it does not end.
+    /// Panics when it does not exit in time.
     pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.get_mut().expect("child").try_wait().expect("child") {
                 return status.code();
             }
-            assert!(Instant::now() < until, "the gateway does not end");
+            assert!(Instant::now() < until, "the gateway does not exit");
             tokio::time::sleep(POLL_PERIOD).await;
         }
     }
@@ -116,7 +117,7 @@
         self.child.lock().expect("child").try_wait().expect("child").is_none()
     }
 
-    /// What it has logged so far.
+    /// Text of the log so far.
     #[must_use]
     pub fn log_text(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
@@ -125,7 +126,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         if let Ok(child) = self.child.get_mut() {
             let _ = child.kill();
             let _ = child.wait();
@@ -133,19 +134,21 @@
     }
 }
 
-/// The platform, as a test sees it.
+/// The platform that a test runs gateways on.
 pub struct Site {
-    /// Its metadata store.
+    /// Metadata store of the platform.
     pub metadata: Metadata,
-    /// Repeats in a window beside the ratio, for gateways started from now on.
+    /// Setting `retry_extra` of gateways started from now on: retries per window that are
+    /// allowed in addition to the ratio.
     pub retry_extra: u32,
-    /// Whether each gateway started from now on has a port of its own for peers. It
-    /// then calls others at that port of their addresses, where a proxy can stand.
+    /// Whether each gateway started from now on listens for peers on a distinct port. It then
+    /// calls its peers at that port of their IP addresses, where a proxy can listen.
     pub distinct_peer_ports: bool,
-    /// Time in which gateways started from now on bring engines to named weights.
+    /// Setting `weights_apply_ms` of gateways started from now on: time within which engines
+    /// are to have the weight version that an operator set.
     pub weights_apply_ms: u64,
-    /// Time for which orders of two holders must not follow each other, for gateways
-    /// started from now on.
+    /// Setting `lease_ms` of gateways started from now on: time that must pass between the
+    /// orders of two holders of a lease.
     pub lease_ms: u64,
     folder: PathBuf,
     network: Network,
@@ -156,7 +159,7 @@
     /// Starts an empty platform.
     ///
     /// # Panics
-    /// Panics when no folder or address can be had.
+    /// Panics when the folder cannot be created or no port can be bound.
     pub async fn start() -> Self {
         let name = format!("coursestile-site-{}-{:08x}", std::process::id(), fastrand::u32(..));
         let folder = std::env::temp_dir().join(name);
@@ -175,7 +178,7 @@
         }
     }
 
-    /// Starts a gateway that knows the boxes in `seeds`.
+    /// Starts a gateway with `seeds` as its first peers.
     ///
     /// # Panics
     /// Panics when it cannot be started.
@@ -184,7 +187,7 @@
         self.gateway_at(hall, seeds, &metadata)
     }
 
-    /// Starts a gateway that reaches the metadata store at an address of its own.
+    /// As `gateway`, with the metadata store at the address `metadata`.
     ///
     /// # Panics
     /// Panics when it cannot be started.
@@ -215,29 +218,29 @@
         Gateway { child: Mutex::new(child), settings: path, clients, ready, peers, log }
     }
 
-    /// Folder of settings and logs; it goes with the site.
+    /// Folder of settings and logs; it is removed when the site is dropped.
     #[must_use]
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Writes the configuration, as an operator does.
+    /// Writes the configuration to the metadata store, as an operator does.
     pub fn configure(&self, document: &Value) {
         self.metadata.put("op/config", document.to_string().as_bytes(), 0);
     }
 
-    /// Names a weight version, as an operator does.
+    /// Writes the weight version that engines of `model` are to have, as an operator does.
     pub fn set_weight_version(&self, model: &str, version: u64) {
         let body = json!({ "model": model, "version": version });
         self.metadata.put(&format!("op/version/{model}"), body.to_string().as_bytes(), 0);
     }
 
-    /// Writes an upstream's entry, as it does itself.
+    /// Writes an upstream's entry to the metadata store, as the upstream does itself.
     pub fn register(&self, id: &str, entry: &Value) {
         self.metadata.put(&format!("servers/{id}"), entry.to_string().as_bytes(), 0);
     }
 
-    /// Takes an upstream's entry away.
+    /// Removes an upstream's entry from the metadata store.
     pub fn deregister(&self, id: &str) {
         self.metadata.remove(&format!("servers/{id}"));
     }
@@ -245,12 +248,12 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        // The system's temporary folder is tidied anyway.
+        // Files that are left over lie in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Sends a signal by its number; whether it could be sent.
+/// Sends a signal, given as an option of `kill`; returns whether it was sent.
 fn send_signal(name: &str, pid: u32) -> bool {
     let status = Command::new("kill").args([name, &pid.to_string()]).status();
     status.expect("kill").success()
@@ -268,14 +271,14 @@
         .expect("gateway")
 }
 
-/// Entry of an upstream of a plain service.
+/// Metadata entry of an upstream of a plain service.
 #[must_use]
 pub fn service_entry(service: &str, address: &str, state: &str) -> Value {
     json!({ "service": service, "addr": address, "zone": "north", "version": "v1",
         "slots": 8, "state": state, "cold_left_ms": 0, "seq": 1 })
 }
 
-/// Entry of a model engine.
+/// Metadata entry of a ready model engine.
 #[must_use]
 pub fn engine_entry(service: &str, address: &str, model: &str, version: u64) -> Value {
     let mut entry = service_entry(service, address, "ready");
@@ -283,8 +286,8 @@
     entry
 }
 
-/// A configuration with one route of each kind, to service `plain`, and one
-/// key, `key-1`, of account `petra`.
+/// Configuration with a route of each kind to the service `plain`, and the
+/// account `petra` with the API key `key-1`.
 #[must_use]
 pub fn config_document(version: u64) -> Value {
     let route = |name: &str, kind: &str, attempts: u32, resumable: bool| {
@@ -310,8 +313,8 @@
     })
 }
 
-/// The services of a configuration with a pool of engines, `llm`, and a store of their
-/// context at an address, if there is one.
+/// Services for a configuration: the engine pool `llm` and, if an address is given, the
+/// context store `vault` at that address.
 #[must_use]
 pub fn engine_services(store: Option<&str>) -> Value {
     let mut services = vec![json!({ "name": "llm", "max_conns": 100, "engine": { "slots": 8,
@@ -324,14 +327,14 @@
     services.into()
 }
 
-/// Waits until `holds`.
+/// Waits until `holds` returns true; `what` names the condition in the panic message.
 ///
 /// # Panics
-/// Panics when that takes too long.
+/// Panics when it does not within 20 s.
 pub async fn eventually(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let until = Instant::now() + WAIT_TIMEOUT;
     while !holds().await {
-        assert!(Instant::now() < until, "waited in vain: {what}");
+        assert!(Instant::now() < until, "timed out waiting for: {what}");
         tokio::time::sleep(POLL_PERIOD).await;
     }
 }
--- a/standins/src/site/server.rs
+++ b/standins/src/site/server.rs
@@ -1,5 +1,4 @@
-//! An upstream of the platform that does as the test says, also what no sound
-//! upstream would do.
+//! An upstream with scripted behavior, which includes violations of the protocol.
 
 use std::collections::VecDeque;
 use std::ops::RangeInclusive;
@@ -14,63 +13,64 @@
 
 use super::http::{Message, MessageReader};
 
-/// Header that says how long an upstream works on a request, in milliseconds.
+/// Request header with the time that the upstream spends on the request, in milliseconds.
 pub const WORK_HEADER: &str = "x-work-ms";
 
 /// What an upstream does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// Answers as it should.
+    /// Answers correctly.
     Answer,
-    /// Answers with a status of its own.
+    /// Answers with this status.
     Status(u16),
-    /// Says that it did not run the request.
+    /// Answers 503 and says that it did not run the request.
     NotRun,
-    /// Says so, and wants no other request for so long.
+    /// As `NotRun`, with a `Retry-After` header.
     RetryAfter(Duration),
-    /// Answers, and says that it leaves.
+    /// Answers, and announces that it is about to leave.
     Leaving,
-    /// Says that another incarnation has its address.
+    /// Answers 421 with the id of another incarnation, as if that had taken over the address.
     OtherIncarnation,
     /// Closes the connection without an answer.
     Close,
-    /// Answers another request's id.
+    /// Answers with the id of another request.
     WrongRequestId,
-    /// Answers without its proof.
+    /// Answers without the `X-Server-Seal` header.
     MissingSeal,
-    /// Breaks off within the body.
+    /// Closes the connection halfway through the body.
     TruncatedBody,
-    /// Answers whole, and once more.
+    /// Sends the complete answer twice.
     DuplicateAnswer,
-    /// Answers, without a length, and closes.
+    /// Answers without a `Content-Length` and closes the connection.
     NoLength,
-    /// Answers with a body of so many bytes.
+    /// Answers with a body of this many bytes.
     LargeBody(usize),
-    /// Breaks off halfway through a body of so many bytes.
+    /// Closes the connection halfway through a body of this many bytes.
     TruncatedLargeBody(usize),
-    /// Answers after a while.
+    /// Answers after this time.
     DelayedAnswer(Duration),
-    /// As `Events`, with data that is no text.
+    /// As `Events`, with data that is not valid UTF-8.
     NonUtf8Events(u32),
-    /// Sends so many of five events, then breaks off within the next.
+    /// Sends up to this many events; breaks off within the next if that is not the last of
+    /// the stream.
     Events(u32),
-    /// Answers once the test says so.
+    /// Answers after the test calls `release`.
     Held,
-    /// Sends so many of five events, the others once the test says so; of a stream
-    /// that it is to go on with nothing before.
+    /// Sends this many events, and the others after the test calls `release`; sends nothing
+    /// before that if the request resumes a stream.
     HeldEvents(u32),
 }
 
-/// What an upstream did with a request.
+/// A request that arrived, and how it was handled.
 #[derive(Clone, Debug)]
 pub struct HandledRequest {
     /// Id of the request.
     pub request_id: String,
     /// When it arrived.
     pub at: Instant,
-    /// When the answer began, if there was one.
+    /// When the answer started, if there was one.
     pub answered_at: Instant,
-    /// What was done.
+    /// How it was handled.
     pub behavior: Behavior,
 }
 
@@ -90,18 +90,18 @@
     handled: Vec<HandledRequest>,
     script: VecDeque<Behavior>,
     released: bool,
-    /// Body that crashes it.
+    /// Request body that makes the upstream crash.
     crash_body: Option<Vec<u8>>,
     crashed: watch::Sender<bool>,
 }
 
 type Shared = Arc<Mutex<State>>;
 
-/// An upstream.
+/// An upstream with scripted behavior.
 pub struct Server {
-    /// Address.
+    /// Address that it listens on.
     pub address: String,
-    /// Id of its incarnation.
+    /// Id of this incarnation of the upstream.
     pub id: String,
     state: Shared,
     accepting: JoinHandle<()>,
@@ -111,7 +111,7 @@
     /// Starts an upstream.
     ///
     /// # Panics
-    /// Panics when no address can be had.
+    /// Panics when no port can be bound.
     pub async fn start(id: &str) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("address");
         let address = listener.local_addr().expect("address").to_string();
@@ -141,18 +141,18 @@
         self.state.lock().expect("no task panics under the lock")
     }
 
-    /// Says what it does with the next requests; all others it answers, those on
-    /// routes of streams with events.
+    /// Appends the behaviors for the next requests, one each. Requests beyond the script are
+    /// answered correctly, on streaming routes with events.
     pub fn script(&self, behaviors: &[Behavior]) {
         self.state().script.extend(behaviors.iter().cloned());
     }
 
-    /// Goes on as usual, whatever was said before.
+    /// Clears the script; later requests are answered correctly.
     pub fn clear_script(&self) {
         self.state().script.clear();
     }
 
-    /// Crashes, with all that runs there, when it begins to run a request with this body.
+    /// Crashes, together with all requests in progress, when a request with this body starts.
     pub fn crash_on(&self, body: &str) {
         self.state().crash_body = Some(body.as_bytes().to_vec());
     }
@@ -163,30 +163,30 @@
         *self.state().crashed.borrow()
     }
 
-    /// Goes on with what it holds.
+    /// Sends all held answers; later requests are not held either.
     pub fn release(&self) {
         self.state().released = true;
     }
 
-    /// What has arrived.
+    /// Requests that have arrived, in order.
     #[must_use]
     pub fn received(&self) -> Vec<Message> {
         self.state().received.clone()
     }
 
-    /// What it ran, in order.
+    /// Requests that it ran, in order.
     #[must_use]
     pub fn executed(&self) -> Vec<ExecutedRequest> {
         self.state().executed.clone()
     }
 
-    /// What it did with each request, in order.
+    /// Requests that arrived and how each was handled, in order.
     #[must_use]
     pub fn handled(&self) -> Vec<HandledRequest> {
         self.state().handled.clone()
     }
 
-    /// How often a request has arrived.
+    /// How often a request with this id has arrived.
     #[must_use]
     pub fn count(&self, request_id: &str) -> usize {
         let received = self.received();
@@ -215,7 +215,7 @@
     }
 }
 
-/// Notes a request; what is done with it.
+/// Records a request and takes the behavior for it from the script.
 fn record(state: &mut State, request: &Message) -> Behavior {
     let usual = if is_stream(request) { Behavior::Events(EVENTS) } else { Behavior::Answer };
     let behavior = state.script.pop_front().unwrap_or(usual);
@@ -241,24 +241,24 @@
     state.crash_body.as_ref().is_some_and(|crash_body| *crash_body == request.body)
 }
 
-/// Time for which an upstream works on a request.
+/// Time that the upstream spends on a request, from its header.
 fn work_time(request: &Message) -> Duration {
     let work_ms = request.header(WORK_HEADER).and_then(|text| text.parse().ok());
     Duration::from_millis(work_ms.unwrap_or_default())
 }
 
-/// Whether a request is on a route of streams.
+/// Whether a request is on a streaming route.
 fn is_stream(request: &Message) -> bool {
     let path = request.path_or_status();
     path.starts_with("/stream/") || path.starts_with("/resume/")
 }
 
-/// The event after which a stream is to go on.
+/// Number of the last event that the client has, from `Last-Event-Id`; 0 for a new stream.
 fn last_event(request: &Message) -> u32 {
     request.header("last-event-id").and_then(|id| id.parse().ok()).unwrap_or_default()
 }
 
-/// The events after one that end the stream of a request.
+/// Text of the events after number `after`, up to the end of the stream of request `id`.
 #[must_use]
 pub fn events_text(id: &str, after: u32) -> String {
     let events = (after + 1..=EVENTS)
@@ -266,21 +266,21 @@
     events.collect::<Vec<_>>().concat()
 }
 
-/// Waits until the test lets go what is held.
+/// Waits until the test releases the held answers.
 async fn wait_for_release(shared: &Shared) {
     while !shared.lock().expect("no task panics under the lock").released {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Waits until it crashes.
+/// Waits until the upstream crashes.
 async fn wait_for_crash(shared: &Shared) {
     let mut crashed = shared.lock().expect("no task panics under the lock").crashed.subscribe();
     // The sender lives as long as `shared`.
     let _ = crashed.wait_for(|crashed| *crashed).await;
 }
 
-/// Writes an answer; `None` when the connection ends with it.
+/// Writes the answer; `None` if the connection is to be closed.
 async fn answer(
     write: &mut OwnedWriteHalf,
     request: &Message,
@@ -363,7 +363,7 @@
     write.write_all(text.as_bytes()).await.ok()
 }
 
-/// Number of events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u32 = 5;
 
 async fn write_head(write: &mut OwnedWriteHalf, request: &Message) -> Option<()> {
@@ -407,7 +407,7 @@
     if after + count >= EVENTS {
         return write.write_all(b"0\r\n\r\n").await.ok();
     }
-    // Breaks off within the next event.
+    // Breaks off within the next event: its data is incomplete.
     let event = format!("id: {}\nda", after + count + 1);
     write.write_all(format!("{:x}\r\n{event}\r\n", event.len()).as_bytes()).await.ok()?;
     tokio::time::sleep(Duration::from_millis(20)).await;
