--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -197,7 +197,7 @@
     let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 2, 2, 1));
     let mut plan = Plan::new(halls.to_vec());
     plan.stores = 2;
-    plan.wires = true;
+    plan.hall_relays = true;
     plan.cache_tokens = 24_576;
     "drain_timeout_ms = 15000".clone_into(&mut plan.limits);
     let fleet = Arc::new(Fleet::start(&plan).await);
--- a/standins/src/fleet/mod.rs
+++ b/standins/src/fleet/mod.rs
@@ -56,7 +56,7 @@
     /// Workers of the plain service.
     pub workers: Vec<Process>,
     /// TCP relays between halls, one for each direction, named `from-to`.
-    pub wires: Vec<Process>,
+    pub hall_relays: Vec<Process>,
     /// TCP relays through which boxes connect to everything, if the plan has them.
     pub relays: Relays,
     /// Client for calls to the processes.
@@ -100,7 +100,7 @@
             engines: Vec::new(),
             stores: Vec::new(),
             workers: Vec::new(),
-            wires: Vec::new(),
+            hall_relays: Vec::new(),
             relays: Relays::default(),
             http: reqwest::Client::new(),
             dir,
@@ -149,7 +149,7 @@
                 hosts.push((name, hall.name.clone(), starter.address()));
             }
         }
-        let mut routes = self.start_wires(starter, &plan, &hosts);
+        let mut routes = self.start_hall_relays(starter, &plan, &hosts);
         if plan.relays {
             let all = self.start_relays(starter, &hosts);
             routes = plan.halls.iter().map(|hall| (hall.name.clone(), all.clone())).collect();
@@ -166,45 +166,50 @@
     }
 
     /// Starts the relays between halls; returns the setting `routes` for the boxes of each hall.
-    fn start_wires(
+    fn start_hall_relays(
         &mut self,
         starter: &mut Starter<'_>,
         plan: &Plan,
         hosts: &[(String, String, String)],
     ) -> BTreeMap<String, String> {
         let mut routes = BTreeMap::new();
-        let halls = plan.halls.iter().filter(|_| plan.wires);
+        let halls = plan.halls.iter().filter(|_| plan.hall_relays);
         for from in halls.clone() {
-            let mut own = Vec::new();
+            let mut routes_of_hall = Vec::new();
             for to in halls.clone().filter(|to| to.name != from.name) {
-                let far = hosts.iter().filter(|(_, hall, _)| *hall == to.name);
-                let relay_address =
+                let target_hosts = hosts.iter().filter(|(_, hall, _)| *hall == to.name);
+                let with_relay_address =
                     |host: &String| (format!("{}:7000", starter.address()), host.clone());
                 let relay_addresses: Vec<_> =
-                    far.map(|(_, _, host)| host).map(relay_address).collect();
+                    target_hosts.map(|(_, _, host)| host).map(with_relay_address).collect();
                 let pairs = relay_addresses
                     .iter()
                     .map(|(relay_address, host)| format!("{relay_address}>{host}:7000"));
                 let pairs = pairs.collect::<Vec<_>>().join(",");
-                own.extend(
+                routes_of_hall.extend(
                     relay_addresses
                         .iter()
                         .map(|(relay_address, host)| format!("{host}:7000>{relay_address}")),
                 );
                 let name = format!("{}-{}", from.name, to.name);
-                self.wires.push(starter.standin("wire", &name, "", &[("pairs".to_owned(), pairs)]));
+                self.hall_relays.push(starter.standin(
+                    "wire",
+                    &name,
+                    "",
+                    &[("pairs".to_owned(), pairs)],
+                ));
             }
-            routes.insert(from.name.clone(), own.join(", "));
+            routes.insert(from.name.clone(), routes_of_hall.join(", "));
         }
         routes
     }
 
     /// Cuts the connections between a hall and the others, or restores them.
     pub async fn cut_hall(&self, hall: &str, cut: bool) {
-        for wire in &self.wires {
-            let (from, to) = wire.name.split_once('-').unwrap_or_default();
+        for relay in &self.hall_relays {
+            let (from, to) = relay.name.split_once('-').unwrap_or_default();
             if from == hall || to == hall {
-                self.try_set_fault(wire, json!({ "outage": cut })).await;
+                self.try_set_fault(relay, json!({ "outage": cut })).await;
             }
         }
         // The relays check for the fault periodically, and break open connections then.
@@ -252,7 +257,7 @@
     }
 
     async fn wait_started(&self) {
-        let upstreams = self.engines.iter().chain(&self.stores).chain(&self.wires);
+        let upstreams = self.engines.iter().chain(&self.stores).chain(&self.hall_relays);
         let upstreams = upstreams.chain(self.relays.processes());
         for process in upstreams.chain(&self.workers) {
             self.wait_for(&format!("{}/fault", process.url())).await;
--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -47,7 +47,7 @@
     /// Whether boxes are told that engines check the fencing token of orders.
     pub checks_orders: bool,
     /// Whether connections between halls pass through relays that can be cut.
-    pub wires: bool,
+    pub hall_relays: bool,
     /// Whether connections of boxes to the platform, each other and upstreams pass through
     /// relays that can be silenced.
     pub relays: bool,
@@ -69,7 +69,7 @@
             policy: String::new(),
             limits: String::new(),
             checks_orders: true,
-            wires: false,
+            hall_relays: false,
             relays: false,
         }
     }
--- a/tests/halls_cut.rs
+++ b/tests/halls_cut.rs
@@ -16,7 +16,7 @@
 async fn three_halls() -> Fleet {
     let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 2, 2, 1));
     let mut plan = Plan::new(halls.to_vec());
-    plan.wires = true;
+    plan.hall_relays = true;
     start_fleet(&plan).await
 }
 
