--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -14,23 +14,23 @@
 use crate::world::{Newest, RUN_PATH, World, version_path};
 
 /// Pause before another connection is tried.
-const CONNECT_PAUSE: Duration = Duration::from_millis(60);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Pause before another connection is used after one that ended.
-const LOST_PAUSE: Duration = Duration::from_millis(10);
+const RECONNECT_DELAY: Duration = Duration::from_millis(10);
 /// Pause between two prompts of a client.
-const PROMPT_PAUSE: Duration = Duration::from_millis(30);
+const PROMPT_INTERVAL: Duration = Duration::from_millis(30);
 /// Pause between two looks at the engines.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Pause between two questions for the newest configuration.
-const ASK_PAUSE: Duration = Duration::from_millis(100);
+const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time in which one must be answered.
-const ASK_PATIENCE: Duration = Duration::from_millis(500);
+const CONFIGURATION_POLL_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time in which a connection must come up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time after which a client gives up; its requests say 3 s.
-const PATIENCE: Duration = Duration::from_secs(6);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
 /// Longest pause between two requests.
-const MOST_PAUSE_MS: u64 = 25;
+const MAX_REQUEST_DELAY_MS: u64 = 25;
 /// One request in so many asks which configuration is in force.
 const PROBE_ONE_IN: u32 = 8;
 /// One request in so many keeps its upstream for longer.
@@ -42,7 +42,7 @@
 
 /// What a request may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// It may be repeated.
     Safe,
     /// It may run once.
@@ -53,7 +53,7 @@
     Resumable,
 }
 
-impl Kind {
+impl RequestKind {
     const ALL: [Self; 4] = [Self::Safe, Self::Once, Self::Stream, Self::Resumable];
 
     /// Whether its answer is a stream of events.
@@ -79,23 +79,23 @@
 }
 
 /// A request and what became of it.
-pub struct Call {
+pub struct RequestRecord {
     /// Id, which is its body too.
     pub id: String,
     /// What it is.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Box that got it.
     pub box_number: usize,
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// When the client knew how it ended.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// The answer; `None` when the connection ended or stayed silent.
     pub answer: Option<Message>,
 }
 
 /// What was seen of an engine's weights.
-pub struct OnWeights {
+pub struct WeightsObservation {
     /// The engine.
     pub engine: usize,
     /// Their version.
@@ -107,36 +107,36 @@
 }
 
 /// A box that did not go by the newest configuration.
-pub struct Behind {
+pub struct StaleConfiguration {
     /// The box.
     pub box_number: usize,
     /// The version.
     pub version: u64,
     /// When the store had taken it.
-    pub taken: Instant,
+    pub stored_at: Instant,
     /// When the box was asked.
-    pub asked: Instant,
+    pub asked_at: Instant,
 }
 
 /// What all clients saw.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     /// Boxes that went by an older configuration than the newest.
-    pub behind: Vec<Behind>,
+    pub stale_configurations: Vec<StaleConfiguration>,
     /// Engines with older weights than the newest.
-    pub outdated: Vec<OnWeights>,
+    pub outdated_weights: Vec<WeightsObservation>,
     /// How often a box was found to go by the newest.
-    pub in_force: usize,
+    pub newest_in_force: usize,
     /// Requests.
-    pub calls: Vec<Call>,
+    pub requests: Vec<RequestRecord>,
     /// Configurations that went back on one connection.
     pub reverted: Vec<String>,
 }
 
 /// Calls one box until `stop`.
-pub async fn run(
+pub async fn send_requests(
     world: Arc<World>,
-    record: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
     stop: Arc<AtomicBool>,
     box_number: usize,
     client: usize,
@@ -146,28 +146,28 @@
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
         let Some(mut connection) = connect(&world.boxes[box_number].callers.address).await else {
-            sleep(CONNECT_PAUSE).await;
+            sleep(CONNECT_RETRY_DELAY).await;
             continue;
         };
         let mut in_force = 0;
         while !stop.load(Ordering::Relaxed) {
             count += 1;
             let id = format!("{box_number}-{client}-{count}");
-            let goes_on = if rng.u32(..PROBE_ONE_IN) == 0 {
+            let is_reusable = if rng.u32(..PROBE_ONE_IN) == 0 {
                 let newest = world.newest().version;
                 let version = newest - rng.u64(0..newest.min(PROBED_VERSIONS));
-                probe(&mut connection, &id, version, &mut in_force, &record).await
+                probe_version(&mut connection, &id, version, &mut in_force, &observations).await
             } else {
-                let kind = Kind::ALL[rng.usize(..Kind::ALL.len())];
+                let kind = RequestKind::ALL[rng.usize(..RequestKind::ALL.len())];
                 let work_ms = if rng.u32(..SLOW_ONE_IN) == 0 { rng.u64(SLOW_MS) } else { 0 };
-                call(&mut connection, id, kind, work_ms, box_number, &record).await
+                send_request(&mut connection, id, kind, work_ms, box_number, &observations).await
             };
-            if !goes_on {
+            if !is_reusable {
                 // The proxy takes connections also while the box is down.
-                sleep(LOST_PAUSE).await;
+                sleep(RECONNECT_DELAY).await;
                 break;
             }
-            sleep(Duration::from_millis(rng.u64(..MOST_PAUSE_MS))).await;
+            sleep(Duration::from_millis(rng.u64(..MAX_REQUEST_DELAY_MS))).await;
         }
     }
 }
@@ -177,100 +177,115 @@
 }
 
 /// Sends prompts for engines to one box until `stop`; engines tell what became of them.
-pub async fn prompt(world: Arc<World>, stop: Arc<AtomicBool>, box_number: usize) {
+pub async fn send_prompts(world: Arc<World>, stop: Arc<AtomicBool>, box_number: usize) {
     let headers = format!("X-Model: {MODEL}\r\nX-Token-Count: 20,10\r\nX-Prefix-Hash: aa:20\r\n");
     for count in 0.. {
         if stop.load(Ordering::Relaxed) {
             return;
         }
-        sleep(PROMPT_PAUSE).await;
+        sleep(PROMPT_INTERVAL).await;
         let id = format!("{box_number}-prompt-{count}");
         let bytes = request("POST", RUN_PATH, &id, &headers, &id);
         if let Some(mut connection) = connect(&world.boxes[box_number].callers.address).await {
-            drop(timeout(PATIENCE, connection.send(&bytes)).await);
+            drop(timeout(CLIENT_TIMEOUT, connection.send(&bytes)).await);
         }
     }
 }
 
 /// Looks which engines have older weights than the newest until `stop`.
-pub async fn look(world: Arc<World>, record: Arc<Mutex<Seen>>, stop: Arc<AtomicBool>) {
+pub async fn watch_engine_weights(
+    world: Arc<World>,
+    observations: Arc<Mutex<Observations>>,
+    stop: Arc<AtomicBool>,
+) {
     while !stop.load(Ordering::Relaxed) {
-        sleep(LOOK_PAUSE).await;
-        let (behind, at_ms) = (world.engines_behind(), now_ms());
-        let at = |(engine, version)| OnWeights { engine, version, at_ms, id: String::new() };
-        let outdated = behind.into_iter().map(at);
-        record.lock().expect("no task panics under the lock").outdated.extend(outdated);
+        sleep(ENGINE_POLL_INTERVAL).await;
+        let (engines, at_ms) = (world.outdated_engines(), now_ms());
+        let observation =
+            |(engine, version)| WeightsObservation { engine, version, at_ms, id: String::new() };
+        let outdated = engines.into_iter().map(observation);
+        observations
+            .lock()
+            .expect("no task panics under the lock")
+            .outdated_weights
+            .extend(outdated);
     }
 }
 
 /// Sends a request; false when the connection is of no more use.
-async fn call(
+async fn send_request(
     connection: &mut Client,
     id: String,
-    kind: Kind,
+    kind: RequestKind,
     work_ms: u64,
     box_number: usize,
-    record: &Mutex<Seen>,
+    observations: &Mutex<Observations>,
 ) -> bool {
     let work = format!("{WORK_HEADER}: {work_ms}\r\n");
     let bytes = request("POST", kind.path(), &id, &work, &id);
-    let sent = Instant::now();
-    let answer = timeout(PATIENCE, connection.send(&bytes)).await.ok().flatten();
-    let goes_on = answer.as_ref().is_some_and(is_kept);
-    let call = Call { id, kind, box_number, sent, ended: Instant::now(), answer };
-    record.lock().expect("no task panics under the lock").calls.push(call);
-    goes_on
+    let sent_at = Instant::now();
+    let answer = timeout(CLIENT_TIMEOUT, connection.send(&bytes)).await.ok().flatten();
+    let is_reusable = answer.as_ref().is_some_and(keeps_connection);
+    let request = RequestRecord { id, kind, box_number, sent_at, ended_at: Instant::now(), answer };
+    observations.lock().expect("no task panics under the lock").requests.push(request);
+    is_reusable
 }
 
-fn is_kept(answer: &Message) -> bool {
+fn keeps_connection(answer: &Message) -> bool {
     answer.complete && answer.header("connection") != Some("close")
 }
 
 /// Asks for the route of one version. A connection belongs to one life of a box,
 /// in which an older version is never in force again.
-async fn probe(
+async fn probe_version(
     connection: &mut Client,
     id: &str,
     version: u64,
     in_force: &mut u64,
-    record: &Mutex<Seen>,
+    observations: &Mutex<Observations>,
 ) -> bool {
     let bytes = request("GET", &version_path(version), id, "", "");
-    let Ok(Some(answer)) = timeout(PATIENCE, connection.send(&bytes)).await else {
+    let Ok(Some(answer)) = timeout(CLIENT_TIMEOUT, connection.send(&bytes)).await else {
         return false;
     };
     if answer.status() == 200 {
         if version < *in_force {
             let text = format!("{id}: version {version} is in force after {in_force}");
-            record.lock().expect("no task panics under the lock").reverted.push(text);
+            observations.lock().expect("no task panics under the lock").reverted.push(text);
         }
         *in_force = version.max(*in_force);
     }
-    is_kept(&answer)
+    keeps_connection(&answer)
 }
 
 /// Asks one box for the newest configuration until `stop`, by no proxy.
-pub async fn ask(
+pub async fn poll_configuration(
     world: Arc<World>,
-    record: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
     stop: Arc<AtomicBool>,
     box_number: usize,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        sleep(ASK_PAUSE).await;
+        sleep(CONFIGURATION_POLL_INTERVAL).await;
         let address = &world.boxes[box_number].process.clients;
         let Some(mut connection) = connect(address).await else { continue };
-        let (Newest { version, taken }, asked) = (world.newest(), Instant::now());
+        let (Newest { version, stored_at }, asked_at) = (world.newest(), Instant::now());
         let bytes = request("GET", &version_path(version), "newest", "", "");
-        let Ok(Some(answer)) = timeout(ASK_PATIENCE, connection.send(&bytes)).await else {
+        let Ok(Some(answer)) = timeout(CONFIGURATION_POLL_TIMEOUT, connection.send(&bytes)).await
+        else {
             continue;
         };
-        let mut record = record.lock().expect("no task panics under the lock");
+        let mut observations = observations.lock().expect("no task panics under the lock");
         match answer.status() {
-            200 => record.in_force += 1,
+            200 => observations.newest_in_force += 1,
             // It has no such route: it goes by another version.
             404 if world.newest().version == version => {
-                record.behind.push(Behind { box_number, version, taken, asked });
+                observations.stale_configurations.push(StaleConfiguration {
+                    box_number,
+                    version,
+                    stored_at,
+                    asked_at,
+                });
             }
             _ => {}
         }
--- a/soak/src/frail.rs
+++ b/soak/src/frail.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use tokio::time::{sleep, timeout};
 
-use crate::checks::{Evidence, STEADY_MS};
+use crate::checks::{RECOVERY_MS, RunData};
 use crate::world::World;
 
 /// Service of these upstreams, and path of the route to them.
@@ -119,15 +119,15 @@
     }
 }
 
-impl Evidence<'_> {
+impl RunData<'_> {
     /// A request under which three upstreams have crashed comes to few others.
-    pub(crate) fn sent_again(&self) -> Option<String> {
+    pub(crate) fn crash_request_resent(&self) -> Option<String> {
         let tries = self.world.frail.as_ref()?.tries();
         let mut crashes: Vec<Instant> =
             tries.iter().filter_map(|tries| tries.first()).map(|first| first.at).collect();
         crashes.sort_unstable();
         let third_ms = self.at_ms(*crashes.get(CRASHES - 1)?);
-        let late = tries.iter().flatten().filter(|one| self.is_bound(one, third_ms + STEADY_MS));
+        let late = tries.iter().flatten().filter(|one| self.is_bound(one, third_ms + RECOVERY_MS));
         let late: Vec<String> =
             late.map(|one| format!("{} at {} ms", one.request_id, self.at_ms(one.at))).collect();
         (late.len() > RETRIES).then(|| {
@@ -139,9 +139,9 @@
     fn is_bound(&self, one: &ExecutedRequest, from_ms: u64) -> bool {
         let at_ms = self.at_ms(one.at);
         let sender = one.request_id.split('-').next().and_then(|sender| sender.parse().ok());
-        let is_away = self.is_away(sender, self.began_ms + at_ms, STEADY_MS, |_| true);
+        let is_away = self.is_away(sender, self.started_at_ms + at_ms, RECOVERY_MS, |_| true);
         let is_cut_off = self.steps.iter().any(|step| {
-            step.keeps_news() && step.at_ms <= at_ms && step.until_ms + STEADY_MS >= at_ms
+            step.keeps_news() && step.at_ms <= at_ms && step.until_ms + RECOVERY_MS >= at_ms
         });
         at_ms > from_ms && !is_away && !is_cut_off
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -24,8 +24,8 @@
 use coursestile_standins::site::client::{Client, request};
 use tokio::time::{sleep, sleep_until, timeout};
 
-use crate::callers::Seen;
-use crate::checks::Evidence;
+use crate::callers::Observations;
+use crate::checks::RunData;
 use crate::plan::Step;
 use crate::world::{World, version_path};
 
@@ -110,23 +110,34 @@
     let with_frail = options.streams == Streams::Words;
     let world = Arc::new(World::start(options.boxes, moving, with_frail).await?);
     let mut violations = agree(&world).await;
-    let (began, began_ms) = (Instant::now(), now_ms());
+    let (started_at, started_at_ms) = (Instant::now(), now_ms());
     let steps = options.streams.steps(options.seed, options.seconds * 1000);
-    let record = Arc::new(Mutex::new(Seen::default()));
+    let observations = Arc::new(Mutex::new(Observations::default()));
     let stop = Arc::new(AtomicBool::new(false));
     let mut clients = Vec::new();
     for number in 0..options.boxes * CLIENTS {
         let (box_number, client) = (number % options.boxes, number / options.boxes);
         let seed = options.seed.wrapping_mul(1000) + number as u64;
-        let calling =
-            callers::run(world.clone(), record.clone(), stop.clone(), box_number, client, seed);
-        clients.push(tokio::spawn(calling));
+        let sending = callers::send_requests(
+            world.clone(),
+            observations.clone(),
+            stop.clone(),
+            box_number,
+            client,
+            seed,
+        );
+        clients.push(tokio::spawn(sending));
     }
     for box_number in 0..options.boxes {
-        let asking = callers::ask(world.clone(), record.clone(), stop.clone(), box_number);
-        clients.push(tokio::spawn(asking));
+        let polling = callers::poll_configuration(
+            world.clone(),
+            observations.clone(),
+            stop.clone(),
+            box_number,
+        );
+        clients.push(tokio::spawn(polling));
         if moving {
-            let prompting = callers::prompt(world.clone(), stop.clone(), box_number);
+            let prompting = callers::send_prompts(world.clone(), stop.clone(), box_number);
             clients.push(tokio::spawn(prompting));
         }
     }
@@ -135,9 +146,13 @@
         clients.push(tokio::spawn(frail::send(world.clone(), stop.clone(), options.seed)));
     }
     if moving {
-        clients.push(tokio::spawn(callers::look(world.clone(), record.clone(), stop.clone())));
+        clients.push(tokio::spawn(callers::watch_engine_weights(
+            world.clone(),
+            observations.clone(),
+            stop.clone(),
+        )));
     }
-    play(&world, &steps, began).await;
+    play(&world, &steps, started_at).await;
     world.heal();
     violations.extend(agree(&world).await);
     violations.extend(loaded(&world).await);
@@ -146,21 +161,27 @@
         client.await?;
     }
     sleep(SETTLE).await;
-    let record = record.lock().expect("no task panics under the lock");
-    let evidence = Evidence { world: &world, seen: &record, steps: &steps, began, began_ms };
-    violations.extend(evidence.violations());
+    let observations = observations.lock().expect("no task panics under the lock");
+    let run_data = RunData {
+        world: &world,
+        observations: &observations,
+        steps: &steps,
+        started_at,
+        started_at_ms,
+    };
+    violations.extend(run_data.violations());
     let logs = if violations.is_empty() { None } else { Some(keep_logs(&world, options.seed)?) };
     let steps = steps.iter().map(describe).collect();
-    Ok(Report { violations, ends: ends(&evidence), steps, logs })
+    Ok(Report { violations, ends: ends(&run_data), steps, logs })
 }
 
 /// Has every step happen at its time.
-async fn play(world: &Arc<World>, steps: &[Step], began: Instant) {
+async fn play(world: &Arc<World>, steps: &[Step], started_at: Instant) {
     let mut happening = Vec::new();
     for step in steps.iter().copied() {
         let world = world.clone();
         happening.push(tokio::spawn(async move {
-            sleep_until((began + Duration::from_millis(step.at_ms)).into()).await;
+            sleep_until((started_at + Duration::from_millis(step.at_ms)).into()).await;
             let time = Duration::from_millis(step.until_ms - step.at_ms);
             world.happen(step.event, step.pick, time).await;
         }));
@@ -192,7 +213,7 @@
 async fn loaded(world: &World) -> Vec<String> {
     let until = Instant::now() + AGREE_TIMEOUT;
     loop {
-        let behind = world.engines_behind();
+        let behind = world.outdated_engines();
         if behind.is_empty() || Instant::now() > until {
             let text = |(one, version)| format!("engine {one} has weights {version} in the end");
             return behind.into_iter().map(text).collect();
@@ -210,22 +231,22 @@
     answer.is_some_and(|answer| answer.status() == 200)
 }
 
-fn ends(evidence: &Evidence<'_>) -> BTreeMap<String, usize> {
-    let record = evidence.seen;
+fn ends(run_data: &RunData<'_>) -> BTreeMap<String, usize> {
+    let observations = run_data.observations;
     let mut ends = BTreeMap::new();
-    for call in &record.calls {
-        let end = match &call.answer {
+    for request in &observations.requests {
+        let end = match &request.answer {
             Some(answer) if answer.complete => answer.status().to_string(),
             Some(answer) => format!("{} cut", answer.status()),
             None => "none".to_owned(),
         };
         *ends.entry(end).or_default() += 1;
     }
-    ends.insert("newest in force".to_owned(), record.in_force);
-    if evidence.world.moving {
-        let orders = evidence.world.engines.iter().map(|engine| engine.process.orders().len());
+    ends.insert("newest in force".to_owned(), observations.newest_in_force);
+    if run_data.world.moving {
+        let orders = run_data.world.engines.iter().map(|engine| engine.process.orders().len());
         ends.insert("orders".to_owned(), orders.sum());
-        ends.insert("runs of steady boxes".to_owned(), evidence.steady_runs().len());
+        ends.insert("runs of steady boxes".to_owned(), run_data.recovered_box_runs().len());
     }
     ends
 }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -4,7 +4,7 @@
 
 use coursestile_standins::site::server::{Behavior, HandledRequest, Server};
 
-use crate::checks::Evidence;
+use crate::checks::RunData;
 
 /// Time after which a box heeds that an upstream leaves, and what a request may take on its way.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
@@ -13,14 +13,14 @@
 const REST_BEGINS: Duration = Duration::from_millis(500);
 const MOST_IN_REST: usize = 2;
 
-impl Evidence<'_> {
+impl RunData<'_> {
     /// Requests that came to upstreams which had told their box that they leave, or rest.
-    pub(crate) fn unheeded(&self) -> Vec<String> {
+    pub(crate) fn ignored_announcements(&self) -> Vec<String> {
         let upstreams = self.world.upstreams.iter().map(|one| &one.process);
-        upstreams.flat_map(|upstream| self.unheeded_of(upstream)).collect()
+        upstreams.flat_map(|upstream| self.ignored_announcements_of(upstream)).collect()
     }
 
-    fn unheeded_of(&self, upstream: &Server) -> Vec<String> {
+    fn ignored_announcements_of(&self, upstream: &Server) -> Vec<String> {
         let done = upstream.handled();
         let mut found = Vec::new();
         for told in &done {
@@ -68,7 +68,7 @@
 
     /// Whether a box was away between two times, and may have forgotten what it was told.
     fn was_away(&self, box_number: usize, from: Instant, until: Instant) -> bool {
-        let at_ms = |at| self.began_ms + self.at_ms(at);
+        let at_ms = |at| self.started_at_ms + self.at_ms(at);
         let aways = self.world.aways();
         aways.iter().any(|away| {
             away.box_number == box_number
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -40,7 +40,7 @@
 pub const RUN_PATH: &str = "/run/";
 
 /// A process behind a proxy.
-pub struct Behind<T> {
+pub struct Proxied<T> {
     /// The process.
     pub process: T,
     /// The proxy.
@@ -63,7 +63,7 @@
     /// Its version.
     pub version: u64,
     /// When the store had taken it.
-    pub taken: Instant,
+    pub stored_at: Instant,
 }
 
 /// A time for which an upstream was about to leave.
@@ -93,9 +93,9 @@
     /// Boxes.
     pub boxes: Vec<OneBox>,
     /// Plain upstreams.
-    pub upstreams: Vec<Behind<Server>>,
+    pub upstreams: Vec<Proxied<Server>>,
     /// Engines.
-    pub engines: Vec<Behind<Engine>>,
+    pub engines: Vec<Proxied<Engine>>,
     mesh: Mesh,
     newest: Mutex<Newest>,
     /// Whether weights are on the move: engines get requests, and keep their weights when
@@ -176,7 +176,7 @@
             let process = Server::start(&format!("s-{number}")).await;
             let proxy = Proxy::start(&process.address).await?;
             site.register(&process.id, &service_entry("plain", &proxy.address, "ready"));
-            upstreams.push(Behind { process, proxy });
+            upstreams.push(Proxied { process, proxy });
         }
         let mut engines = Vec::new();
         for number in 0..if moving { MOVING_ENGINES } else { ENGINES } {
@@ -184,12 +184,12 @@
             let proxy = Proxy::start(&process.address).await?;
             let entry = engine_entry(ENGINE_SERVICE, &proxy.address, MODEL, 1);
             site.register(&format!("e-{number}"), &entry);
-            engines.push(Behind { process, proxy });
+            engines.push(Proxied { process, proxy });
         }
         site.set_weight_version(MODEL, 1);
         let frail = if with_frail { Some(Frail::start(&site).await) } else { None };
         site.configure(&configuration(1, moving, with_frail));
-        let newest = Mutex::new(Newest { version: 1, taken: Instant::now() });
+        let newest = Mutex::new(Newest { version: 1, stored_at: Instant::now() });
         let mut started: Vec<OneBox> = Vec::new();
         for number in 0..boxes {
             let store = Proxy::start(&site.metadata.address).await?;
@@ -254,8 +254,8 @@
     fn leader(&self) -> usize {
         let fence = |one: &OneBox| -> Option<u64> {
             let log = one.process.log_text();
-            let (_, taken) = log.rsplit_once("event=leadership_taken fence=")?;
-            taken.lines().next()?.parse().ok()
+            let (_, rest) = log.rsplit_once("event=leadership_taken fence=")?;
+            rest.lines().next()?.parse().ok()
         };
         let fences = self.boxes.iter().map(fence).enumerate();
         fences.max_by_key(|(_, fence)| *fence).map_or(0, |(number, _)| number)
@@ -278,12 +278,12 @@
         newest.version += step;
         let document = configuration(newest.version, self.moving, self.frail.is_some());
         self.site.configure(&document);
-        newest.taken = Instant::now();
+        newest.stored_at = Instant::now();
     }
 
     /// Engines that do not have the weights named last, with their weights.
     #[must_use]
-    pub fn engines_behind(&self) -> Vec<(usize, u64)> {
+    pub fn outdated_engines(&self) -> Vec<(usize, u64)> {
         let named = self.named_ms().len() as u64;
         let versions = self.engines.iter().map(|engine| engine.process.version()).enumerate();
         versions.filter(|(_, version)| *version != named).collect()
