--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -11,7 +11,7 @@
 use coursestile_standins::site::server::WORK_HEADER;
 use tokio::time::{sleep, timeout};
 
-use crate::world::{Newest, RUN_PATH, World, version_path};
+use crate::world::{NewestConfiguration, RUN_PATH, World, version_path};
 
 /// Pause before another connection is tried.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(60);
@@ -145,7 +145,8 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut count = 0;
     while !stop.load(Ordering::Relaxed) {
-        let Some(mut connection) = connect(&world.boxes[box_number].callers.address).await else {
+        let Some(mut connection) = connect(&world.boxes[box_number].client_proxy.address).await
+        else {
             sleep(CONNECT_RETRY_DELAY).await;
             continue;
         };
@@ -186,7 +187,7 @@
         sleep(PROMPT_INTERVAL).await;
         let id = format!("{box_number}-prompt-{count}");
         let bytes = request("POST", RUN_PATH, &id, &headers, &id);
-        if let Some(mut connection) = connect(&world.boxes[box_number].callers.address).await {
+        if let Some(mut connection) = connect(&world.boxes[box_number].client_proxy.address).await {
             drop(timeout(CLIENT_TIMEOUT, connection.send(&bytes)).await);
         }
     }
@@ -269,7 +270,8 @@
         sleep(CONFIGURATION_POLL_INTERVAL).await;
         let address = &world.boxes[box_number].process.clients;
         let Some(mut connection) = connect(address).await else { continue };
-        let (Newest { version, stored_at }, asked_at) = (world.newest(), Instant::now());
+        let (NewestConfiguration { version, stored_at }, asked_at) =
+            (world.newest(), Instant::now());
         let bytes = request("GET", &version_path(version), "newest", "", "");
         let Ok(Some(answer)) = timeout(CONFIGURATION_POLL_TIMEOUT, connection.send(&bytes)).await
         else {
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -8,8 +8,8 @@
 use coursestile_standins::site::server::{ExecutedRequest, events_text};
 
 use crate::callers::{Observations, RequestRecord, StaleConfiguration, WeightsObservation};
-use crate::plan::{Step, is_calm, known_by_ms};
-use crate::world::{Away, World};
+use crate::plan::{Step, applied_by_ms, is_undisturbed};
+use crate::world::{BoxOutage, World};
 
 /// Time within which a request that crosses the close of its connection ends.
 const CLOSE_RACE: Duration = Duration::from_millis(200);
@@ -58,17 +58,13 @@
         found.extend(self.order_violations());
         found.extend(self.ignored_announcements());
         found.extend(self.crash_request_resent());
-        if self.world.moving {
+        if self.world.weights_change {
             let (outdated, runs) = (&self.observations.outdated_weights, self.recovered_box_runs());
-            found.extend(self.outdated_weights_in_use(
-                "has them",
-                outdated,
-                Step::holds_up_weights,
-            ));
+            found.extend(self.outdated_weights_in_use("has them", outdated, Step::delays_weights));
             found.extend(self.outdated_weights_in_use(
                 "begins requests",
                 &runs,
-                Step::spoils_links,
+                Step::disrupts_connections,
             ));
         }
         found.extend(self.logged_violations());
@@ -127,18 +123,22 @@
             && times == 0
             && request.ended_at - request.sent_at < CLOSE_RACE;
         let undisturbed =
-            is_calm(self.steps, self.at_ms(request.sent_at), self.at_ms(request.ended_at));
+            is_undisturbed(self.steps, self.at_ms(request.sent_at), self.at_ms(request.ended_at));
         (!whole && !raced_close && undisturbed)
             .then(|| format!("cut without a fault; it ran {times} times"))
     }
 
     fn requests_to_leaving(&self) -> Vec<String> {
         let mut found = Vec::new();
-        for leave in self.world.leaves().iter() {
+        for leave in self.world.upstream_leaves().iter() {
             let upstream =
                 self.world.upstreams.iter().find(|upstream| upstream.process.id == leave.id);
-            let by_ms =
-                known_by_ms(self.steps, self.at_ms(leave.from), LEAVE_BOUND_MS, Step::is_unplanned);
+            let by_ms = applied_by_ms(
+                self.steps,
+                self.at_ms(leave.from),
+                LEAVE_BOUND_MS,
+                Step::is_unplanned,
+            );
             let late = |run: &ExecutedRequest| self.at_ms(run.at) > by_ms && run.at < leave.until;
             let late: Vec<ExecutedRequest> = upstream
                 .map(|upstream| upstream.process.executed())
@@ -166,18 +166,19 @@
         for StaleConfiguration { box_number, version, stored_at, asked_at } in
             &self.observations.stale_configurations
         {
-            let (taken_ms, at_ms) = (self.at_ms(*stored_at), self.at_ms(*asked_at));
+            let (stored_at_ms, at_ms) = (self.at_ms(*stored_at), self.at_ms(*asked_at));
             let by_ms =
-                known_by_ms(self.steps, taken_ms, CONFIGURATION_BOUND_MS, Step::is_unplanned);
+                applied_by_ms(self.steps, stored_at_ms, CONFIGURATION_BOUND_MS, Step::is_unplanned);
             if at_ms > by_ms {
-                due.insert(*version, (taken_ms, by_ms));
+                due.insert(*version, (stored_at_ms, by_ms));
                 late.entry((*box_number, *version)).or_default().push(at_ms);
             }
         }
         let text = |((box_number, version), at_ms): (&(usize, u64), &Vec<u64>)| {
-            let ((taken_ms, by_ms), first, last) = (due[version], at_ms[0], at_ms[at_ms.len() - 1]);
+            let ((stored_at_ms, by_ms), first, last) =
+                (due[version], at_ms[0], at_ms[at_ms.len() - 1]);
             format!(
-                "box {box_number} goes by an older version than {version}, taken at {taken_ms} ms \
+                "box {box_number} goes by an older version than {version}, taken at {stored_at_ms} ms \
                  and due by {by_ms} ms, from {first} to {last} ms"
             )
         };
@@ -201,7 +202,7 @@
                     found.push(format!("fence {}: {holder} and {}", order.fence, order.holder));
                 }
             }
-            if self.world.moving {
+            if self.world.weights_change {
                 let close = self.close_orders_of_two_holders(engine.process.orders());
                 found.extend(close.into_iter().map(|text| format!("engine {number}: {text}")));
             }
@@ -214,7 +215,7 @@
     fn close_orders_of_two_holders(&self, mut orders: Vec<Order>) -> Vec<String> {
         let is_resumed = |order: &Order| {
             let holder = self.world.box_named(&order.holder);
-            self.is_away(holder, order.at_ms, RESUMED_HOLDER_GRACE_MS, |away| away.paused)
+            self.had_outage_at(holder, order.at_ms, RESUMED_HOLDER_GRACE_MS, |outage| outage.paused)
         };
         orders.retain(|order| !is_resumed(order));
         let apart_ms = |pair: &[Order]| pair[1].at_ms.saturating_sub(pair[0].at_ms);
@@ -230,18 +231,20 @@
     }
 
     /// Whether a box was away at a time or up to `slack_ms` before.
-    pub(crate) fn is_away(
+    pub(crate) fn had_outage_at(
         &self,
         box_number: Option<usize>,
         at_ms: u64,
         slack_ms: u64,
-        counts: fn(&Away) -> bool,
+        counts: fn(&BoxOutage) -> bool,
     ) -> bool {
-        let aways = self.world.aways();
-        aways
+        let box_outages = self.world.box_outages();
+        box_outages
             .iter()
-            .filter(|away| counts(away) && Some(away.box_number) == box_number)
-            .any(|away| (*away.times_ms.start()..=away.times_ms.end() + slack_ms).contains(&at_ms))
+            .filter(|outage| counts(outage) && Some(outage.box_number) == box_number)
+            .any(|outage| {
+                (*outage.times_ms.start()..=outage.times_ms.end() + slack_ms).contains(&at_ms)
+            })
     }
 
     /// Requests that began at engines, of boxes that had run for a while.
@@ -252,7 +255,7 @@
             for run in engine.process.runs() {
                 let id = run.headers.get("x-request-id").cloned().unwrap_or_default();
                 let sender = id.split('-').next().and_then(|sender| sender.parse().ok());
-                let is_recovered = !self.is_away(sender, run.at_ms, RECOVERY_MS, |_| true);
+                let is_recovered = !self.had_outage_at(sender, run.at_ms, RECOVERY_MS, |_| true);
                 if let Some(version) = run.version.filter(|_| is_recovered) {
                     found.push(WeightsObservation {
                         engine: number,
@@ -274,12 +277,12 @@
         observations: &[WeightsObservation],
         is_fault: fn(&Step) -> bool,
     ) -> Vec<String> {
-        let named_ms = self.world.named_ms().clone();
+        let weights_named_at_ms = self.world.weights_named_at_ms().clone();
         let from_start_ms = |unix_ms: u64| unix_ms.saturating_sub(self.started_at_ms);
         let due_ms = |version: u64| {
-            let next_ms = *named_ms.get(usize::try_from(version).ok()?)?;
+            let next_ms = *weights_named_at_ms.get(usize::try_from(version).ok()?)?;
             let bound_ms = self.world.site.weights_apply_ms;
-            Some(known_by_ms(self.steps, from_start_ms(next_ms), bound_ms, is_fault))
+            Some(applied_by_ms(self.steps, from_start_ms(next_ms), bound_ms, is_fault))
         };
         let mut late: BTreeMap<(usize, u64), Vec<&WeightsObservation>> = BTreeMap::new();
         for run in observations {
--- a/soak/src/frail.rs
+++ b/soak/src/crashing.rs
@@ -18,26 +18,26 @@
 const SERVICE: &str = "frail";
 const PATH: &str = "/frail/";
 /// How many there are at a time.
-const SERVERS: usize = 4;
+const UPSTREAMS: usize = 4;
 /// The request that they crash under.
-const DEADLY: &str = "deadly";
+const CRASHING_BODY: &str = "deadly";
 /// Crashes after which it is not sent again, but for some retries.
-const CRASHES: usize = 3;
-const RETRIES: usize = 3;
+const CRASH_LIMIT: usize = 3;
+const MAX_LATE_RUNS: usize = 3;
 /// Time until one that crashed is back under another id, and its old entry is gone.
-const BACK_PAUSE: Duration = Duration::from_millis(600);
+const REPLACE_INTERVAL: Duration = Duration::from_millis(600);
 /// Pause between two tries of the client.
-const SEND_PAUSE: Duration = Duration::from_millis(120);
+const SEND_INTERVAL: Duration = Duration::from_millis(120);
 /// Time in which a try must be answered.
-const PATIENCE: Duration = Duration::from_secs(1);
+const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The upstreams, with those that have crashed.
-pub struct Frail {
+pub struct CrashingUpstreams {
     servers: Mutex<Vec<Server>>,
 }
 
 /// Adds the route to them to a configuration.
-pub fn add(document: &mut Value) {
+pub fn add_route(document: &mut Value) {
     let mut route = document["routes"][0].clone();
     route["name"] = json!(SERVICE);
     route["path_prefix"] = json!(PATH);
@@ -51,14 +51,14 @@
     }
 }
 
-impl Frail {
+impl CrashingUpstreams {
     /// Starts them.
     pub async fn start(site: &Site) -> Self {
-        let frail = Self { servers: Mutex::default() };
-        for _ in 0..SERVERS {
-            frail.start_one(site).await;
+        let crashing = Self { servers: Mutex::default() };
+        for _ in 0..UPSTREAMS {
+            crashing.start_one(site).await;
         }
-        frail
+        crashing
     }
 
     fn servers(&self) -> MutexGuard<'_, Vec<Server>> {
@@ -68,7 +68,7 @@
     async fn start_one(&self, site: &Site) {
         let number = self.servers().len();
         let server = Server::start(&format!("frail-{number}")).await;
-        server.crash_on(DEADLY);
+        server.crash_on(CRASHING_BODY);
         site.register(&server.id, &service_entry(SERVICE, &server.address, "ready"));
         self.servers().push(server);
     }
@@ -76,37 +76,41 @@
     /// Ids of those that have crashed.
     fn crashed(&self) -> Vec<String> {
         let crashed = self.servers();
-        crashed.iter().filter(|one| one.has_crashed()).map(|one| one.id.clone()).collect()
+        crashed
+            .iter()
+            .filter(|server| server.has_crashed())
+            .map(|server| server.id.clone())
+            .collect()
     }
 
     /// The tries that came to each of them.
-    fn tries(&self) -> Vec<Vec<ExecutedRequest>> {
+    fn runs(&self) -> Vec<Vec<ExecutedRequest>> {
         self.servers().iter().map(Server::executed).collect()
     }
 }
 
 /// Starts another one for each that has crashed.
-pub async fn tend(world: Arc<World>, stop: Arc<AtomicBool>) {
-    let Some(frail) = &world.frail else { return };
+pub async fn replace_crashed(world: Arc<World>, stop: Arc<AtomicBool>) {
+    let Some(crashing) = &world.crashing else { return };
     let mut replaced = 0;
     while !stop.load(Ordering::Relaxed) {
-        sleep(BACK_PAUSE).await;
-        for id in frail.crashed().into_iter().skip(replaced) {
+        sleep(REPLACE_INTERVAL).await;
+        for id in crashing.crashed().into_iter().skip(replaced) {
             replaced += 1;
             world.site.deregister(&id);
-            frail.start_one(&world.site).await;
+            crashing.start_one(&world.site).await;
         }
     }
 }
 
 /// Sends the request that they crash under.
-pub async fn send(world: Arc<World>, stop: Arc<AtomicBool>, seed: u64) {
+pub async fn send_crashing_requests(world: Arc<World>, stop: Arc<AtomicBool>, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
         number += 1;
         let box_number = rng.usize(..world.boxes.len());
-        let bytes = request("POST", PATH, &format!("{box_number}-d-{number}"), "", DEADLY);
+        let bytes = request("POST", PATH, &format!("{box_number}-d-{number}"), "", CRASHING_BODY);
         let sending = async {
             let mut client = Client::try_connect(&world.boxes[box_number].process.clients).await;
             if let Ok(client) = &mut client {
@@ -114,35 +118,37 @@
             }
         };
         // Whatever comes of it: the upstreams tell what arrived.
-        let _ = timeout(PATIENCE, sending).await;
-        sleep(SEND_PAUSE).await;
+        let _ = timeout(SEND_TIMEOUT, sending).await;
+        sleep(SEND_INTERVAL).await;
     }
 }
 
 impl RunData<'_> {
     /// A request under which three upstreams have crashed comes to few others.
     pub(crate) fn crash_request_resent(&self) -> Option<String> {
-        let tries = self.world.frail.as_ref()?.tries();
+        let runs = self.world.crashing.as_ref()?.runs();
         let mut crashes: Vec<Instant> =
-            tries.iter().filter_map(|tries| tries.first()).map(|first| first.at).collect();
+            runs.iter().filter_map(|runs| runs.first()).map(|first| first.at).collect();
         crashes.sort_unstable();
-        let third_ms = self.at_ms(*crashes.get(CRASHES - 1)?);
-        let late = tries.iter().flatten().filter(|one| self.is_bound(one, third_ms + RECOVERY_MS));
+        let third_ms = self.at_ms(*crashes.get(CRASH_LIMIT - 1)?);
+        let late =
+            runs.iter().flatten().filter(|run| self.must_not_resend(run, third_ms + RECOVERY_MS));
         let late: Vec<String> =
-            late.map(|one| format!("{} at {} ms", one.request_id, self.at_ms(one.at))).collect();
-        (late.len() > RETRIES).then(|| {
+            late.map(|run| format!("{} at {} ms", run.request_id, self.at_ms(run.at))).collect();
+        (late.len() > MAX_LATE_RUNS).then(|| {
             format!("three upstreams had crashed at {third_ms} ms; sent again: {}", late.join(", "))
         })
     }
 
     /// Whether a try came after a time from a box that had to know better.
-    fn is_bound(&self, one: &ExecutedRequest, from_ms: u64) -> bool {
-        let at_ms = self.at_ms(one.at);
-        let sender = one.request_id.split('-').next().and_then(|sender| sender.parse().ok());
-        let is_away = self.is_away(sender, self.started_at_ms + at_ms, RECOVERY_MS, |_| true);
-        let is_cut_off = self.steps.iter().any(|step| {
-            step.keeps_news() && step.at_ms <= at_ms && step.until_ms + RECOVERY_MS >= at_ms
+    fn must_not_resend(&self, run: &ExecutedRequest, from_ms: u64) -> bool {
+        let at_ms = self.at_ms(run.at);
+        let sender = run.request_id.split('-').next().and_then(|sender| sender.parse().ok());
+        let had_outage_at =
+            self.had_outage_at(sender, self.started_at_ms + at_ms, RECOVERY_MS, |_| true);
+        let misses_updates = self.steps.iter().any(|step| {
+            step.delays_updates() && step.at_ms <= at_ms && step.until_ms + RECOVERY_MS >= at_ms
         });
-        at_ms > from_ms && !is_away && !is_cut_off
+        at_ms > from_ms && !had_outage_at && !misses_updates
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -6,7 +6,7 @@
 
 mod callers;
 mod checks;
-mod frail;
+mod crashing;
 mod mesh;
 mod notices;
 mod plan;
@@ -32,13 +32,13 @@
 /// Clients of each box.
 const CLIENTS: usize = 3;
 /// Time in which all boxes must be ready, or agree after the last fault.
-const AGREE_TIMEOUT: Duration = Duration::from_secs(30);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for which late runs are waited for at the end.
-const SETTLE: Duration = Duration::from_secs(2);
+const LATE_RUNS_WAIT: Duration = Duration::from_secs(2);
 /// Time in which one question must be answered.
-const ASK_TIMEOUT: Duration = Duration::from_secs(2);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two questions.
-const ASK_PAUSE: Duration = Duration::from_millis(50);
+const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A run.
 #[derive(Clone, Copy, Debug)]
@@ -50,12 +50,12 @@
     /// Boxes.
     pub boxes: usize,
     /// Which streams of steps happen.
-    pub streams: Streams,
+    pub scenario: Scenario,
 }
 
 /// Streams of steps. Each adds to those before, whose steps stay what they are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Streams {
+pub enum Scenario {
     /// Faults and planned work.
     First,
     /// Connections and datagrams between boxes go silent too, and a store after a change.
@@ -71,18 +71,19 @@
     Words,
 }
 
-impl Streams {
+impl Scenario {
     fn steps(self, seed: u64, length_ms: u64) -> Vec<Step> {
-        let all = [plan::steps, plan::silences, plan::restarts, plan::moves];
-        let played = match self {
-            Self::Words => &[plan::words as fn(u64, u64) -> Vec<Step>][..],
+        let all =
+            [plan::fault_steps, plan::silence_steps, plan::restart_steps, plan::weights_steps];
+        let generators = match self {
+            Self::Words => &[plan::announcement_steps as fn(u64, u64) -> Vec<Step>][..],
             Self::MovesAlone => &all[3..],
             Self::First => &all[..1],
             Self::Silences => &all[..2],
             Self::Restarts => &all[..3],
             Self::Moves => &all[..],
         };
-        played.iter().flat_map(|steps| steps(seed, length_ms)).collect()
+        generators.iter().flat_map(|generate| generate(seed, length_ms)).collect()
     }
 }
 
@@ -91,7 +92,7 @@
     /// Broken promises, in words.
     pub violations: Vec<String>,
     /// Requests by how they ended, and how often the newest configuration was in force.
-    pub ends: BTreeMap<String, usize>,
+    pub outcomes: BTreeMap<String, usize>,
     /// What happened, a line each.
     pub steps: Vec<String>,
     /// Where the logs are kept, if a promise was broken.
@@ -106,12 +107,12 @@
 /// # Panics
 /// Panics when a part of the soak itself has failed.
 pub async fn run(options: Options) -> Result<Report> {
-    let moving = matches!(options.streams, Streams::Moves | Streams::MovesAlone);
-    let with_frail = options.streams == Streams::Words;
-    let world = Arc::new(World::start(options.boxes, moving, with_frail).await?);
-    let mut violations = agree(&world).await;
+    let weights_change = matches!(options.scenario, Scenario::Moves | Scenario::MovesAlone);
+    let with_crashing = options.scenario == Scenario::Words;
+    let world = Arc::new(World::start(options.boxes, weights_change, with_crashing).await?);
+    let mut violations = wait_for_configuration(&world).await;
     let (started_at, started_at_ms) = (Instant::now(), now_ms());
-    let steps = options.streams.steps(options.seed, options.seconds * 1000);
+    let steps = options.scenario.steps(options.seed, options.seconds * 1000);
     let observations = Arc::new(Mutex::new(Observations::default()));
     let stop = Arc::new(AtomicBool::new(false));
     let mut clients = Vec::new();
@@ -136,31 +137,35 @@
             box_number,
         );
         clients.push(tokio::spawn(polling));
-        if moving {
+        if weights_change {
             let prompting = callers::send_prompts(world.clone(), stop.clone(), box_number);
             clients.push(tokio::spawn(prompting));
         }
     }
-    if with_frail {
-        clients.push(tokio::spawn(frail::tend(world.clone(), stop.clone())));
-        clients.push(tokio::spawn(frail::send(world.clone(), stop.clone(), options.seed)));
+    if with_crashing {
+        clients.push(tokio::spawn(crashing::replace_crashed(world.clone(), stop.clone())));
+        clients.push(tokio::spawn(crashing::send_crashing_requests(
+            world.clone(),
+            stop.clone(),
+            options.seed,
+        )));
     }
-    if moving {
+    if weights_change {
         clients.push(tokio::spawn(callers::watch_engine_weights(
             world.clone(),
             observations.clone(),
             stop.clone(),
         )));
     }
-    play(&world, &steps, started_at).await;
-    world.heal();
-    violations.extend(agree(&world).await);
-    violations.extend(loaded(&world).await);
+    run_steps(&world, &steps, started_at).await;
+    world.end_faults();
+    violations.extend(wait_for_configuration(&world).await);
+    violations.extend(wait_for_weights(&world).await);
     stop.store(true, Ordering::Relaxed);
     for client in clients {
         client.await?;
     }
-    sleep(SETTLE).await;
+    sleep(LATE_RUNS_WAIT).await;
     let observations = observations.lock().expect("no task panics under the lock");
     let run_data = RunData {
         world: &world,
@@ -172,96 +177,97 @@
     violations.extend(run_data.violations());
     let logs = if violations.is_empty() { None } else { Some(keep_logs(&world, options.seed)?) };
     let steps = steps.iter().map(describe).collect();
-    Ok(Report { violations, ends: ends(&run_data), steps, logs })
+    Ok(Report { violations, outcomes: count_outcomes(&run_data), steps, logs })
 }
 
 /// Has every step happen at its time.
-async fn play(world: &Arc<World>, steps: &[Step], started_at: Instant) {
-    let mut happening = Vec::new();
+async fn run_steps(world: &Arc<World>, steps: &[Step], started_at: Instant) {
+    let mut running = Vec::new();
     for step in steps.iter().copied() {
         let world = world.clone();
-        happening.push(tokio::spawn(async move {
+        running.push(tokio::spawn(async move {
             sleep_until((started_at + Duration::from_millis(step.at_ms)).into()).await;
             let time = Duration::from_millis(step.until_ms - step.at_ms);
-            world.happen(step.event, step.pick, time).await;
+            world.apply(step.action, step.pick, time).await;
         }));
     }
-    for step in happening {
+    for step in running {
         // A step that panics ends the run: it is a fault of the soak itself.
         step.await.expect("a step");
     }
 }
 
 /// Waits until the newest configuration is in force in every box.
-async fn agree(world: &World) -> Vec<String> {
-    let until = Instant::now() + AGREE_TIMEOUT;
+async fn wait_for_configuration(world: &World) -> Vec<String> {
+    let until = Instant::now() + CONVERGENCE_TIMEOUT;
     let version = world.newest().version;
     let mut behind = Vec::new();
-    for (number, one) in world.boxes.iter().enumerate() {
-        while !serves_version(&one.process.clients, version).await {
+    for (number, gateway_box) in world.boxes.iter().enumerate() {
+        while !serves_version(&gateway_box.process.clients, version).await {
             if Instant::now() > until {
                 behind.push(format!("box {number} does not have version {version} in force"));
                 break;
             }
-            sleep(ASK_PAUSE).await;
+            sleep(PROBE_INTERVAL).await;
         }
     }
     behind
 }
 
 /// Waits until every engine has the weights that were named last.
-async fn loaded(world: &World) -> Vec<String> {
-    let until = Instant::now() + AGREE_TIMEOUT;
+async fn wait_for_weights(world: &World) -> Vec<String> {
+    let until = Instant::now() + CONVERGENCE_TIMEOUT;
     loop {
         let behind = world.outdated_engines();
         if behind.is_empty() || Instant::now() > until {
-            let text = |(one, version)| format!("engine {one} has weights {version} in the end");
+            let text =
+                |(engine, version)| format!("engine {engine} has weights {version} in the end");
             return behind.into_iter().map(text).collect();
         }
-        sleep(ASK_PAUSE).await;
+        sleep(PROBE_INTERVAL).await;
     }
 }
 
 async fn serves_version(address: &str, version: u64) -> bool {
-    let asking = async {
+    let probing = async {
         let mut client = Client::try_connect(address).await.ok()?;
         client.send(&request("GET", &version_path(version), "agree", "", "")).await
     };
-    let answer = timeout(ASK_TIMEOUT, asking).await.ok().flatten();
+    let answer = timeout(PROBE_TIMEOUT, probing).await.ok().flatten();
     answer.is_some_and(|answer| answer.status() == 200)
 }
 
-fn ends(run_data: &RunData<'_>) -> BTreeMap<String, usize> {
+fn count_outcomes(run_data: &RunData<'_>) -> BTreeMap<String, usize> {
     let observations = run_data.observations;
-    let mut ends = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     for request in &observations.requests {
-        let end = match &request.answer {
+        let outcome = match &request.answer {
             Some(answer) if answer.complete => answer.status().to_string(),
             Some(answer) => format!("{} cut", answer.status()),
             None => "none".to_owned(),
         };
-        *ends.entry(end).or_default() += 1;
+        *outcomes.entry(outcome).or_default() += 1;
     }
-    ends.insert("newest in force".to_owned(), observations.newest_in_force);
-    if run_data.world.moving {
+    outcomes.insert("newest in force".to_owned(), observations.newest_in_force);
+    if run_data.world.weights_change {
         let orders = run_data.world.engines.iter().map(|engine| engine.process.orders().len());
-        ends.insert("orders".to_owned(), orders.sum());
-        ends.insert("runs of steady boxes".to_owned(), run_data.recovered_box_runs().len());
+        outcomes.insert("orders".to_owned(), orders.sum());
+        outcomes.insert("runs of steady boxes".to_owned(), run_data.recovered_box_runs().len());
     }
-    ends
+    outcomes
 }
 
 fn describe(step: &Step) -> String {
-    format!("{} to {} ms: {:?}, pick {}", step.at_ms, step.until_ms, step.event, step.pick)
+    format!("{} to {} ms: {:?}, pick {}", step.at_ms, step.until_ms, step.action, step.pick)
 }
 
 /// Copies the logs to where they stay.
 fn keep_logs(world: &World, seed: u64) -> Result<PathBuf> {
     let kept = std::env::temp_dir().join(format!("coursestile-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&kept)?;
-    for one in &world.boxes {
-        if let Some(name) = one.process.log.file_name() {
-            std::fs::copy(&one.process.log, kept.join(name))?;
+    for gateway_box in &world.boxes {
+        if let Some(name) = gateway_box.process.log.file_name() {
+            std::fs::copy(&gateway_box.process.log, kept.join(name))?;
         }
     }
     Ok(kept)
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use coursestile_soak::{Options, Report, Streams, run};
+use coursestile_soak::{Options, Report, Scenario, run};
 use lexopt::prelude::*;
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -27,12 +27,12 @@
 ";
 
 /// Broken promises of one run that are printed: the first tell the cause.
-const PRINTED: usize = 10;
+const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 struct Args {
     options: Options,
     count: u64,
-    steps: bool,
+    print_steps: bool,
 }
 
 fn parse() -> Result<Option<Args>, lexopt::Error> {
@@ -40,9 +40,9 @@
         seed: fastrand::u64(..1 << 32),
         seconds: 20,
         boxes: 4,
-        streams: Streams::Restarts,
+        scenario: Scenario::Restarts,
     };
-    let mut args = Args { options, count: 1, steps: false };
+    let mut args = Args { options, count: 1, print_steps: false };
     let mut parser = lexopt::Parser::from_env();
     while let Some(arg) = parser.next()? {
         match arg {
@@ -50,10 +50,10 @@
             Long("count") => args.count = parser.value()?.parse()?,
             Long("seconds") => args.options.seconds = parser.value()?.parse()?,
             Long("boxes") => args.options.boxes = parser.value()?.parse()?,
-            Long("streams") => args.options.streams = streams(&parser.value()?.string()?)?,
-            Long("steps") => args.steps = true,
+            Long("streams") => args.options.scenario = parse_scenario(&parser.value()?.string()?)?,
+            Long("steps") => args.print_steps = true,
             Short('h') | Long("help") => return Ok(None),
-            other => return Err(other.unexpected()),
+            arg => return Err(arg.unexpected()),
         }
     }
     if args.options.boxes == 0 {
@@ -62,14 +62,14 @@
     Ok(Some(args))
 }
 
-fn streams(text: &str) -> Result<Streams, lexopt::Error> {
+fn parse_scenario(text: &str) -> Result<Scenario, lexopt::Error> {
     match text {
-        "1" => Ok(Streams::First),
-        "2" => Ok(Streams::Silences),
-        "3" => Ok(Streams::Restarts),
-        "4" => Ok(Streams::Moves),
-        "only-4" => Ok(Streams::MovesAlone),
-        "words" => Ok(Streams::Words),
+        "1" => Ok(Scenario::First),
+        "2" => Ok(Scenario::Silences),
+        "3" => Ok(Scenario::Restarts),
+        "4" => Ok(Scenario::Moves),
+        "only-4" => Ok(Scenario::MovesAlone),
+        "words" => Ok(Scenario::Words),
         _ => Err("--streams: 1, 2, 3, 4, only-4 or words is needed".into()),
     }
 }
@@ -89,7 +89,7 @@
     };
     let failed = tokio::select! {
         failed = run_all(&args) => failed,
-        () = told_to_stop() => {
+        () = stop_signal() => {
             // The processes end with what holds them.
             eprintln!("error: stopped by a signal");
             return ExitCode::from(2);
@@ -100,7 +100,7 @@
 }
 
 /// Waits for SIGTERM or SIGINT.
-async fn told_to_stop() {
+async fn stop_signal() {
     match signal(SignalKind::terminate()) {
         Ok(mut terminated) => {
             tokio::select! {
@@ -118,11 +118,11 @@
 /// Makes all runs; how many of them failed.
 async fn run_all(args: &Args) -> usize {
     let mut failed = 0;
-    for turn in 0..args.count {
-        let options = Options { seed: args.options.seed + turn, ..args.options };
+    for run_index in 0..args.count {
+        let options = Options { seed: args.options.seed + run_index, ..args.options };
         match run(options).await {
             Ok(report) => {
-                print(options.seed, &report, args.steps);
+                print_report(options.seed, &report, args.print_steps);
                 failed += usize::from(!report.violations.is_empty());
             }
             Err(error) => {
@@ -134,17 +134,17 @@
     failed
 }
 
-fn print(seed: u64, report: &Report, steps: bool) {
-    let broken = report.violations.len();
-    println!("seed {seed}: {broken} promises broken; {:?}", report.ends);
-    if steps {
+fn print_report(seed: u64, report: &Report, print_steps: bool) {
+    let violation_count = report.violations.len();
+    println!("seed {seed}: {violation_count} promises broken; {:?}", report.outcomes);
+    if print_steps {
         println!("  {}", report.steps.join("\n  "));
     }
-    for violation in report.violations.iter().take(PRINTED) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("  {violation}");
     }
-    if broken > PRINTED {
-        println!("  and {} more", broken - PRINTED);
+    if violation_count > MAX_PRINTED_VIOLATIONS {
+        println!("  and {} more", violation_count - MAX_PRINTED_VIOLATIONS);
     }
     if let Some(logs) = &report.logs {
         println!("  logs: {}", logs.display());
--- a/soak/src/mesh.rs
+++ b/soak/src/mesh.rs
@@ -15,26 +15,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::plan::{Link, Side};
-use crate::proxy::{DELAY, Proxy};
+use crate::plan::{LinkState, PeerDirection};
+use crate::proxy::{LINK_DELAY, Proxy};
 
 /// Longest datagram.
-const DATAGRAM_BYTES: usize = 65_536;
+const MAX_DATAGRAM_BYTES: usize = 65_536;
 /// Pause after a datagram that could not be read.
-const FAILED_PAUSE: Duration = Duration::from_millis(5);
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// One direction between two boxes.
-struct Direction {
+struct PeerLink {
     from: usize,
     to: usize,
     proxy: Proxy,
-    datagrams: watch::Sender<Link>,
-    passing: JoinHandle<()>,
+    datagram_link: watch::Sender<LinkState>,
+    forwarder: JoinHandle<()>,
 }
 
 /// All directions between boxes.
 pub struct Mesh {
-    directions: Vec<Direction>,
+    links: Vec<PeerLink>,
 }
 
 impl Mesh {
@@ -44,86 +44,91 @@
     /// Fails when an address cannot be had.
     pub async fn start(boxes: &[&str]) -> Result<Self> {
         let parsed: std::result::Result<Vec<SocketAddr>, _> =
-            boxes.iter().map(|one| one.parse()).collect();
+            boxes.iter().map(|address| address.parse()).collect();
         let boxes = parsed.map_err(Error::other)?;
         let pairs = |from| (0..boxes.len()).filter(move |to| *to != from).map(move |to| (from, to));
         let pairs: Vec<(usize, usize)> = (0..boxes.len()).flat_map(pairs).collect();
-        let stands =
+        let listen_address =
             |(from, to): (usize, usize)| SocketAddr::new(boxes[to].ip(), boxes[from].port());
         let mut sockets = BTreeMap::new();
         for pair in &pairs {
-            sockets.insert(*pair, Arc::new(UdpSocket::bind(stands(*pair)).await?));
+            sockets.insert(*pair, Arc::new(UdpSocket::bind(listen_address(*pair)).await?));
         }
-        let mut directions = Vec::new();
+        let mut links = Vec::new();
         for (from, to) in pairs {
-            let address = stands((from, to)).to_string();
+            let address = listen_address((from, to)).to_string();
             let proxy = Proxy::start_at(&address, &boxes[to].to_string()).await?;
-            let datagrams = watch::Sender::new(Link::Sound);
-            let (near, far) = (sockets[&(from, to)].clone(), sockets[&(to, from)].clone());
-            let passing = tokio::spawn(pass(near, far, boxes[to], datagrams.subscribe()));
-            directions.push(Direction { from, to, proxy, datagrams, passing });
+            let datagram_link = watch::Sender::new(LinkState::Sound);
+            let (receiver, sender) = (sockets[&(from, to)].clone(), sockets[&(to, from)].clone());
+            let forwarder = tokio::spawn(forward_datagrams(
+                receiver,
+                sender,
+                boxes[to],
+                datagram_link.subscribe(),
+            ));
+            links.push(PeerLink { from, to, proxy, datagram_link, forwarder });
         }
-        Ok(Self { directions })
+        Ok(Self { links })
     }
 
     /// Spoils what is sent between a box and the others, or ends that.
-    pub fn set(&self, one_box: usize, side: Side, link: Link) {
-        for one in &self.directions {
-            let from = one.from == one_box && side != Side::To;
-            let to = one.to == one_box && side != Side::From;
+    pub fn set(&self, box_number: usize, side: PeerDirection, link: LinkState) {
+        for peer_link in &self.links {
+            let from = peer_link.from == box_number && side != PeerDirection::To;
+            let to = peer_link.to == box_number && side != PeerDirection::From;
             if from || to {
-                one.set(link);
+                peer_link.set(link);
             }
         }
     }
 
     /// Silences the connections that are open now.
     pub fn silence(&self) {
-        self.directions.iter().for_each(|one| one.proxy.silence());
+        self.links.iter().for_each(|peer_link| peer_link.proxy.silence());
     }
 
     /// Ends all faults but for silenced connections.
-    pub fn heal(&self) {
-        self.directions.iter().for_each(|one| one.set(Link::Sound));
+    pub fn end_faults(&self) {
+        self.links.iter().for_each(|peer_link| peer_link.set(LinkState::Sound));
     }
 }
 
-impl Direction {
-    fn set(&self, link: Link) {
+impl PeerLink {
+    fn set(&self, link: LinkState) {
         self.proxy.set(link);
-        self.datagrams.send_replace(link);
+        self.datagram_link.send_replace(link);
     }
 }
 
-impl Drop for Direction {
+impl Drop for PeerLink {
     fn drop(&mut self) {
-        self.passing.abort();
+        self.forwarder.abort();
     }
 }
 
 /// Passes datagrams on in one direction.
-async fn pass(
-    near: Arc<UdpSocket>,
-    far: Arc<UdpSocket>,
+async fn forward_datagrams(
+    receiver: Arc<UdpSocket>,
+    sender: Arc<UdpSocket>,
     target: SocketAddr,
-    link: watch::Receiver<Link>,
+    link: watch::Receiver<LinkState>,
 ) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok((length, _)) = near.recv_from(&mut buffer).await else {
-            sleep(FAILED_PAUSE).await;
+        let Ok((length, _)) = receiver.recv_from(&mut buffer).await else {
+            sleep(RECEIVE_RETRY_DELAY).await;
             continue;
         };
         let link = *link.borrow();
-        let (datagram, far) = (buffer[..length].to_vec(), far.clone());
+        let (datagram, sender) = (buffer[..length].to_vec(), sender.clone());
         match link {
             // A datagram to a box that is down is lost, as on any network.
-            Link::Sound => drop(far.send_to(&datagram, target).await),
-            Link::Delayed => drop(tokio::spawn(async move {
-                sleep(DELAY).await;
-                far.send_to(&datagram, target).await
+            LinkState::Sound => drop(sender.send_to(&datagram, target).await),
+            LinkState::Delayed => drop(tokio::spawn(async move {
+                sleep(LINK_DELAY).await;
+                sender.send_to(&datagram, target).await
             })),
-            Link::Reset | Link::OneWay | Link::Silent => {}
+            LinkState::Reset | LinkState::OneWay | LinkState::Silent => {}
         }
     }
 }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -8,50 +8,50 @@
 
 /// Time after which a box heeds that an upstream leaves, and what a request may take on its way.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
-const ON_ITS_WAY: Duration = Duration::from_millis(500);
+const IN_TRANSIT: Duration = Duration::from_millis(500);
 /// Time after which a box heeds a rest, and requests that may come all the same.
-const REST_BEGINS: Duration = Duration::from_millis(500);
-const MOST_IN_REST: usize = 2;
+const REST_BOUND: Duration = Duration::from_millis(500);
+const MAX_REQUESTS_IN_REST: usize = 2;
 
 impl RunData<'_> {
     /// Requests that came to upstreams which had told their box that they leave, or rest.
     pub(crate) fn ignored_announcements(&self) -> Vec<String> {
-        let upstreams = self.world.upstreams.iter().map(|one| &one.process);
+        let upstreams = self.world.upstreams.iter().map(|upstream| &upstream.process);
         upstreams.flat_map(|upstream| self.ignored_announcements_of(upstream)).collect()
     }
 
     fn ignored_announcements_of(&self, upstream: &Server) -> Vec<String> {
         let done = upstream.handled();
         let mut found = Vec::new();
-        for told in &done {
+        for announcement in &done {
             // Questions for the configuration do not tell their box.
-            let Some(box_number) = sender(told) else { continue };
-            let said_at = told.answered_at;
-            let next_start = self.next_start(upstream, told.at);
-            let (from, until, most) = match told.behavior {
-                Behavior::Leaving => (said_at + LEAVE_BOUND + ON_ITS_WAY, next_start, 0),
+            let Some(box_number) = sender(announcement) else { continue };
+            let announced_at = announcement.answered_at;
+            let next_start = self.next_start(upstream, announcement.at);
+            let (from, until, max_requests) = match announcement.behavior {
+                Behavior::Leaving => (announced_at + LEAVE_BOUND + IN_TRANSIT, next_start, 0),
                 Behavior::RetryAfter(time) => {
-                    let rest_end = said_at + time;
+                    let rest_end = announced_at + time;
                     let until = next_start.map_or(rest_end, |start| start.min(rest_end));
-                    (said_at + REST_BEGINS, Some(until), MOST_IN_REST)
+                    (announced_at + REST_BOUND, Some(until), MAX_REQUESTS_IN_REST)
                 }
                 _ => continue,
             };
-            let came = done.iter().filter(|one| {
-                one.at > from
-                    && until.is_none_or(|until| one.at < until)
-                    && sender(one) == Some(box_number)
-                    && !self.was_away(box_number, told.at, one.at)
+            let received = done.iter().filter(|later| {
+                later.at > from
+                    && until.is_none_or(|until| later.at < until)
+                    && sender(later) == Some(box_number)
+                    && !self.had_outage_between(box_number, announcement.at, later.at)
             });
-            let came: Vec<&str> = came.map(|one| one.request_id.as_str()).collect();
-            if came.len() > most {
+            let received: Vec<&str> = received.map(|later| later.request_id.as_str()).collect();
+            if received.len() > max_requests {
                 found.push(format!(
                     "{} said {:?} to {} at {} ms, and got {} from that box",
                     upstream.id,
-                    told.behavior,
-                    told.request_id,
-                    self.at_ms(told.at),
-                    came.join(", ")
+                    announcement.behavior,
+                    announcement.request_id,
+                    self.at_ms(announcement.at),
+                    received.join(", ")
                 ));
             }
         }
@@ -61,19 +61,21 @@
     /// When an upstream was known to have started again after a time: what it said before
     /// holds no longer.
     fn next_start(&self, upstream: &Server, after: Instant) -> Option<Instant> {
-        let reborn = self.world.reborn();
-        let starts = reborn.iter().filter(|one| one.id == upstream.id && one.at > after);
-        starts.map(|one| one.at).min()
+        let upstream_restarts = self.world.upstream_restarts();
+        let starts = upstream_restarts
+            .iter()
+            .filter(|restart| restart.id == upstream.id && restart.at > after);
+        starts.map(|restart| restart.at).min()
     }
 
     /// Whether a box was away between two times, and may have forgotten what it was told.
-    fn was_away(&self, box_number: usize, from: Instant, until: Instant) -> bool {
+    fn had_outage_between(&self, box_number: usize, from: Instant, until: Instant) -> bool {
         let at_ms = |at| self.started_at_ms + self.at_ms(at);
-        let aways = self.world.aways();
-        aways.iter().any(|away| {
-            away.box_number == box_number
-                && *away.times_ms.start() <= at_ms(until)
-                && *away.times_ms.end() >= at_ms(from)
+        let box_outages = self.world.box_outages();
+        box_outages.iter().any(|outage| {
+            outage.box_number == box_number
+                && *outage.times_ms.start() <= at_ms(until)
+                && *outage.times_ms.end() >= at_ms(from)
         })
     }
 }
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -4,62 +4,62 @@
 //! promised of planned work is checked in the latter.
 
 /// Length of a phase with faults.
-const FAULTS_MS: u64 = 4000;
+const FAULT_PHASE_MS: u64 = 4000;
 /// Length of a phase with faults and the planned one after it.
 const CYCLE_MS: u64 = 10_000;
 /// Time after which a fault has no more effect on what is promised.
-const AFTERMATH_MS: u64 = 2500;
+const FAULT_EFFECT_MS: u64 = 2500;
 /// Shortest and longest time of a fault.
-const FAULT_MS: std::ops::Range<u64> = 150..2500;
+const FAULT_DURATION_MS: std::ops::Range<u64> = 150..2500;
 /// Shortest and longest pause between two faults; less than most last, so that
 /// they overlap.
-const PAUSE_MS: std::ops::Range<u64> = 80..700;
+const STEP_INTERVAL_MS: std::ops::Range<u64> = 80..700;
 /// One step in so many comes as a series.
 const SERIES_ONE_IN: u32 = 4;
 /// Steps of a series, and the time between them.
 const SERIES: (u64, u64) = (3, 180);
 
 /// Sets the second stream of steps apart from the first.
-const SECOND_STREAM: u64 = 0x5117_e4ce;
+const SILENCE_SEED_MASK: u64 = 0x5117_e4ce;
 /// Sets the third stream apart from both.
-const THIRD_STREAM: u64 = 0x0a9a_1d5e;
+const RESTART_SEED_MASK: u64 = 0x0a9a_1d5e;
 /// Pause between two steps of the third stream: some come twice within a second.
-const RESTART_PAUSE_MS: std::ops::Range<u64> = 200..1800;
+const RESTART_INTERVAL_MS: std::ops::Range<u64> = 200..1800;
 /// Longest pause before the first step of the second stream in a cycle.
-const FIRST_SILENCE_MS: u64 = 1200;
+const MAX_FIRST_SILENCE_MS: u64 = 1200;
 /// How long a step of the second stream takes.
-const SILENCE_MS: std::ops::Range<u64> = 1000..3000;
+const SILENCE_DURATION_MS: std::ops::Range<u64> = 1000..3000;
 /// Pause between two of them: they overlap.
-const SILENCE_PAUSE_MS: std::ops::Range<u64> = 100..1300;
+const SILENCE_INTERVAL_MS: std::ops::Range<u64> = 100..1300;
 
 /// Sets the fourth stream apart from the others.
-const FOURTH_STREAM: u64 = 0x3e16_4275;
+const WEIGHTS_SEED_MASK: u64 = 0x3e16_4275;
 /// Length of a phase of the fourth stream with faults and the calm one after it, which
 /// has no faults of the other streams in its second half.
-const MOVES_CYCLE_MS: u64 = 2 * CYCLE_MS;
+const WEIGHTS_CYCLE_MS: u64 = 2 * CYCLE_MS;
 /// Length of a phase of the fourth stream with faults.
-const MOVES_MS: u64 = 9000;
+const WEIGHTS_FAULT_PHASE_MS: u64 = 9000;
 /// Pause between two versions that are named.
-const NAMING_PAUSE_MS: std::ops::Range<u64> = 200..2500;
+const WEIGHTS_NAMED_INTERVAL_MS: std::ops::Range<u64> = 200..2500;
 /// Pause between two steps of the fourth stream: series of them overlap.
-const MOVE_PAUSE_MS: std::ops::Range<u64> = 300..1500;
+const WEIGHTS_STEP_INTERVAL_MS: std::ops::Range<u64> = 300..1500;
 /// Steps of a series, each with the next box or each with the leader.
-const MOVES: std::ops::Range<u64> = 4..9;
+const WEIGHTS_SERIES_STEPS: std::ops::Range<u64> = 4..9;
 /// Time between two of them: less than the pause between orders of two holders.
-const MOVE_APART_MS: std::ops::Range<u64> = 200..700;
+const WEIGHTS_SERIES_INTERVAL_MS: std::ops::Range<u64> = 200..700;
 /// Sets the fifth stream apart from the others.
-const FIFTH_STREAM: u64 = 0x7a11_0f2d;
+const ANNOUNCEMENT_SEED_MASK: u64 = 0x7a11_0f2d;
 /// Length of a phase of the fifth stream with steps, and of one with the calm after it.
-const WORDS_MS: u64 = 6000;
-const WORDS_CYCLE_MS: u64 = 12_000;
+const ANNOUNCEMENT_PHASE_MS: u64 = 6000;
+const ANNOUNCEMENT_CYCLE_MS: u64 = 12_000;
 /// Pause between two steps of the fifth stream.
-const WORD_PAUSE_MS: std::ops::Range<u64> = 150..900;
+const ANNOUNCEMENT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
 /// Picks the box that leads; other picks are below.
-pub const LEADER: usize = 1000;
+pub const PICK_LEADER: usize = 1000;
 
 /// How a connection is spoiled on its way.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Link {
+pub enum LinkState {
     /// It is not.
     #[default]
     Sound,
@@ -75,7 +75,7 @@
 
 /// Whose connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum ConnectionGroup {
     /// Those of boxes to the store: calls and watches.
     Store,
     /// Those of boxes to each other.
@@ -90,7 +90,7 @@
 
 /// Which direction between a box and all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum PeerDirection {
     /// What the box sends.
     From,
     /// What is sent to it.
@@ -101,7 +101,7 @@
 
 /// What the store takes last before it falls silent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LastWord {
+pub enum LastChange {
     /// A configuration.
     Configuration,
     /// An upstream is about to leave.
@@ -110,7 +110,7 @@
 
 /// What happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum Action {
     /// A box is killed, and started again at the end.
     BoxKilled,
     /// A box stands still until the end.
@@ -126,17 +126,17 @@
     /// The store forgets the changes so far.
     StoreForgets,
     /// A box's connections to the store are spoiled.
-    StoreLink(Link),
+    StoreLink(LinkState),
     /// Connections to an upstream are spoiled.
-    UpstreamLink(Link),
+    UpstreamLink(LinkState),
     /// An upstream misbehaves in some of its next answers.
     UpstreamMisbehaves,
     /// The store falls silent some milliseconds after a change.
-    StoreSilentAfter(LastWord),
+    StoreSilentAfter(LastChange),
     /// Open connections go silent for good; new ones work.
-    Silenced(Way),
+    Silenced(ConnectionGroup),
     /// Datagrams and connections between a box and the others are spoiled.
-    PeersLink(Link, Side),
+    PeersLink(LinkState, PeerDirection),
     /// An upstream starts again under the id that it had.
     UpstreamRestarts,
     /// An engine does, as if it had lost the weights that it got since.
@@ -161,78 +161,78 @@
     UpstreamLeaves,
 }
 
-const FAULTS: [Event; 20] = [
-    Event::BoxKilled,
-    Event::BoxKilled,
-    Event::BoxPaused,
-    Event::BoxPaused,
-    Event::AllKilled,
-    Event::StoreBusy,
-    Event::StoreSilent,
-    Event::StoreLosesAnswers,
-    Event::StoreForgets,
-    Event::StoreLink(Link::Delayed),
-    Event::StoreLink(Link::Reset),
-    Event::StoreLink(Link::Silent),
-    Event::UpstreamLink(Link::Delayed),
-    Event::UpstreamLink(Link::Reset),
-    Event::UpstreamLink(Link::OneWay),
-    Event::UpstreamLink(Link::Silent),
-    Event::UpstreamMisbehaves,
-    Event::UpstreamMisbehaves,
-    Event::UpstreamMisbehaves,
-    Event::UpstreamMisbehaves,
+const FAULTS: [Action; 20] = [
+    Action::BoxKilled,
+    Action::BoxKilled,
+    Action::BoxPaused,
+    Action::BoxPaused,
+    Action::AllKilled,
+    Action::StoreBusy,
+    Action::StoreSilent,
+    Action::StoreLosesAnswers,
+    Action::StoreForgets,
+    Action::StoreLink(LinkState::Delayed),
+    Action::StoreLink(LinkState::Reset),
+    Action::StoreLink(LinkState::Silent),
+    Action::UpstreamLink(LinkState::Delayed),
+    Action::UpstreamLink(LinkState::Reset),
+    Action::UpstreamLink(LinkState::OneWay),
+    Action::UpstreamLink(LinkState::Silent),
+    Action::UpstreamMisbehaves,
+    Action::UpstreamMisbehaves,
+    Action::UpstreamMisbehaves,
+    Action::UpstreamMisbehaves,
 ];
 /// Faults of the second stream.
-const SILENCES: [Event; 17] = [
-    Event::StoreSilentAfter(LastWord::Configuration),
-    Event::StoreSilentAfter(LastWord::Configuration),
-    Event::StoreSilentAfter(LastWord::Configuration),
-    Event::StoreSilentAfter(LastWord::Configuration),
-    Event::StoreSilentAfter(LastWord::Leave),
-    Event::StoreSilentAfter(LastWord::Leave),
-    Event::Silenced(Way::Store),
-    Event::Silenced(Way::Peers),
-    Event::Silenced(Way::Upstreams),
-    Event::Silenced(Way::Callers),
-    Event::Silenced(Way::All),
-    Event::Silenced(Way::All),
-    Event::PeersLink(Link::Silent, Side::From),
-    Event::PeersLink(Link::Silent, Side::To),
-    Event::PeersLink(Link::Silent, Side::Both),
-    Event::PeersLink(Link::Delayed, Side::Both),
-    Event::PeersLink(Link::Reset, Side::Both),
+const SILENCES: [Action; 17] = [
+    Action::StoreSilentAfter(LastChange::Configuration),
+    Action::StoreSilentAfter(LastChange::Configuration),
+    Action::StoreSilentAfter(LastChange::Configuration),
+    Action::StoreSilentAfter(LastChange::Configuration),
+    Action::StoreSilentAfter(LastChange::Leave),
+    Action::StoreSilentAfter(LastChange::Leave),
+    Action::Silenced(ConnectionGroup::Store),
+    Action::Silenced(ConnectionGroup::Peers),
+    Action::Silenced(ConnectionGroup::Upstreams),
+    Action::Silenced(ConnectionGroup::Callers),
+    Action::Silenced(ConnectionGroup::All),
+    Action::Silenced(ConnectionGroup::All),
+    Action::PeersLink(LinkState::Silent, PeerDirection::From),
+    Action::PeersLink(LinkState::Silent, PeerDirection::To),
+    Action::PeersLink(LinkState::Silent, PeerDirection::Both),
+    Action::PeersLink(LinkState::Delayed, PeerDirection::Both),
+    Action::PeersLink(LinkState::Reset, PeerDirection::Both),
 ];
 /// Steps of the fourth stream beside the versions that are named. Those of boxes come in
 /// series.
-const MOVED: [Event; 7] = [
-    Event::BoxStopped,
-    Event::BoxStopped,
-    Event::BoxKilled,
-    Event::BoxPaused,
-    Event::EngineOrdersLate,
-    Event::EngineHangs,
-    Event::EngineRestarts,
+const WEIGHTS_STEPS: [Action; 7] = [
+    Action::BoxStopped,
+    Action::BoxStopped,
+    Action::BoxKilled,
+    Action::BoxPaused,
+    Action::EngineOrdersLate,
+    Action::EngineHangs,
+    Action::EngineRestarts,
 ];
 /// Steps of the fifth stream.
-const WORDS: [Event; 9] = [
-    Event::UpstreamRests,
-    Event::UpstreamRests,
-    Event::UpstreamSaysLeaving,
-    Event::UpstreamSaysLeaving,
-    Event::BoxKilled,
-    Event::BoxPaused,
-    Event::BoxStopped,
-    Event::StoreSilent,
-    Event::StoreBusy,
+const ANNOUNCEMENT_STEPS: [Action; 9] = [
+    Action::UpstreamRests,
+    Action::UpstreamRests,
+    Action::UpstreamSaysLeaving,
+    Action::UpstreamSaysLeaving,
+    Action::BoxKilled,
+    Action::BoxPaused,
+    Action::BoxStopped,
+    Action::StoreSilent,
+    Action::StoreBusy,
 ];
-const PLANNED: [Event; 6] = [
-    Event::BoxStopped,
-    Event::BoxStopped,
-    Event::BoxReloads,
-    Event::Configured,
-    Event::WeightsNamed,
-    Event::UpstreamLeaves,
+const PLANNED_WORK: [Action; 6] = [
+    Action::BoxStopped,
+    Action::BoxStopped,
+    Action::BoxReloads,
+    Action::Configured,
+    Action::WeightsNamed,
+    Action::UpstreamLeaves,
 ];
 
 /// One step of a run.
@@ -243,7 +243,7 @@
     /// When it ends.
     pub until_ms: u64,
     /// What happens.
-    pub event: Event,
+    pub action: Action,
     /// Picks the box or upstream that it happens to.
     pub pick: usize,
 }
@@ -252,61 +252,61 @@
     /// Whether it is a fault, and not planned work.
     #[must_use]
     pub fn is_unplanned(&self) -> bool {
-        !PLANNED.contains(&self.event)
+        !PLANNED_WORK.contains(&self.action)
     }
 
     /// Whether it may hold up new weights: a fault, or a stop among those of the fourth
     /// stream.
     #[must_use]
-    pub fn holds_up_weights(&self) -> bool {
-        let among_moves = self.at_ms % MOVES_CYCLE_MS < MOVES_MS;
-        self.is_unplanned() || self.event == Event::BoxStopped && among_moves
+    pub fn delays_weights(&self) -> bool {
+        let in_weights_fault_phase = self.at_ms % WEIGHTS_CYCLE_MS < WEIGHTS_FAULT_PHASE_MS;
+        self.is_unplanned() || self.action == Action::BoxStopped && in_weights_fault_phase
     }
 
     /// Whether it spoils the store or connections.
     #[must_use]
-    pub fn spoils_links(&self) -> bool {
+    pub fn disrupts_connections(&self) -> bool {
         matches!(
-            self.event,
-            Event::StoreBusy
-                | Event::StoreSilent
-                | Event::StoreLosesAnswers
-                | Event::StoreSilentAfter(_)
-                | Event::StoreLink(_)
-                | Event::UpstreamLink(_)
-                | Event::Silenced(_)
-                | Event::PeersLink(..)
+            self.action,
+            Action::StoreBusy
+                | Action::StoreSilent
+                | Action::StoreLosesAnswers
+                | Action::StoreSilentAfter(_)
+                | Action::StoreLink(_)
+                | Action::UpstreamLink(_)
+                | Action::Silenced(_)
+                | Action::PeersLink(..)
         )
     }
 
     /// Whether it keeps news from boxes: the store does not answer, or ways between them are
     /// spoiled.
     #[must_use]
-    pub fn keeps_news(&self) -> bool {
-        self.spoils_links() && !matches!(self.event, Event::UpstreamLink(_))
+    pub fn delays_updates(&self) -> bool {
+        self.disrupts_connections() && !matches!(self.action, Action::UpstreamLink(_))
     }
 }
 
 /// The steps of a run.
 #[must_use]
-pub fn steps(seed: u64, length_ms: u64) -> Vec<Step> {
+pub fn fault_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut steps = Vec::new();
     let mut at_ms = 0;
     while at_ms < length_ms {
-        let with_faults = at_ms % CYCLE_MS < FAULTS_MS;
-        let planned = PLANNED[rng.usize(..PLANNED.len())];
+        let with_faults = at_ms % CYCLE_MS < FAULT_PHASE_MS;
+        let planned = PLANNED_WORK[rng.usize(..PLANNED_WORK.len())];
         let fault = FAULTS[rng.usize(..FAULTS.len())];
-        let event = if with_faults && rng.u32(..3) > 0 { fault } else { planned };
-        let faults_end_at_ms = at_ms / CYCLE_MS * CYCLE_MS + FAULTS_MS;
+        let action = if with_faults && rng.u32(..3) > 0 { fault } else { planned };
+        let faults_end_at_ms = at_ms / CYCLE_MS * CYCLE_MS + FAULT_PHASE_MS;
         let times = if rng.u32(..SERIES_ONE_IN) == 0 { SERIES.0 } else { 1 };
         for turn in 0..times {
             let at_ms = at_ms + turn * SERIES.1;
-            let until_ms =
-                (at_ms + rng.u64(FAULT_MS)).min(faults_end_at_ms.max(at_ms + FAULT_MS.start));
-            steps.push(Step { at_ms, until_ms, event, pick: rng.usize(..1000) });
+            let until_ms = (at_ms + rng.u64(FAULT_DURATION_MS))
+                .min(faults_end_at_ms.max(at_ms + FAULT_DURATION_MS.start));
+            steps.push(Step { at_ms, until_ms, action, pick: rng.usize(..1000) });
         }
-        at_ms += rng.u64(PAUSE_MS);
+        at_ms += rng.u64(STEP_INTERVAL_MS);
     }
     steps
 }
@@ -314,19 +314,19 @@
 /// More steps of the same run, from a stream of their own: a seed's first steps are
 /// the same with and without them.
 #[must_use]
-pub fn silences(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut rng = fastrand::Rng::with_seed(seed ^ SECOND_STREAM);
+pub fn silence_steps(seed: u64, length_ms: u64) -> Vec<Step> {
+    let mut rng = fastrand::Rng::with_seed(seed ^ SILENCE_SEED_MASK);
     let mut steps = Vec::new();
     let mut cycle_ms = 0;
     while cycle_ms < length_ms {
-        let end_ms = cycle_ms + FAULTS_MS;
-        let mut at_ms = cycle_ms + rng.u64(..FIRST_SILENCE_MS);
-        while at_ms + FAULT_MS.start < end_ms {
-            let event = SILENCES[rng.usize(..SILENCES.len())];
-            let until_ms = (at_ms + rng.u64(SILENCE_MS)).min(end_ms);
-            let until_ms = if matches!(event, Event::Silenced(_)) { at_ms } else { until_ms };
-            steps.push(Step { at_ms, until_ms, event, pick: rng.usize(..1000) });
-            at_ms += rng.u64(SILENCE_PAUSE_MS);
+        let end_ms = cycle_ms + FAULT_PHASE_MS;
+        let mut at_ms = cycle_ms + rng.u64(..MAX_FIRST_SILENCE_MS);
+        while at_ms + FAULT_DURATION_MS.start < end_ms {
+            let action = SILENCES[rng.usize(..SILENCES.len())];
+            let until_ms = (at_ms + rng.u64(SILENCE_DURATION_MS)).min(end_ms);
+            let until_ms = if matches!(action, Action::Silenced(_)) { at_ms } else { until_ms };
+            steps.push(Step { at_ms, until_ms, action, pick: rng.usize(..1000) });
+            at_ms += rng.u64(SILENCE_INTERVAL_MS);
         }
         cycle_ms += CYCLE_MS;
     }
@@ -335,17 +335,17 @@
 
 /// Upstreams that start again under their id, from a third stream.
 #[must_use]
-pub fn restarts(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut rng = fastrand::Rng::with_seed(seed ^ THIRD_STREAM);
+pub fn restart_steps(seed: u64, length_ms: u64) -> Vec<Step> {
+    let mut rng = fastrand::Rng::with_seed(seed ^ RESTART_SEED_MASK);
     let mut steps = Vec::new();
-    let mut at_ms = rng.u64(RESTART_PAUSE_MS);
+    let mut at_ms = rng.u64(RESTART_INTERVAL_MS);
     while at_ms < length_ms {
-        if at_ms % CYCLE_MS < FAULTS_MS {
-            let event = if rng.bool() { Event::EngineRestarts } else { Event::UpstreamRestarts };
-            let until_ms = at_ms + FAULT_MS.start;
-            steps.push(Step { at_ms, until_ms, event, pick: rng.usize(..1000) });
+        if at_ms % CYCLE_MS < FAULT_PHASE_MS {
+            let action = if rng.bool() { Action::EngineRestarts } else { Action::UpstreamRestarts };
+            let until_ms = at_ms + FAULT_DURATION_MS.start;
+            steps.push(Step { at_ms, until_ms, action, pick: rng.usize(..1000) });
         }
-        at_ms += rng.u64(RESTART_PAUSE_MS);
+        at_ms += rng.u64(RESTART_INTERVAL_MS);
     }
     steps
 }
@@ -353,31 +353,31 @@
 /// Weights on the move, from a fourth stream: versions are named all the time, and for a
 /// part of it boxes go in series and engines are in trouble.
 #[must_use]
-pub fn moves(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut rng = fastrand::Rng::with_seed(seed ^ FOURTH_STREAM);
+pub fn weights_steps(seed: u64, length_ms: u64) -> Vec<Step> {
+    let mut rng = fastrand::Rng::with_seed(seed ^ WEIGHTS_SEED_MASK);
     let mut steps = Vec::new();
-    let mut at_ms = rng.u64(NAMING_PAUSE_MS);
+    let mut at_ms = rng.u64(WEIGHTS_NAMED_INTERVAL_MS);
     while at_ms < length_ms {
-        steps.push(Step { at_ms, until_ms: at_ms, event: Event::WeightsNamed, pick: 0 });
-        at_ms += rng.u64(NAMING_PAUSE_MS);
+        steps.push(Step { at_ms, until_ms: at_ms, action: Action::WeightsNamed, pick: 0 });
+        at_ms += rng.u64(WEIGHTS_NAMED_INTERVAL_MS);
     }
-    let mut begin_ms = rng.u64(MOVE_PAUSE_MS);
+    let mut begin_ms = rng.u64(WEIGHTS_STEP_INTERVAL_MS);
     while begin_ms < length_ms {
-        let end_ms = begin_ms / MOVES_CYCLE_MS * MOVES_CYCLE_MS + MOVES_MS;
-        let event = MOVED[rng.usize(..MOVED.len())];
-        let of_boxes = matches!(event, Event::BoxStopped | Event::BoxKilled | Event::BoxPaused);
-        let times = if of_boxes { rng.u64(MOVES) } else { 1 };
-        let (apart_ms, first) = (rng.u64(MOVE_APART_MS), rng.usize(..LEADER));
+        let end_ms = begin_ms / WEIGHTS_CYCLE_MS * WEIGHTS_CYCLE_MS + WEIGHTS_FAULT_PHASE_MS;
+        let action = WEIGHTS_STEPS[rng.usize(..WEIGHTS_STEPS.len())];
+        let of_boxes = matches!(action, Action::BoxStopped | Action::BoxKilled | Action::BoxPaused);
+        let times = if of_boxes { rng.u64(WEIGHTS_SERIES_STEPS) } else { 1 };
+        let (apart_ms, first) = (rng.u64(WEIGHTS_SERIES_INTERVAL_MS), rng.usize(..PICK_LEADER));
         let of_leader = of_boxes && rng.bool();
         for (turn, next) in (0..times).zip(first..) {
-            let pick = if of_leader { LEADER } else { next % LEADER };
+            let pick = if of_leader { PICK_LEADER } else { next % PICK_LEADER };
             let at_ms = begin_ms + turn * apart_ms;
-            let until_ms = (at_ms + rng.u64(FAULT_MS)).min(end_ms);
-            if at_ms + FAULT_MS.start <= end_ms {
-                steps.push(Step { at_ms, until_ms, event, pick });
+            let until_ms = (at_ms + rng.u64(FAULT_DURATION_MS)).min(end_ms);
+            if at_ms + FAULT_DURATION_MS.start <= end_ms {
+                steps.push(Step { at_ms, until_ms, action, pick });
             }
         }
-        begin_ms += rng.u64(MOVE_PAUSE_MS);
+        begin_ms += rng.u64(WEIGHTS_STEP_INTERVAL_MS);
     }
     steps
 }
@@ -385,17 +385,17 @@
 /// Upstreams that say what they want in their answers, from a fifth stream, beside boxes and a
 /// store that go away.
 #[must_use]
-pub fn words(seed: u64, length_ms: u64) -> Vec<Step> {
-    let mut rng = fastrand::Rng::with_seed(seed ^ FIFTH_STREAM);
+pub fn announcement_steps(seed: u64, length_ms: u64) -> Vec<Step> {
+    let mut rng = fastrand::Rng::with_seed(seed ^ ANNOUNCEMENT_SEED_MASK);
     let mut steps = Vec::new();
-    let mut at_ms = rng.u64(WORD_PAUSE_MS);
+    let mut at_ms = rng.u64(ANNOUNCEMENT_INTERVAL_MS);
     while at_ms < length_ms {
-        if at_ms % WORDS_CYCLE_MS < WORDS_MS {
-            let event = WORDS[rng.usize(..WORDS.len())];
-            let until_ms = at_ms + rng.u64(FAULT_MS);
-            steps.push(Step { at_ms, until_ms, event, pick: rng.usize(..1000) });
+        if at_ms % ANNOUNCEMENT_CYCLE_MS < ANNOUNCEMENT_PHASE_MS {
+            let action = ANNOUNCEMENT_STEPS[rng.usize(..ANNOUNCEMENT_STEPS.len())];
+            let until_ms = at_ms + rng.u64(FAULT_DURATION_MS);
+            steps.push(Step { at_ms, until_ms, action, pick: rng.usize(..1000) });
         }
-        at_ms += rng.u64(WORD_PAUSE_MS);
+        at_ms += rng.u64(ANNOUNCEMENT_INTERVAL_MS);
     }
     steps
 }
@@ -403,7 +403,7 @@
 /// When all must go by what the store took at `from_ms`: `bound_ms` later, or that long
 /// after the end of the faults that come up to then.
 #[must_use]
-pub fn known_by_ms(
+pub fn applied_by_ms(
     steps: &[Step],
     from_ms: u64,
     bound_ms: u64,
@@ -423,8 +423,8 @@
 
 /// Whether nothing unplanned has an effect between two times.
 #[must_use]
-pub fn is_calm(steps: &[Step], from_ms: u64, to_ms: u64) -> bool {
+pub fn is_undisturbed(steps: &[Step], from_ms: u64, to_ms: u64) -> bool {
     !steps.iter().any(|step| {
-        step.is_unplanned() && step.at_ms <= to_ms && step.until_ms + AFTERMATH_MS >= from_ms
+        step.is_unplanned() && step.at_ms <= to_ms && step.until_ms + FAULT_EFFECT_MS >= from_ms
     })
 }
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -10,27 +10,27 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-use crate::plan::Link;
+use crate::plan::LinkState;
 
 /// How late each piece of a delayed connection comes.
-pub const DELAY: Duration = Duration::from_millis(120);
+pub const LINK_DELAY: Duration = Duration::from_millis(120);
 /// Most bytes that are passed on at once.
-const PIECE_BYTES: usize = 4096;
+const BUFFER_BYTES: usize = 4096;
 
 /// What holds for the connections of a proxy.
 #[derive(Clone, Copy, Default)]
-struct Condition {
-    link: Link,
+struct ProxyState {
+    link: LinkState,
     /// Connections that are older than this count are silent for good.
-    silenced: u64,
+    silence_count: u64,
 }
 
 /// A proxy before one address.
 pub struct Proxy {
     /// Its own address.
     pub address: String,
-    condition: watch::Sender<Condition>,
-    accepting: JoinHandle<()>,
+    condition: watch::Sender<ProxyState>,
+    acceptor: JoinHandle<()>,
 }
 
 impl Proxy {
@@ -49,86 +49,89 @@
     pub async fn start_at(address: &str, target: &str) -> Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?.to_string();
-        let condition = watch::Sender::<Condition>::default();
+        let condition = watch::Sender::<ProxyState>::default();
         let (state, target) = (condition.subscribe(), target.to_owned());
-        let accepting = tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(pass(near, target.clone(), state.clone()));
+        let acceptor = tokio::spawn(async move {
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(forward_connection(client, target.clone(), state.clone()));
             }
         });
-        Ok(Self { address, condition, accepting })
+        Ok(Self { address, condition, acceptor })
     }
 
     /// Spoils connections, or ends that.
-    pub fn set(&self, link: Link) {
+    pub fn set(&self, link: LinkState) {
         self.condition.send_modify(|condition| condition.link = link);
     }
 
     /// Silences the connections that are open now, for good. Neither end is told,
     /// and new connections work.
     pub fn silence(&self) {
-        self.condition.send_modify(|condition| condition.silenced += 1);
+        self.condition.send_modify(|condition| condition.silence_count += 1);
     }
 }
 
 impl Drop for Proxy {
     fn drop(&mut self) {
-        self.accepting.abort();
+        self.acceptor.abort();
     }
 }
 
-async fn pass(near: TcpStream, target: String, state: watch::Receiver<Condition>) {
-    let begun = state.borrow().silenced;
+async fn forward_connection(client: TcpStream, target: String, state: watch::Receiver<ProxyState>) {
+    let count_at_start = state.borrow().silence_count;
     // The far side sees a reset, and not an end in good order.
-    if SockRef::from(&near).set_linger(Some(Duration::ZERO)).is_err() {
+    if SockRef::from(&client).set_linger(Some(Duration::ZERO)).is_err() {
         return;
     }
-    if state.borrow().link == Link::Reset {
+    if state.borrow().link == LinkState::Reset {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else { return };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (from_near, to_near) = near.into_split();
-    let (from_far, to_far) = far.into_split();
-    let copying = async {
+    let Ok(target_stream) = TcpStream::connect(target).await else { return };
+    let _ = (client.set_nodelay(true), target_stream.set_nodelay(true));
+    let (from_client, to_client) = client.into_split();
+    let (from_target, to_target) = target_stream.into_split();
+    let forwarding = async {
         tokio::join!(
-            copy(from_near, to_far, state.clone(), true),
-            copy(from_far, to_near, state.clone(), false),
+            forward_bytes(from_client, to_target, state.clone(), true),
+            forward_bytes(from_target, to_client, state.clone(), false),
         )
     };
-    tokio::pin!(copying);
-    let (mut reset, mut silenced) = (state.clone(), state.clone());
+    tokio::pin!(forwarding);
+    let (mut reset, mut silence_count) = (state.clone(), state.clone());
     let goes_silent = tokio::select! {
-        _ = &mut copying => false,
-        _ = reset.wait_for(|condition| condition.link == Link::Reset) => false,
-        _ = silenced.wait_for(|condition| condition.silenced > begun) => true,
+        _ = &mut forwarding => false,
+        _ = reset.wait_for(|condition| condition.link == LinkState::Reset) => false,
+        _ = silence_count.wait_for(|condition| condition.silence_count > count_at_start) => true,
     };
     // Both sockets stay open, unread, until the proxy is gone.
-    while goes_silent && silenced.changed().await.is_ok() {}
+    while goes_silent && silence_count.changed().await.is_ok() {}
 }
 
 /// Passes pieces on in one direction until it ends.
-async fn copy(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut state: watch::Receiver<Condition>,
-    from_near: bool,
+    mut state: watch::Receiver<ProxyState>,
+    from_client: bool,
 ) -> Result<()> {
-    let mut piece = [0; PIECE_BYTES];
+    let mut buffer = [0; BUFFER_BYTES];
     loop {
-        let length = from.read(&mut piece).await?;
-        let moves = |condition: &Condition| {
-            !matches!((condition.link, from_near), (Link::Silent, _) | (Link::OneWay, true))
+        let length = from.read(&mut buffer).await?;
+        let is_open = |condition: &ProxyState| {
+            !matches!(
+                (condition.link, from_client),
+                (LinkState::Silent, _) | (LinkState::OneWay, true)
+            )
         };
-        if state.wait_for(moves).await.is_err() {
+        if state.wait_for(is_open).await.is_err() {
             return Ok(());
         }
-        if state.borrow().link == Link::Delayed {
-            tokio::time::sleep(DELAY).await;
+        if state.borrow().link == LinkState::Delayed {
+            tokio::time::sleep(LINK_DELAY).await;
         }
         if length == 0 {
             return to.shutdown().await;
         }
-        to.write_all(&piece[..length]).await?;
+        to.write_all(&buffer[..length]).await?;
     }
 }
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -11,28 +11,28 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::{Away, ENGINE_SERVICE, Leave, Reborn, World};
-use crate::plan::{Event, LEADER, LastWord, Link, Way};
+use super::{BoxOutage, ENGINE_SERVICE, UpstreamLeave, UpstreamRestart, World};
+use crate::plan::{Action, ConnectionGroup, LastChange, LinkState, PICK_LEADER};
 use crate::proxy::Proxy;
 
 /// Time for which an upstream is about to leave at least: beyond the two seconds
 /// in which it may still get work.
-const LEAVES: Duration = Duration::from_secs(3);
+const MIN_LEAVE: Duration = Duration::from_secs(3);
 /// The store falls silent less than this many milliseconds after a change: within
 /// that time boxes have asked for the next one.
-const SILENT_AFTER_MS: usize = 25;
+const SILENCE_DELAY_MS: usize = 25;
 /// How often a box that is to stop is looked at.
 const STOP_POLL: Duration = Duration::from_millis(20);
 /// Least time for which an upstream wants no requests.
 const REST: Duration = Duration::from_millis(800);
 /// Answers that an upstream spoils at a time.
-const ACTS: usize = 5;
+const MISBEHAVING_ANSWERS: usize = 5;
 /// Least time after which an unanswered order is carried out, and what is added for each
 /// of a thousand picks.
-const LATE: Duration = Duration::from_millis(300);
-const LATE_STEP: Duration = Duration::from_micros(2700);
+const MIN_ORDER_DELAY: Duration = Duration::from_millis(300);
+const ORDER_DELAY_PER_PICK: Duration = Duration::from_micros(2700);
 /// One restart of an engine in so many is told by no entry.
-const UNTOLD_ONE_IN: usize = 3;
+const UNANNOUNCED_ONE_IN: usize = 3;
 /// What an upstream may do in place of an answer.
 const MISBEHAVIOUR: [Behavior; 10] = [
     Behavior::NotRun,
@@ -49,98 +49,102 @@
 
 impl World {
     /// Has something happen for a while.
-    pub async fn happen(&self, event: Event, pick: usize, time: Duration) {
-        let number = if pick == LEADER { self.leader() } else { pick % self.boxes.len() };
-        let (one_box, from_ms) = (&self.boxes[number], now_ms());
+    pub async fn apply(&self, action: Action, pick: usize, time: Duration) {
+        let number = if pick == PICK_LEADER { self.leader() } else { pick % self.boxes.len() };
+        let (gateway_box, from_ms) = (&self.boxes[number], now_ms());
         let upstream = &self.upstreams[pick % self.upstreams.len()];
-        match event {
-            Event::BoxKilled => restart(&one_box.process, time).await,
-            Event::AllKilled => {
-                for one in &self.boxes {
-                    one.process.try_signal("-KILL");
+        match action {
+            Action::BoxKilled => kill_and_restart(&gateway_box.process, time).await,
+            Action::AllKilled => {
+                for gateway_box in &self.boxes {
+                    gateway_box.process.try_signal("-KILL");
                 }
                 sleep(time).await;
-                self.start_ended();
+                self.start_ended_boxes();
             }
-            Event::BoxPaused => {
-                one_box.process.try_signal("-STOP");
+            Action::BoxPaused => {
+                gateway_box.process.try_signal("-STOP");
                 sleep(time).await;
-                one_box.process.try_signal("-CONT");
+                gateway_box.process.try_signal("-CONT");
             }
-            Event::StoreBusy => self.trouble(StoreFault::Unavailable, time).await,
-            Event::StoreSilent => self.trouble(StoreFault::Unresponsive, time).await,
-            Event::StoreLosesAnswers => self.trouble(StoreFault::WriteAnswersLost, time).await,
-            Event::StoreForgets => self.site.metadata.compact(),
-            Event::StoreLink(link) => spoil(&one_box.store, link, time).await,
-            Event::StoreSilentAfter(word) => self.store_silent_after(word, pick, time).await,
-            Event::Silenced(way) => self.silence(way),
-            Event::PeersLink(link, side) => {
+            Action::StoreBusy => self.disrupt_metadata(StoreFault::Unavailable, time).await,
+            Action::StoreSilent => self.disrupt_metadata(StoreFault::Unresponsive, time).await,
+            Action::StoreLosesAnswers => {
+                self.disrupt_metadata(StoreFault::WriteAnswersLost, time).await
+            }
+            Action::StoreForgets => self.site.metadata.compact(),
+            Action::StoreLink(link) => set_link_for(&gateway_box.metadata_proxy, link, time).await,
+            Action::StoreSilentAfter(change) => self.store_silent_after(change, pick, time).await,
+            Action::Silenced(group) => self.silence(group),
+            Action::PeersLink(link, side) => {
                 self.mesh.set(pick % self.boxes.len(), side, link);
                 sleep(time).await;
-                self.mesh.set(pick % self.boxes.len(), side, Link::Sound);
+                self.mesh.set(pick % self.boxes.len(), side, LinkState::Sound);
             }
-            Event::UpstreamLink(link) => spoil(&upstream.proxy, link, time).await,
-            Event::UpstreamMisbehaves => {
+            Action::UpstreamLink(link) => set_link_for(&upstream.proxy, link, time).await,
+            Action::UpstreamMisbehaves => {
                 let mut acts = MISBEHAVIOUR;
                 acts.rotate_left(pick % MISBEHAVIOUR.len());
-                upstream.process.script(&acts[..ACTS]);
+                upstream.process.script(&acts[..MISBEHAVING_ANSWERS]);
                 sleep(time).await;
                 upstream.process.clear_script();
             }
-            Event::UpstreamRests => {
+            Action::UpstreamRests => {
                 upstream.process.script(&[Behavior::RetryAfter(REST + time), Behavior::Answer]);
             }
-            Event::UpstreamSaysLeaving => {
+            Action::UpstreamSaysLeaving => {
                 upstream.process.script(&[Behavior::Leaving, Behavior::Leaving]);
-                sleep(time + LEAVES).await;
+                sleep(time + MIN_LEAVE).await;
                 self.restart_upstream(pick, Duration::ZERO).await;
             }
-            Event::BoxStopped => {
-                let pid = one_box.process.pid();
-                one_box.process.try_signal("-TERM");
+            Action::BoxStopped => {
+                let pid = gateway_box.process.pid();
+                gateway_box.process.try_signal("-TERM");
                 // Another step may have started it again meanwhile.
-                while one_box.process.pid() == pid && one_box.process.is_alive() {
+                while gateway_box.process.pid() == pid && gateway_box.process.is_alive() {
                     sleep(STOP_POLL).await;
                 }
-                self.start_ended();
+                self.start_ended_boxes();
             }
-            Event::BoxReloads => one_box.process.try_signal("-HUP"),
-            Event::Configured => self.configure(1 + u64::from(pick.is_multiple_of(3)) * 4),
-            Event::WeightsNamed => self.name_weights(),
-            Event::UpstreamLeaves => self.leave(pick, time + LEAVES).await,
-            Event::UpstreamRestarts => self.restart_upstream(pick, time).await,
-            Event::EngineRestarts => self.restart_engine(pick, time).await,
-            Event::EngineOrdersLate => {
+            Action::BoxReloads => gateway_box.process.try_signal("-HUP"),
+            Action::Configured => self.set_configuration(1 + u64::from(pick.is_multiple_of(3)) * 4),
+            Action::WeightsNamed => self.name_next_weights(),
+            Action::UpstreamLeaves => self.announce_leave(pick, time + MIN_LEAVE).await,
+            Action::UpstreamRestarts => self.restart_upstream(pick, time).await,
+            Action::EngineRestarts => self.restart_engine(pick, time).await,
+            Action::EngineOrdersLate => {
                 let engine = &self.engines[pick % self.engines.len()].process;
-                engine.delay_orders(Some(LATE + LATE_STEP * u32::try_from(pick).unwrap_or(0)));
+                engine.delay_orders(Some(
+                    MIN_ORDER_DELAY + ORDER_DELAY_PER_PICK * u32::try_from(pick).unwrap_or(0),
+                ));
                 sleep(time).await;
                 engine.delay_orders(None);
             }
-            Event::EngineHangs => {
+            Action::EngineHangs => {
                 let time_ms = u64::try_from(time.as_millis()).unwrap_or_default();
                 self.engines[pick % self.engines.len()].process.hang_until(now_ms() + time_ms);
             }
         }
-        let gone = match event {
-            Event::AllKilled => 0..self.boxes.len(),
-            Event::BoxKilled | Event::BoxPaused | Event::BoxStopped => number..number + 1,
+        let gone = match action {
+            Action::AllKilled => 0..self.boxes.len(),
+            Action::BoxKilled | Action::BoxPaused | Action::BoxStopped => number..number + 1,
             _ => 0..0,
         };
-        let (times_ms, paused) = (from_ms..=now_ms(), event == Event::BoxPaused);
-        let away = |box_number| Away { box_number, times_ms: times_ms.clone(), paused };
-        self.aways().extend(gone.map(away));
+        let (times_ms, paused) = (from_ms..=now_ms(), action == Action::BoxPaused);
+        let outage = |box_number| BoxOutage { box_number, times_ms: times_ms.clone(), paused };
+        self.box_outages().extend(gone.map(outage));
     }
 
     /// Has an upstream start again under its id: its connections break, and its entry tells
     /// of another start.
     async fn restart_upstream(&self, pick: usize, time: Duration) {
         let number = pick % self.upstreams.len();
-        spoil(&self.upstreams[number].proxy, Link::Reset, time).await;
-        self.starts_ms[number].store(now_ms(), Ordering::SeqCst);
-        let is_leaving = self.leaving[number].load(Ordering::SeqCst) > 0;
-        self.enter(number, if is_leaving { "draining" } else { "ready" });
+        set_link_for(&self.upstreams[number].proxy, LinkState::Reset, time).await;
+        self.restarted_at_ms[number].store(now_ms(), Ordering::SeqCst);
+        let is_leaving = self.pending_leaves[number].load(Ordering::SeqCst) > 0;
+        self.publish_upstream(number, if is_leaving { "draining" } else { "ready" });
         let id = self.upstreams[number].process.id.clone();
-        self.reborn().push(Reborn { id, at: Instant::now() });
+        self.upstream_restarts().push(UpstreamRestart { id, at: Instant::now() });
     }
 
     /// Has an engine start again under its id. Mostly its entry tells of it, also of the
@@ -149,11 +153,12 @@
     async fn restart_engine(&self, pick: usize, time: Duration) {
         let number = pick % self.engines.len();
         let engine = &self.engines[number];
-        let is_told = !(pick / self.engines.len()).is_multiple_of(UNTOLD_ONE_IN);
-        let version = if is_told && !self.moving { 1 } else { engine.process.version() };
+        let is_announced = !(pick / self.engines.len()).is_multiple_of(UNANNOUNCED_ONE_IN);
+        let version =
+            if is_announced && !self.weights_change { 1 } else { engine.process.version() };
         engine.process.restart(version);
-        spoil(&engine.proxy, Link::Reset, time).await;
-        if !is_told {
+        set_link_for(&engine.proxy, LinkState::Reset, time).await;
+        if !is_announced {
             return;
         }
         let mut entry = engine_entry(ENGINE_SERVICE, &engine.proxy.address, MODEL, version);
@@ -163,72 +168,72 @@
     }
 
     /// Has an upstream be about to leave for a while.
-    async fn leave(&self, pick: usize, time: Duration) {
+    async fn announce_leave(&self, pick: usize, time: Duration) {
         let number = pick % self.upstreams.len();
-        let leaving = &self.leaving[number];
-        leaving.fetch_add(1, Ordering::SeqCst);
+        let pending_leaves = &self.pending_leaves[number];
+        pending_leaves.fetch_add(1, Ordering::SeqCst);
         let from = Instant::now();
-        self.enter(number, "draining");
+        self.publish_upstream(number, "draining");
         sleep(time).await;
         let id = self.upstreams[number].process.id.clone();
-        self.leaves().push(Leave { id, from, until: Instant::now() });
+        self.upstream_leaves().push(UpstreamLeave { id, from, until: Instant::now() });
         // Other steps may go on.
-        if leaving.fetch_sub(1, Ordering::SeqCst) == 1 {
-            self.enter(number, "ready");
+        if pending_leaves.fetch_sub(1, Ordering::SeqCst) == 1 {
+            self.publish_upstream(number, "ready");
         }
     }
 
     /// Has the store take a change and say nothing soon after.
-    async fn store_silent_after(&self, word: LastWord, pick: usize, time: Duration) {
+    async fn store_silent_after(&self, change: LastChange, pick: usize, time: Duration) {
         let silent = async {
-            let pause_ms = u64::try_from(pick % SILENT_AFTER_MS).unwrap_or_default();
+            let pause_ms = u64::try_from(pick % SILENCE_DELAY_MS).unwrap_or_default();
             sleep(Duration::from_millis(pause_ms)).await;
-            self.trouble(StoreFault::Unresponsive, time).await;
+            self.disrupt_metadata(StoreFault::Unresponsive, time).await;
         };
-        match word {
-            LastWord::Configuration => {
-                self.configure(1);
+        match change {
+            LastChange::Configuration => {
+                self.set_configuration(1);
                 silent.await;
             }
-            LastWord::Leave => {
-                tokio::join!(self.leave(pick, time + LEAVES), silent);
+            LastChange::Leave => {
+                tokio::join!(self.announce_leave(pick, time + MIN_LEAVE), silent);
             }
         }
     }
 
     /// Silences open connections.
-    fn silence(&self, way: Way) {
-        let on = |one| way == one || way == Way::All;
-        for one in self.boxes.iter().filter(|_| on(Way::Store)) {
-            one.store.silence();
+    fn silence(&self, group: ConnectionGroup) {
+        let includes = |affected| group == affected || group == ConnectionGroup::All;
+        for gateway_box in self.boxes.iter().filter(|_| includes(ConnectionGroup::Store)) {
+            gateway_box.metadata_proxy.silence();
         }
-        for one in self.boxes.iter().filter(|_| on(Way::Callers)) {
-            one.callers.silence();
+        for gateway_box in self.boxes.iter().filter(|_| includes(ConnectionGroup::Callers)) {
+            gateway_box.client_proxy.silence();
         }
-        if on(Way::Upstreams) {
-            self.upstreams.iter().for_each(|one| one.proxy.silence());
-            self.engines.iter().for_each(|one| one.proxy.silence());
+        if includes(ConnectionGroup::Upstreams) {
+            self.upstreams.iter().for_each(|upstream| upstream.proxy.silence());
+            self.engines.iter().for_each(|engine| engine.proxy.silence());
         }
-        if on(Way::Peers) {
+        if includes(ConnectionGroup::Peers) {
             self.mesh.silence();
         }
     }
 
-    async fn trouble(&self, trouble: StoreFault, time: Duration) {
+    async fn disrupt_metadata(&self, trouble: StoreFault, time: Duration) {
         self.site.metadata.set_fault(trouble);
         sleep(time).await;
         self.site.metadata.set_fault(StoreFault::None);
     }
 }
 
-async fn restart(process: &Gateway, time: Duration) {
+async fn kill_and_restart(process: &Gateway, time: Duration) {
     process.try_signal("-KILL");
     sleep(time).await;
     process.restart_if_exited();
 }
 
-async fn spoil(proxy: &Proxy, link: Link, time: Duration) {
+async fn set_link_for(proxy: &Proxy, link: LinkState, time: Duration) {
     proxy.set(link);
     sleep(time).await;
-    proxy.set(Link::Sound);
+    proxy.set(LinkState::Sound);
 }
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -17,9 +17,9 @@
 };
 use serde_json::{Value, json};
 
-use crate::frail::{self, Frail};
+use crate::crashing::{self, CrashingUpstreams};
 use crate::mesh::Mesh;
-use crate::plan::Link;
+use crate::plan::LinkState;
 use crate::proxy::Proxy;
 
 /// Plain upstreams.
@@ -27,11 +27,11 @@
 /// Model engines.
 const ENGINES: usize = 3;
 /// Model engines when weights are on the move: half of them may load at a time.
-const MOVING_ENGINES: usize = 4;
+const ENGINES_WITH_WEIGHTS_CHANGES: usize = 4;
 /// Pause between orders of two holders then, and time in which weights must be everywhere:
 /// half of what the platform asks.
-const MOVING_LEASE_MS: u64 = 1500;
-const MOVING_APPLY_MS: u64 = 5000;
+const WEIGHTS_CHANGES_LEASE_MS: u64 = 1500;
+const WEIGHTS_CHANGES_APPLY_MS: u64 = 5000;
 /// Halls, which boxes are dealt to in turn.
 const HALLS: [&str; 3] = ["north", "east", "west"];
 /// Service of the engines.
@@ -48,18 +48,18 @@
 }
 
 /// A box.
-pub struct OneBox {
+pub struct GatewayBox {
     /// The process.
     pub process: Gateway,
     /// The proxy before the store.
-    pub store: Proxy,
+    pub metadata_proxy: Proxy,
     /// The proxy before the box, which callers use.
-    pub callers: Proxy,
+    pub client_proxy: Proxy,
 }
 
 /// The newest configuration.
 #[derive(Clone, Copy)]
-pub struct Newest {
+pub struct NewestConfiguration {
     /// Its version.
     pub version: u64,
     /// When the store had taken it.
@@ -67,7 +67,7 @@
 }
 
 /// A time for which an upstream was about to leave.
-pub struct Leave {
+pub struct UpstreamLeave {
     /// Id of the upstream.
     pub id: String,
     /// When the store had taken it.
@@ -77,7 +77,7 @@
 }
 
 /// A time for which a box was stopped, killed or paused, in Unix milliseconds.
-pub struct Away {
+pub struct BoxOutage {
     /// The box.
     pub box_number: usize,
     /// From the signal until it runs again.
@@ -91,33 +91,33 @@
     /// The platform.
     pub site: Site,
     /// Boxes.
-    pub boxes: Vec<OneBox>,
+    pub boxes: Vec<GatewayBox>,
     /// Plain upstreams.
     pub upstreams: Vec<Proxied<Server>>,
     /// Engines.
     pub engines: Vec<Proxied<Engine>>,
     mesh: Mesh,
-    newest: Mutex<Newest>,
+    newest: Mutex<NewestConfiguration>,
     /// Whether weights are on the move: engines get requests, and keep their weights when
     /// they start again.
-    pub moving: bool,
+    pub weights_change: bool,
     /// When each version of the weights was named, from the first, in Unix milliseconds.
-    named_ms: Mutex<Vec<u64>>,
-    aways: Mutex<Vec<Away>>,
-    leaves: Mutex<Vec<Leave>>,
+    weights_named_at_ms: Mutex<Vec<u64>>,
+    box_outages: Mutex<Vec<BoxOutage>>,
+    upstream_leaves: Mutex<Vec<UpstreamLeave>>,
     /// For each upstream, the steps in which it is about to leave.
-    leaving: Vec<AtomicUsize>,
+    pending_leaves: Vec<AtomicUsize>,
     /// For each upstream, the start that its entry tells; none at first.
-    starts_ms: Vec<AtomicU64>,
+    restarted_at_ms: Vec<AtomicU64>,
     /// Upstreams that crash under one request, if there are any.
-    pub frail: Option<Frail>,
+    pub crashing: Option<CrashingUpstreams>,
     /// When upstreams started again under their ids.
-    reborn: Mutex<Vec<Reborn>>,
+    upstream_restarts: Mutex<Vec<UpstreamRestart>>,
 }
 
 /// An upstream that started again under its id.
 #[derive(Clone)]
-pub struct Reborn {
+pub struct UpstreamRestart {
     /// Its id.
     pub id: String,
     /// When its entry told of it.
@@ -132,30 +132,30 @@
 
 /// A configuration; if `with_runs`, with a route to the engines, and if `with_frail` to the
 /// upstreams that crash.
-fn configuration(version: u64, with_runs: bool, with_frail: bool) -> Value {
+fn configuration(version: u64, with_engine_route: bool, with_crashing: bool) -> Value {
     let mut document = config_document(version);
-    let mut own = document["routes"][0].clone();
-    own["name"] = json!(format!("version-{version}"));
-    own["path_prefix"] = json!(version_path(version));
-    let mut to_engines = document["routes"][2].clone();
-    to_engines["name"] = json!("run");
-    to_engines["path_prefix"] = json!(RUN_PATH);
-    to_engines["service"] = json!(ENGINE_SERVICE);
+    let mut version_route = document["routes"][0].clone();
+    version_route["name"] = json!(format!("version-{version}"));
+    version_route["path_prefix"] = json!(version_path(version));
+    let mut engine_route = document["routes"][2].clone();
+    engine_route["name"] = json!("run");
+    engine_route["path_prefix"] = json!(RUN_PATH);
+    engine_route["service"] = json!(ENGINE_SERVICE);
     if let Some(routes) = document["routes"].as_array_mut() {
-        routes.push(own);
-        routes.extend(with_runs.then_some(to_engines));
+        routes.push(version_route);
+        routes.extend(with_engine_route.then_some(engine_route));
     }
     let mut service = json!({ "name": ENGINE_SERVICE, "health_path": "/health",
         "max_conns": 100, "protocol": "h1", "tls": false });
-    if with_runs {
+    if with_engine_route {
         service = engine_services(None)[0].take();
         service["name"] = json!(ENGINE_SERVICE);
     }
     if let Some(services) = document["services"].as_array_mut() {
         services.push(service);
     }
-    if with_frail {
-        frail::add(&mut document);
+    if with_crashing {
+        crashing::add_route(&mut document);
     }
     document
 }
@@ -165,11 +165,12 @@
     ///
     /// # Errors
     /// Fails when an address cannot be had.
-    pub async fn start(boxes: usize, moving: bool, with_frail: bool) -> Result<Self> {
+    pub async fn start(boxes: usize, weights_change: bool, with_crashing: bool) -> Result<Self> {
         let mut site = Site::start().await;
         site.distinct_peer_ports = true;
-        if moving {
-            (site.lease_ms, site.weights_apply_ms) = (MOVING_LEASE_MS, MOVING_APPLY_MS);
+        if weights_change {
+            (site.lease_ms, site.weights_apply_ms) =
+                (WEIGHTS_CHANGES_LEASE_MS, WEIGHTS_CHANGES_APPLY_MS);
         }
         let mut upstreams = Vec::new();
         for number in 0..UPSTREAMS {
@@ -179,7 +180,7 @@
             upstreams.push(Proxied { process, proxy });
         }
         let mut engines = Vec::new();
-        for number in 0..if moving { MOVING_ENGINES } else { ENGINES } {
+        for number in 0..if weights_change { ENGINES_WITH_WEIGHTS_CHANGES } else { ENGINES } {
             let process = Engine::start().await;
             let proxy = Proxy::start(&process.address).await?;
             let entry = engine_entry(ENGINE_SERVICE, &proxy.address, MODEL, 1);
@@ -187,23 +188,26 @@
             engines.push(Proxied { process, proxy });
         }
         site.set_weight_version(MODEL, 1);
-        let frail = if with_frail { Some(Frail::start(&site).await) } else { None };
-        site.configure(&configuration(1, moving, with_frail));
-        let newest = Mutex::new(Newest { version: 1, stored_at: Instant::now() });
-        let mut started: Vec<OneBox> = Vec::new();
+        let crashing =
+            if with_crashing { Some(CrashingUpstreams::start(&site).await) } else { None };
+        site.configure(&configuration(1, weights_change, with_crashing));
+        let newest = Mutex::new(NewestConfiguration { version: 1, stored_at: Instant::now() });
+        let mut started: Vec<GatewayBox> = Vec::new();
         for number in 0..boxes {
-            let store = Proxy::start(&site.metadata.address).await?;
-            let seeds: Vec<&Gateway> = started.iter().take(2).map(|one| &one.process).collect();
+            let metadata_proxy = Proxy::start(&site.metadata.address).await?;
+            let seeds: Vec<&Gateway> =
+                started.iter().take(2).map(|started| &started.process).collect();
             let hall = HALLS[number % HALLS.len()];
-            let process = site.gateway_at(hall, &seeds, &store.address);
-            let callers = Proxy::start(&process.clients).await?;
-            started.push(OneBox { process, store, callers });
+            let process = site.gateway_at(hall, &seeds, &metadata_proxy.address);
+            let client_proxy = Proxy::start(&process.clients).await?;
+            started.push(GatewayBox { process, metadata_proxy, client_proxy });
         }
-        let peers: Vec<&str> = started.iter().map(|one| one.process.peers.as_str()).collect();
+        let peers: Vec<&str> =
+            started.iter().map(|started| started.process.peers.as_str()).collect();
         let mesh = Mesh::start(&peers).await?;
-        let named_ms = Mutex::new(vec![now_ms()]);
-        let leaving = upstreams.iter().map(|_| AtomicUsize::default()).collect();
-        let starts_ms = upstreams.iter().map(|_| AtomicU64::default()).collect();
+        let weights_named_at_ms = Mutex::new(vec![now_ms()]);
+        let pending_leaves = upstreams.iter().map(|_| AtomicUsize::default()).collect();
+        let restarted_at_ms = upstreams.iter().map(|_| AtomicU64::default()).collect();
         Ok(Self {
             site,
             boxes: started,
@@ -211,49 +215,49 @@
             engines,
             mesh,
             newest,
-            moving,
-            named_ms,
-            aways: Mutex::default(),
-            leaves: Mutex::default(),
-            leaving,
-            starts_ms,
-            frail,
-            reborn: Mutex::default(),
+            weights_change,
+            weights_named_at_ms,
+            box_outages: Mutex::default(),
+            upstream_leaves: Mutex::default(),
+            pending_leaves,
+            restarted_at_ms,
+            crashing,
+            upstream_restarts: Mutex::default(),
         })
     }
 
     /// When upstreams were about to leave.
-    pub fn leaves(&self) -> MutexGuard<'_, Vec<Leave>> {
-        self.leaves.lock().expect("no task panics under the lock")
+    pub fn upstream_leaves(&self) -> MutexGuard<'_, Vec<UpstreamLeave>> {
+        self.upstream_leaves.lock().expect("no task panics under the lock")
     }
 
     /// When upstreams started again under their ids.
-    pub fn reborn(&self) -> MutexGuard<'_, Vec<Reborn>> {
-        self.reborn.lock().expect("no task panics under the lock")
+    pub fn upstream_restarts(&self) -> MutexGuard<'_, Vec<UpstreamRestart>> {
+        self.upstream_restarts.lock().expect("no task panics under the lock")
     }
 
     /// When boxes were away.
-    pub fn aways(&self) -> MutexGuard<'_, Vec<Away>> {
-        self.aways.lock().expect("no task panics under the lock")
+    pub fn box_outages(&self) -> MutexGuard<'_, Vec<BoxOutage>> {
+        self.box_outages.lock().expect("no task panics under the lock")
     }
 
     /// When each version of the weights was named, from the first, in Unix milliseconds.
-    pub fn named_ms(&self) -> MutexGuard<'_, Vec<u64>> {
-        self.named_ms.lock().expect("no task panics under the lock")
+    pub fn weights_named_at_ms(&self) -> MutexGuard<'_, Vec<u64>> {
+        self.weights_named_at_ms.lock().expect("no task panics under the lock")
     }
 
     /// Names the next version of the weights.
-    fn name_weights(&self) {
+    fn name_next_weights(&self) {
         // Under the lock, the store takes versions in their order.
-        let mut named_ms = self.named_ms();
-        self.site.set_weight_version(MODEL, named_ms.len() as u64 + 1);
-        named_ms.push(now_ms());
+        let mut weights_named_at_ms = self.weights_named_at_ms();
+        self.site.set_weight_version(MODEL, weights_named_at_ms.len() as u64 + 1);
+        weights_named_at_ms.push(now_ms());
     }
 
     /// The box that was the last to take the leadership, by its log.
     fn leader(&self) -> usize {
-        let fence = |one: &OneBox| -> Option<u64> {
-            let log = one.process.log_text();
+        let fence = |gateway_box: &GatewayBox| -> Option<u64> {
+            let log = gateway_box.process.log_text();
             let (_, rest) = log.rsplit_once("event=leadership_taken fence=")?;
             rest.lines().next()?.parse().ok()
         };
@@ -263,20 +267,22 @@
 
     /// The box with a name.
     pub fn box_named(&self, name: &str) -> Option<usize> {
-        let is_named = |one: &OneBox| one.process.log.file_stem().is_some_and(|stem| stem == name);
+        let is_named = |gateway_box: &GatewayBox| {
+            gateway_box.process.log.file_stem().is_some_and(|stem| stem == name)
+        };
         self.boxes.iter().position(is_named)
     }
 
     /// The newest configuration.
-    pub fn newest(&self) -> Newest {
+    pub fn newest(&self) -> NewestConfiguration {
         *self.newest.lock().expect("no task panics under the lock")
     }
 
-    fn configure(&self, step: u64) {
+    fn set_configuration(&self, step: u64) {
         // Under the lock, the store takes versions in their order.
         let mut newest = self.newest.lock().expect("no task panics under the lock");
         newest.version += step;
-        let document = configuration(newest.version, self.moving, self.frail.is_some());
+        let document = configuration(newest.version, self.weights_change, self.crashing.is_some());
         self.site.configure(&document);
         newest.stored_at = Instant::now();
     }
@@ -284,15 +290,15 @@
     /// Engines that do not have the weights named last, with their weights.
     #[must_use]
     pub fn outdated_engines(&self) -> Vec<(usize, u64)> {
-        let named = self.named_ms().len() as u64;
+        let named = self.weights_named_at_ms().len() as u64;
         let versions = self.engines.iter().map(|engine| engine.process.version()).enumerate();
         versions.filter(|(_, version)| *version != named).collect()
     }
 
-    fn enter(&self, number: usize, state: &str) {
+    fn publish_upstream(&self, number: usize, state: &str) {
         let upstream = &self.upstreams[number];
         let mut entry = service_entry("plain", &upstream.proxy.address, state);
-        let start_ms = self.starts_ms[number].load(Ordering::SeqCst);
+        let start_ms = self.restarted_at_ms[number].load(Ordering::SeqCst);
         if start_ms > 0 {
             entry["born"] = json!(start_ms);
         }
@@ -300,26 +306,26 @@
     }
 
     /// Ends all faults.
-    pub fn heal(&self) {
+    pub fn end_faults(&self) {
         self.site.metadata.set_fault(StoreFault::None);
-        for one in &self.boxes {
-            one.process.try_signal("-CONT");
-            one.store.set(Link::Sound);
+        for gateway_box in &self.boxes {
+            gateway_box.process.try_signal("-CONT");
+            gateway_box.metadata_proxy.set(LinkState::Sound);
         }
-        self.mesh.heal();
-        self.start_ended();
-        for one in &self.engines {
-            one.proxy.set(Link::Sound);
+        self.mesh.end_faults();
+        self.start_ended_boxes();
+        for engine in &self.engines {
+            engine.proxy.set(LinkState::Sound);
         }
-        for (number, one) in self.upstreams.iter().enumerate() {
-            one.proxy.set(Link::Sound);
-            self.enter(number, "ready");
+        for (number, upstream) in self.upstreams.iter().enumerate() {
+            upstream.proxy.set(LinkState::Sound);
+            self.publish_upstream(number, "ready");
         }
     }
 
-    fn start_ended(&self) {
-        for one in &self.boxes {
-            one.process.restart_if_exited();
+    fn start_ended_boxes(&self) {
+        for gateway_box in &self.boxes {
+            gateway_box.process.restart_if_exited();
         }
     }
 }
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,6 +1,6 @@
 //! Short runs with fixed seeds, and every seed that ever failed.
 
-use coursestile_soak::{Options, Streams, run};
+use coursestile_soak::{Options, Scenario, run};
 use rstest::rstest;
 
 #[rstest]
@@ -8,7 +8,7 @@
 #[case::two(2)]
 #[tokio::test]
 async fn short_runs(#[case] seed: u64) {
-    holds(Options { seed, seconds: 10, boxes: 3, streams: Streams::First }).await;
+    assert_no_violations(Options { seed, seconds: 10, boxes: 3, scenario: Scenario::First }).await;
 }
 
 // The plan has been changed since: a seed means other steps than it did then. Steps of
@@ -23,21 +23,33 @@
 #[case::made_up_event(123)]
 #[case::made_up_event_again(151)]
 #[tokio::test]
-async fn failed_once(#[case] seed: u64) {
-    holds(Options { seed, seconds: 14, boxes: 4, streams: Streams::First }).await;
+async fn regression_seeds(#[case] seed: u64) {
+    assert_no_violations(Options { seed, seconds: 14, boxes: 4, scenario: Scenario::First }).await;
 }
 
 // All boxes' watches were lost: the store fell silent right after a change had ended
 // them and they had been sent again. They hung for seconds after its return.
 #[tokio::test]
-async fn watches_lost() {
-    holds(Options { seed: 9121, seconds: 14, boxes: 4, streams: Streams::Silences }).await;
+async fn watches_lost_in_metadata_silence() {
+    assert_no_violations(Options {
+        seed: 9121,
+        seconds: 14,
+        boxes: 4,
+        scenario: Scenario::Silences,
+    })
+    .await;
 }
 
 // The same, and upstreams that said meanwhile that they leave still got work.
 #[tokio::test]
-async fn leaves_missed() {
-    holds(Options { seed: 9322, seconds: 14, boxes: 4, streams: Streams::Silences }).await;
+async fn leaves_during_metadata_silence() {
+    assert_no_violations(Options {
+        seed: 9322,
+        seconds: 14,
+        boxes: 4,
+        scenario: Scenario::Silences,
+    })
+    .await;
 }
 
 #[rstest]
@@ -45,21 +57,34 @@
 #[case::two(32)]
 #[tokio::test]
 async fn with_restarts(#[case] seed: u64) {
-    holds(Options { seed, seconds: 12, boxes: 3, streams: Streams::Restarts }).await;
+    assert_no_violations(Options { seed, seconds: 12, boxes: 3, scenario: Scenario::Restarts })
+        .await;
 }
 
 // The soak itself: an engine lost its weights and told nobody, which the platform rules out.
 #[tokio::test]
-async fn weights_lost_untold() {
-    holds(Options { seed: 12041, seconds: 14, boxes: 4, streams: Streams::Restarts }).await;
+async fn engine_restarts_keep_weights() {
+    assert_no_violations(Options {
+        seed: 12041,
+        seconds: 14,
+        boxes: 4,
+        scenario: Scenario::Restarts,
+    })
+    .await;
 }
 
 // Boxes go in series, the leader among them, faster than a new leader may give its first
 // order: for seconds nobody gives any, and boxes send requests to engines whose weights
 // had to be replaced by then.
 #[tokio::test]
-async fn weights_on_the_move() {
-    holds(Options { seed: 6, seconds: 15, boxes: 5, streams: Streams::MovesAlone }).await;
+async fn weights_change_under_restarts() {
+    assert_no_violations(Options {
+        seed: 6,
+        seconds: 15,
+        boxes: 5,
+        scenario: Scenario::MovesAlone,
+    })
+    .await;
 }
 
 // One request crashed upstream after upstream, and what upstreams said in their answers was
@@ -68,11 +93,11 @@
 #[case::one(1)]
 #[case::two(2)]
 #[tokio::test]
-async fn words_heeded(#[case] seed: u64) {
-    holds(Options { seed, seconds: 14, boxes: 4, streams: Streams::Words }).await;
+async fn announcements_respected(#[case] seed: u64) {
+    assert_no_violations(Options { seed, seconds: 14, boxes: 4, scenario: Scenario::Words }).await;
 }
 
-async fn holds(options: Options) {
+async fn assert_no_violations(options: Options) {
     let report = run(options).await.unwrap();
     assert!(report.violations.is_empty(), "{options:?}: {:#?}", report.violations);
 }
