--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,5 @@
-//! Clients, which use each connection until it ends, and what they saw.
+//! Clients that send requests through the boxes and record what they observe. A client reuses
+//! its connection until that ends.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -13,56 +14,56 @@
 
 use crate::world::{NewestConfiguration, RUN_PATH, World, version_path};
 
-/// Pause before another connection is tried.
+/// Delay before reconnecting after a failed connection attempt.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(60);
-/// Pause before another connection is used after one that ended.
+/// Delay before reconnecting after an established connection was lost.
 const RECONNECT_DELAY: Duration = Duration::from_millis(10);
-/// Pause between two prompts of a client.
+/// Delay before each prompt of a client.
 const PROMPT_INTERVAL: Duration = Duration::from_millis(30);
-/// Pause between two looks at the engines.
+/// Interval between checks of the engines' weights.
 const ENGINE_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Pause between two questions for the newest configuration.
+/// Interval between checks for the newest configuration.
 const CONFIGURATION_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Time in which one must be answered.
+/// Time limit of one check for the newest configuration.
 const CONFIGURATION_POLL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which a connection must come up.
+/// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a client gives up; its requests say 3 s.
+/// Time after which a client gives up on a request, for which 3 s are allowed.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(6);
-/// Longest pause between two requests.
+/// Upper bound of the random delay between two requests of a client.
 const MAX_REQUEST_DELAY_MS: u64 = 25;
-/// One request in so many asks which configuration is in force.
+/// One request in this many probes whether a configuration version is in force.
 const PROBE_ONE_IN: u32 = 8;
-/// One request in so many keeps its upstream for longer.
+/// One request in this many occupies its upstream for `SLOW_MS`.
 const SLOW_ONE_IN: u32 = 12;
-/// For how long: a stop must wait for them.
+/// Work time of slow requests, long enough that a stopping box has to wait for them.
 const SLOW_MS: std::ops::Range<u64> = 200..700;
-/// Newest versions among which a client asks for one.
+/// Number of the newest configuration versions that probes choose from.
 const PROBED_VERSIONS: u64 = 6;
 
-/// What a request may be.
+/// Kind of request, by how it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// It may be repeated.
+    /// May be retried.
     Safe,
-    /// It may run once.
+    /// Must run at most once.
     Once,
-    /// A stream that may run once.
+    /// Must run at most once; the response is a stream.
     Stream,
-    /// A stream that may be taken up by another upstream.
+    /// The response is a stream that another upstream may resume.
     Resumable,
 }
 
 impl RequestKind {
     const ALL: [Self; 4] = [Self::Safe, Self::Once, Self::Stream, Self::Resumable];
 
-    /// Whether its answer is a stream of events.
+    /// Whether the response is an event stream.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::Resumable)
     }
 
-    /// Whether it may run once only.
+    /// Whether the request must run at most once.
     #[must_use]
     pub fn runs_once(self) -> bool {
         matches!(self, Self::Once | Self::Stream)
@@ -78,62 +79,60 @@
     }
 }
 
-/// A request and what became of it.
+/// A request and its outcome.
 pub struct RequestRecord {
-    /// Id, which is its body too.
+    /// Request id, which is also the request body.
     pub id: String,
-    /// What it is.
+    /// Kind of request.
     pub kind: RequestKind,
-    /// Box that got it.
+    /// Box that the request was sent to.
     pub box_number: usize,
-    /// When it was sent.
     pub sent_at: Instant,
-    /// When the client knew how it ended.
+    /// When the client received the response or gave up.
     pub ended_at: Instant,
-    /// The answer; `None` when the connection ended or stayed silent.
+    /// The response; `None` if the connection ended or the request timed out.
     pub answer: Option<Message>,
 }
 
-/// What was seen of an engine's weights.
+/// A version of the weights that was observed on an engine.
 pub struct WeightsObservation {
-    /// The engine.
+    /// Number of the engine.
     pub engine: usize,
-    /// Their version.
+    /// Version of the weights.
     pub version: u64,
-    /// When, in Unix milliseconds.
+    /// Time of the observation, in Unix milliseconds.
     pub at_ms: u64,
-    /// The request that began there, if it was seen by one.
+    /// Id of the request that started on the engine, or empty if the engine was polled.
     pub id: String,
 }
 
-/// A box that did not go by the newest configuration.
+/// A box that did not serve the newest configuration.
 pub struct StaleConfiguration {
-    /// The box.
     pub box_number: usize,
-    /// The version.
+    /// Configuration version that the box should have served.
     pub version: u64,
-    /// When the store had taken it.
+    /// When the metadata store had accepted the version.
     pub stored_at: Instant,
-    /// When the box was asked.
+    /// When the box was queried.
     pub asked_at: Instant,
 }
 
-/// What all clients saw.
+/// Observations of all clients.
 #[derive(Default)]
 pub struct Observations {
-    /// Boxes that went by an older configuration than the newest.
+    /// Boxes that served an older configuration than the newest.
     pub stale_configurations: Vec<StaleConfiguration>,
     /// Engines with older weights than the newest.
     pub outdated_weights: Vec<WeightsObservation>,
-    /// How often a box was found to go by the newest.
+    /// Number of checks that found the newest configuration in force.
     pub newest_in_force: usize,
-    /// Requests.
+    /// Requests that were sent, except for probes and prompts.
     pub requests: Vec<RequestRecord>,
-    /// Configurations that went back on one connection.
+    /// Cases where an older configuration came back into force on one connection, as text.
     pub reverted: Vec<String>,
 }
 
-/// Calls one box until `stop`.
+/// Sends requests to one box until `stop` is set.
 pub async fn send_requests(
     world: Arc<World>,
     observations: Arc<Mutex<Observations>>,
@@ -164,7 +163,7 @@
                 send_request(&mut connection, id, kind, work_ms, box_number, &observations).await
             };
             if !is_reusable {
-                // The proxy takes connections also while the box is down.
+                // The proxy accepts connections even while the box is down.
                 sleep(RECONNECT_DELAY).await;
                 break;
             }
@@ -177,7 +176,8 @@
     timeout(CONNECT_TIMEOUT, Client::try_connect(address)).await.ok()?.ok()
 }
 
-/// Sends prompts for engines to one box until `stop`; engines tell what became of them.
+/// Sends prompts for engines to one box until `stop` is set. Responses are ignored, because the
+/// engines record the requests that they receive.
 pub async fn send_prompts(world: Arc<World>, stop: Arc<AtomicBool>, box_number: usize) {
     let headers = format!("X-Model: {MODEL}\r\nX-Token-Count: 20,10\r\nX-Prefix-Hash: aa:20\r\n");
     for count in 0.. {
@@ -193,7 +193,7 @@
     }
 }
 
-/// Looks which engines have older weights than the newest until `stop`.
+/// Polls until `stop` is set which engines have older weights than the newest.
 pub async fn watch_engine_weights(
     world: Arc<World>,
     observations: Arc<Mutex<Observations>>,
@@ -213,7 +213,7 @@
     }
 }
 
-/// Sends a request; false when the connection is of no more use.
+/// Sends a request. Returns whether the connection can be reused.
 async fn send_request(
     connection: &mut Client,
     id: String,
@@ -236,8 +236,8 @@
     answer.complete && answer.header("connection") != Some("close")
 }
 
-/// Asks for the route of one version. A connection belongs to one life of a box,
-/// in which an older version is never in force again.
+/// Probes whether a version's route exists. A connection lasts no longer than one run of the
+/// box's process, within which an older version must not come back into force.
 async fn probe_version(
     connection: &mut Client,
     id: &str,
@@ -259,7 +259,8 @@
     keeps_connection(&answer)
 }
 
-/// Asks one box for the newest configuration until `stop`, by no proxy.
+/// Checks until `stop` is set whether one box serves the newest configuration. Connects to the
+/// box directly rather than through its proxy.
 pub async fn poll_configuration(
     world: Arc<World>,
     observations: Arc<Mutex<Observations>>,
@@ -280,7 +281,7 @@
         let mut observations = observations.lock().expect("no task panics under the lock");
         match answer.status() {
             200 => observations.newest_in_force += 1,
-            // It has no such route: it goes by another version.
+            // The box has no route for this version, so it serves another one.
             404 if world.newest().version == version => {
                 observations.stale_configurations.push(StaleConfiguration {
                     box_number,
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! The promises, held against what clients and upstreams saw.
+//! Checks the gateway's guarantees against what clients, upstreams and engines observed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -11,34 +11,34 @@
 use crate::plan::{Step, applied_by_ms, is_undisturbed};
 use crate::world::{BoxOutage, World};
 
-/// Time within which a request that crosses the close of its connection ends.
+/// A request that is sent while its connection is being closed ends within this time.
 const CLOSE_RACE: Duration = Duration::from_millis(200);
-/// Time after which an upstream that is about to leave gets no more work.
+/// An upstream that is about to leave gets no new requests after this time.
 const LEAVE_BOUND_MS: u64 = 2000;
-/// Time after which a configuration is in force.
+/// A stored configuration is in force after this time.
 const CONFIGURATION_BOUND_MS: u64 = 2000;
 
-/// Time for which orders of a holder do not count after a pause of it.
+/// Orders of a lease holder are ignored for this time after it was paused.
 const RESUMED_HOLDER_GRACE_MS: u64 = 300;
-/// Time after which a box is bound again by what has a time bound.
+/// Time bounds apply to a box again this long after it was down.
 pub(crate) const RECOVERY_MS: u64 = 3000;
 
-/// All that a run is judged by.
+/// Everything that the checks of a run need.
 pub struct RunData<'a> {
-    /// The programs.
+    /// The processes of the run.
     pub world: &'a World,
-    /// What clients saw.
+    /// What clients observed.
     pub observations: &'a Observations,
-    /// What happened.
+    /// Steps that were carried out.
     pub steps: &'a [Step],
-    /// When the run began.
+    /// Start of the run.
     pub started_at: Instant,
-    /// The same, in Unix milliseconds.
+    /// Start of the run, in Unix milliseconds.
     pub started_at_ms: u64,
 }
 
 impl RunData<'_> {
-    /// Every broken promise, in words.
+    /// Describes every violated guarantee.
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let run_counts = self.run_counts();
@@ -60,9 +60,9 @@
         found.extend(self.crash_request_resent());
         if self.world.weights_change {
             let (outdated, runs) = (&self.observations.outdated_weights, self.recovered_box_runs());
-            found.extend(self.outdated_weights_in_use("has them", outdated, Step::delays_weights));
+            found.extend(self.outdated_weights_in_use("had them", outdated, Step::delays_weights));
             found.extend(self.outdated_weights_in_use(
-                "begins requests",
+                "started requests",
                 &runs,
                 Step::disrupts_connections,
             ));
@@ -92,7 +92,8 @@
         u64::try_from((at - self.started_at).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// An answer that is not whole must show it, and be the own one up to there.
+    /// A successful response has to be the one for this request. If it is truncated, that must
+    /// be visible to the client, and the part up to there must be correct.
     fn wrong_answer(request: &RequestRecord) -> Option<String> {
         let answer = request.answer.as_ref()?;
         if !(200..300).contains(&answer.status()) {
@@ -116,7 +117,7 @@
         })
     }
 
-    /// Planned work alone cuts no request.
+    /// Planned work must not interrupt a request unless a fault occurs too.
     fn cut_by_planned_work(&self, request: &RequestRecord, times: usize) -> Option<String> {
         let whole = request.answer.as_ref().is_some_and(|answer| answer.complete);
         let raced_close = request.answer.is_none()
@@ -150,7 +151,7 @@
                 let (count, id, at_ms) = (late.len(), &leave.id, self.at_ms(first.at));
                 let from_ms = self.at_ms(leave.from);
                 found.push(format!(
-                    "{id} was about to leave from {from_ms} ms and got {count} requests \
+                    "upstream {id} was about to leave from {from_ms} ms and got {count} requests \
                      after {by_ms} ms, first at {at_ms} ms"
                 ));
             }
@@ -158,8 +159,8 @@
         found
     }
 
-    /// A configuration that the store has taken is in force in time, counted from the
-    /// end of the faults.
+    /// Finds boxes that did not serve a stored configuration in time. The bound is extended
+    /// until after the end of faults.
     fn stale_configurations(&self) -> Vec<String> {
         let mut late: BTreeMap<(usize, u64), Vec<u64>> = BTreeMap::new();
         let mut due = HashMap::new();
@@ -178,15 +179,15 @@
             let ((stored_at_ms, by_ms), first, last) =
                 (due[version], at_ms[0], at_ms[at_ms.len() - 1]);
             format!(
-                "box {box_number} goes by an older version than {version}, taken at {stored_at_ms} ms \
+                "box {box_number} serves an older version than {version}, stored at {stored_at_ms} ms \
                  and due by {by_ms} ms, from {first} to {last} ms"
             )
         };
         late.iter().map(text).collect()
     }
 
-    /// Fencing tokens rise at every engine, and each has one holder; orders of two holders
-    /// keep their distance.
+    /// Checks that fencing tokens never decrease at an engine, that each has a single holder and
+    /// that orders of different holders are at least one lease apart.
     fn order_violations(&self) -> Vec<String> {
         let mut found = Vec::new();
         let mut holders: BTreeMap<u64, String> = BTreeMap::new();
@@ -210,8 +211,8 @@
         found
     }
 
-    /// Orders of two holders that came to an engine within the pause between them. Those of
-    /// a holder that was paused shortly before do not count.
+    /// Finds consecutive orders of two holders that reached an engine less than one lease apart.
+    /// Orders of a holder that was paused shortly before are ignored.
     fn close_orders_of_two_holders(&self, mut orders: Vec<Order>) -> Vec<String> {
         let is_resumed = |order: &Order| {
             let holder = self.world.box_named(&order.holder);
@@ -230,7 +231,7 @@
         pairs.map(text).collect()
     }
 
-    /// Whether a box was away at a time or up to `slack_ms` before.
+    /// Whether a box was down at a time or up to `slack_ms` before it.
     pub(crate) fn had_outage_at(
         &self,
         box_number: Option<usize>,
@@ -247,7 +248,7 @@
             })
     }
 
-    /// Requests that began at engines, of boxes that had run for a while.
+    /// Requests that started on engines, except for those from boxes that were down recently.
     #[must_use]
     pub fn recovered_box_runs(&self) -> Vec<WeightsObservation> {
         let mut found = Vec::new();
@@ -269,8 +270,9 @@
         found
     }
 
-    /// Of what was seen at engines with a version of weights, all after that version had to
-    /// be gone: a bound after the next was named, or after the end of faults.
+    /// Finds observations of weights that should have been replaced by then. A version is due to
+    /// be replaced a time bound after the next one was named, extended until after the end of
+    /// faults.
     fn outdated_weights_in_use(
         &self,
         what: &str,
@@ -295,7 +297,7 @@
             let (from_ms, to_ms) =
                 (from_start_ms(first.at_ms), from_start_ms(late[count - 1].at_ms));
             format!(
-                "engine {engine}, weights {version}, due to be gone by {due_ms} ms: it {what}, \
+                "engine {engine}, weights {version}, due to be replaced by {due_ms} ms: it {what}, \
                  {from_ms} to {to_ms} ms, {count} times, first {}",
                 first.id
             )
@@ -303,7 +305,7 @@
         late.iter().map(text).collect()
     }
 
-    /// Invariants that the programs saw broken, and panics.
+    /// Lines in the boxes' logs about violated invariants and panics.
     fn logged_violations(&self) -> Vec<String> {
         let logs = self.world.boxes.iter().map(|gateway_box| gateway_box.process.log_text());
         let lines = logs.flat_map(|log| log.lines().map(str::to_owned).collect::<Vec<_>>());
@@ -311,7 +313,7 @@
     }
 }
 
-/// A refusal that says "not run" must be true, also later.
+/// A request that was refused as not run must not have run, and must not run later either.
 fn false_refusal(request: &RequestRecord, times: usize) -> Option<String> {
     let answer = request.answer.as_ref()?;
     let refusal = matches!(answer.status(), 408 | 421 | 429 | 503);
--- a/soak/src/crashing.rs
+++ b/soak/src/crashing.rs
@@ -1,5 +1,5 @@
-//! Upstreams that crash under one request, and a client that sends it again and again, each
-//! time under another id and to another box.
+//! Upstreams that crash on a certain request, and a client that keeps sending it, each time with
+//! another request id and to a random box.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,29 +14,31 @@
 use crate::checks::{RECOVERY_MS, RunData};
 use crate::world::World;
 
-/// Service of these upstreams, and path of the route to them.
+/// Service name of these upstreams, and path prefix of their route.
 const SERVICE: &str = "frail";
 const PATH: &str = "/frail/";
-/// How many there are at a time.
+/// Number of upstreams that run at a time.
 const UPSTREAMS: usize = 4;
-/// The request that they crash under.
+/// Body of the request that crashes them.
 const CRASHING_BODY: &str = "deadly";
-/// Crashes after which it is not sent again, but for some retries.
+/// After this many crashes the request must not be forwarded again, except for `MAX_LATE_RUNS`
+/// more times.
 const CRASH_LIMIT: usize = 3;
 const MAX_LATE_RUNS: usize = 3;
-/// Time until one that crashed is back under another id, and its old entry is gone.
+/// Interval at which crashed upstreams are replaced by new ones with other ids and their entries
+/// removed.
 const REPLACE_INTERVAL: Duration = Duration::from_millis(600);
-/// Pause between two tries of the client.
+/// Delay between two requests of the client.
 const SEND_INTERVAL: Duration = Duration::from_millis(120);
-/// Time in which a try must be answered.
+/// Time limit of a request.
 const SEND_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The upstreams, with those that have crashed.
+/// The upstreams, including those that have crashed.
 pub struct CrashingUpstreams {
     servers: Mutex<Vec<Server>>,
 }
 
-/// Adds the route to them to a configuration.
+/// Adds a service and a route for these upstreams to a configuration.
 pub fn add_route(document: &mut Value) {
     let mut route = document["routes"][0].clone();
     route["name"] = json!(SERVICE);
@@ -52,7 +54,7 @@
 }
 
 impl CrashingUpstreams {
-    /// Starts them.
+    /// Starts the upstreams and registers them.
     pub async fn start(site: &Site) -> Self {
         let crashing = Self { servers: Mutex::default() };
         for _ in 0..UPSTREAMS {
@@ -73,7 +75,7 @@
         self.servers().push(server);
     }
 
-    /// Ids of those that have crashed.
+    /// Ids of the upstreams that have crashed.
     fn crashed(&self) -> Vec<String> {
         let crashed = self.servers();
         crashed
@@ -83,13 +85,13 @@
             .collect()
     }
 
-    /// The tries that came to each of them.
+    /// Requests that each upstream received.
     fn runs(&self) -> Vec<Vec<ExecutedRequest>> {
         self.servers().iter().map(Server::executed).collect()
     }
 }
 
-/// Starts another one for each that has crashed.
+/// Replaces crashed upstreams by new ones until `stop` is set.
 pub async fn replace_crashed(world: Arc<World>, stop: Arc<AtomicBool>) {
     let Some(crashing) = &world.crashing else { return };
     let mut replaced = 0;
@@ -103,7 +105,7 @@
     }
 }
 
-/// Sends the request that they crash under.
+/// Sends the crashing request to random boxes until `stop` is set.
 pub async fn send_crashing_requests(world: Arc<World>, stop: Arc<AtomicBool>, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut number = 0;
@@ -117,14 +119,15 @@
                 client.send(&bytes).await;
             }
         };
-        // Whatever comes of it: the upstreams tell what arrived.
+        // The response does not matter, because the upstreams record the requests that they
+        // receive.
         let _ = timeout(SEND_TIMEOUT, sending).await;
         sleep(SEND_INTERVAL).await;
     }
 }
 
 impl RunData<'_> {
-    /// A request under which three upstreams have crashed comes to few others.
+    /// After three upstreams have crashed on a request, hardly any others may receive it.
     pub(crate) fn crash_request_resent(&self) -> Option<String> {
         let runs = self.world.crashing.as_ref()?.runs();
         let mut crashes: Vec<Instant> =
@@ -140,7 +143,8 @@
         })
     }
 
-    /// Whether a try came after a time from a box that had to know better.
+    /// Whether a request arrived after `from_ms` from a box that had been informed of the
+    /// crashes by then.
     fn must_not_resend(&self, run: &ExecutedRequest, from_ms: u64) -> bool {
         let at_ms = self.at_ms(run.at);
         let sender = run.request_id.split('-').next().and_then(|sender| sender.parse().ok());
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A randomized soak of the gateway: real processes on one machine, faults from
-//! outside them, and the promises checked by what clients and upstreams saw.
+//! Randomized soak test of the gateway. It runs real gateway processes on one machine, injects
+//! faults from outside and checks the guarantees by what clients and upstreams observe.
 //!
-//! The store and the upstreams are stand-ins in this process, each behind a
-//! loopback proxy. Everything that happens follows from a seed.
+//! The metadata store and the upstreams are simulated in this process, each behind a loopback
+//! proxy. The seed determines all steps.
 
 mod callers;
 mod checks;
@@ -29,45 +29,47 @@
 use crate::plan::Step;
 use crate::world::{World, version_path};
 
-/// Clients of each box.
+/// Clients for each box.
 const CLIENTS: usize = 3;
-/// Time in which all boxes must be ready, or agree after the last fault.
+/// Time limit for all boxes to become ready, and to converge after the last fault.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for which late runs are waited for at the end.
+/// Time at the end of a run in which delayed requests may still reach upstreams.
 const LATE_RUNS_WAIT: Duration = Duration::from_secs(2);
-/// Time in which one question must be answered.
+/// Time limit of one probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two questions.
+/// Interval between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A run.
+/// Options of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Everything follows from it.
+    /// Seed that determines the steps and the clients' choices.
     pub seed: u64,
-    /// Length.
+    /// Length of the run.
     pub seconds: u64,
-    /// Boxes.
+    /// Number of boxes.
     pub boxes: usize,
-    /// Which streams of steps happen.
+    /// Which steps are carried out.
     pub scenario: Scenario,
 }
 
-/// Streams of steps. Each adds to those before, whose steps stay what they are.
+/// Sets of steps. `Silences`, `Restarts` and `Moves` each add steps to the set before, which
+/// stays the same for a seed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scenario {
     /// Faults and planned work.
     First,
-    /// Connections and datagrams between boxes go silent too, and a store after a change.
+    /// Also silences connections and datagrams between boxes, and the metadata store after a
+    /// change.
     Silences,
-    /// Upstreams start again under their id too.
+    /// Also restarts upstreams under the same id.
     Restarts,
-    /// Weights are on the move too.
+    /// Also changes the weights.
     Moves,
-    /// Weights are on the move, and nothing else happens.
+    /// Only changes the weights, with faults of boxes and engines meanwhile.
     MovesAlone,
-    /// Upstreams crash under one request, and say in their answers that they leave or rest;
-    /// beside that only boxes and the store go away.
+    /// Upstreams crash on a certain request and announce in their responses that they leave or
+    /// rest. Apart from that, only boxes and the metadata store fail.
     Words,
 }
 
@@ -87,25 +89,28 @@
     }
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct Report {
-    /// Broken promises, in words.
+    /// Descriptions of violated guarantees.
     pub violations: Vec<String>,
-    /// Requests by how they ended, and how often the newest configuration was in force.
+    /// Number of requests by outcome, and number of checks that found the newest configuration
+    /// in force.
     pub outcomes: BTreeMap<String, usize>,
-    /// What happened, a line each.
+    /// Steps that were carried out, one line each.
     pub steps: Vec<String>,
-    /// Where the logs are kept, if a promise was broken.
+    /// Folder with the logs, if a guarantee was violated.
     pub logs: Option<PathBuf>,
 }
 
-/// Makes one run.
+/// Carries out one run.
 ///
 /// # Errors
-/// Fails when a process cannot be started or an address cannot be had.
+///
+/// Fails when a process cannot be started or an address cannot be bound.
 ///
 /// # Panics
-/// Panics when a part of the soak itself has failed.
+///
+/// Panics when a task of the soak test itself has failed.
 pub async fn run(options: Options) -> Result<Report> {
     let weights_change = matches!(options.scenario, Scenario::Moves | Scenario::MovesAlone);
     let with_crashing = options.scenario == Scenario::Words;
@@ -180,7 +185,7 @@
     Ok(Report { violations, outcomes: count_outcomes(&run_data), steps, logs })
 }
 
-/// Has every step happen at its time.
+/// Carries out each step at its time and waits for all of them.
 async fn run_steps(world: &Arc<World>, steps: &[Step], started_at: Instant) {
     let mut running = Vec::new();
     for step in steps.iter().copied() {
@@ -192,12 +197,13 @@
         }));
     }
     for step in running {
-        // A step that panics ends the run: it is a fault of the soak itself.
+        // A panic in a step is an error of the soak test itself and ends the run.
         step.await.expect("a step");
     }
 }
 
-/// Waits until the newest configuration is in force in every box.
+/// Waits until the newest configuration is in force in every box. Describes the boxes where it
+/// is not within the time limit.
 async fn wait_for_configuration(world: &World) -> Vec<String> {
     let until = Instant::now() + CONVERGENCE_TIMEOUT;
     let version = world.newest().version;
@@ -214,14 +220,16 @@
     behind
 }
 
-/// Waits until every engine has the weights that were named last.
+/// Waits until every engine has the newest weights. Describes the engines that do not have them
+/// within the time limit.
 async fn wait_for_weights(world: &World) -> Vec<String> {
     let until = Instant::now() + CONVERGENCE_TIMEOUT;
     loop {
         let behind = world.outdated_engines();
         if behind.is_empty() || Instant::now() > until {
-            let text =
-                |(engine, version)| format!("engine {engine} has weights {version} in the end");
+            let text = |(engine, version)| {
+                format!("engine {engine} still has weights {version} at the end")
+            };
             return behind.into_iter().map(text).collect();
         }
         sleep(PROBE_INTERVAL).await;
@@ -252,7 +260,8 @@
     if run_data.world.weights_change {
         let orders = run_data.world.engines.iter().map(|engine| engine.process.orders().len());
         outcomes.insert("orders".to_owned(), orders.sum());
-        outcomes.insert("runs of steady boxes".to_owned(), run_data.recovered_box_runs().len());
+        outcomes
+            .insert("runs from recovered boxes".to_owned(), run_data.recovered_box_runs().len());
     }
     outcomes
 }
@@ -261,7 +270,7 @@
     format!("{} to {} ms: {:?}, pick {}", step.at_ms, step.until_ms, step.action, step.pick)
 }
 
-/// Copies the logs to where they stay.
+/// Copies the logs to a folder that outlives the run.
 fn keep_logs(world: &World, seed: u64) -> Result<PathBuf> {
     let kept = std::env::temp_dir().join(format!("coursestile-soak-{}-{seed}", std::process::id()));
     std::fs::create_dir_all(&kept)?;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the soak for a series of seeds.
+//! Runs the soak test for a series of seeds.
 
 use std::process::ExitCode;
 
@@ -26,7 +26,7 @@
 Exit code 1 when a promise was broken; its seed and logs are named.
 ";
 
-/// Broken promises of one run that are printed: the first tell the cause.
+/// Violations that are printed for each run; the first ones usually show the cause.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
 struct Args {
@@ -90,12 +90,12 @@
     let failed = tokio::select! {
         failed = run_all(&args) => failed,
         () = stop_signal() => {
-            // The processes end with what holds them.
+            // The child processes are killed when their parent exits.
             eprintln!("error: stopped by a signal");
             return ExitCode::from(2);
         }
     };
-    println!("{} runs, {failed} with a broken promise", args.count);
+    println!("{} runs, {failed} with a violated guarantee", args.count);
     if failed > 0 { ExitCode::FAILURE } else { ExitCode::SUCCESS }
 }
 
@@ -109,13 +109,13 @@
             }
         }
         Err(error) => {
-            eprintln!("error: SIGTERM will not be heard: {error}");
+            eprintln!("error: cannot install a handler for SIGTERM: {error}");
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Makes all runs; how many of them failed.
+/// Carries out all runs. Returns how many of them failed.
 async fn run_all(args: &Args) -> usize {
     let mut failed = 0;
     for run_index in 0..args.count {
@@ -136,7 +136,7 @@
 
 fn print_report(seed: u64, report: &Report, print_steps: bool) {
     let violation_count = report.violations.len();
-    println!("seed {seed}: {violation_count} promises broken; {:?}", report.outcomes);
+    println!("seed {seed}: {violation_count} violated guarantees; {:?}", report.outcomes);
     if print_steps {
         println!("  {}", report.steps.join("\n  "));
     }
--- a/soak/src/mesh.rs
+++ b/soak/src/mesh.rs
@@ -1,8 +1,8 @@
-//! What boxes send each other, each direction of each pair by itself.
+//! Proxies for the traffic between boxes, separately for each direction of each pair.
 //!
-//! Each box has a port of its own for peers, and calls the others at that port of
-//! their addresses. There a proxy and a socket stand and pass on what comes; a
-//! datagram comes from the address of its sender's box.
+//! Each box has its own port for peers, and connects to other boxes at their address and its own
+//! port. A TCP proxy and a UDP socket are bound there and forward the traffic. Forwarded
+//! datagrams are sent from the address of the sending box.
 
 use std::collections::BTreeMap;
 use std::io::{Error, Result};
@@ -18,12 +18,12 @@
 use crate::plan::{LinkState, PeerDirection};
 use crate::proxy::{LINK_DELAY, Proxy};
 
-/// Longest datagram.
+/// Size of the largest datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Pause after a datagram that could not be read.
+/// Delay after a failed receive.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// One direction between two boxes.
+/// Traffic from one box to another.
 struct PeerLink {
     from: usize,
     to: usize,
@@ -32,16 +32,18 @@
     forwarder: JoinHandle<()>,
 }
 
-/// All directions between boxes.
+/// All links between boxes.
 pub struct Mesh {
     links: Vec<PeerLink>,
 }
 
 impl Mesh {
-    /// Stands between boxes, whose addresses for peers are given.
+    /// Binds a proxy and a socket for each ordered pair of boxes, given the addresses of the
+    /// boxes for peers.
     ///
     /// # Errors
-    /// Fails when an address cannot be had.
+    ///
+    /// Fails when an address cannot be parsed or bound.
     pub async fn start(boxes: &[&str]) -> Result<Self> {
         let parsed: std::result::Result<Vec<SocketAddr>, _> =
             boxes.iter().map(|address| address.parse()).collect();
@@ -71,7 +73,7 @@
         Ok(Self { links })
     }
 
-    /// Spoils what is sent between a box and the others, or ends that.
+    /// Sets the state of the links between a box and all others.
     pub fn set(&self, box_number: usize, side: PeerDirection, link: LinkState) {
         for peer_link in &self.links {
             let from = peer_link.from == box_number && side != PeerDirection::To;
@@ -82,12 +84,12 @@
         }
     }
 
-    /// Silences the connections that are open now.
+    /// Silences the connections that are open now, for good.
     pub fn silence(&self) {
         self.links.iter().for_each(|peer_link| peer_link.proxy.silence());
     }
 
-    /// Ends all faults but for silenced connections.
+    /// Ends all faults except for silenced connections.
     pub fn end_faults(&self) {
         self.links.iter().for_each(|peer_link| peer_link.set(LinkState::Sound));
     }
@@ -106,7 +108,7 @@
     }
 }
 
-/// Passes datagrams on in one direction.
+/// Forwards datagrams in one direction.
 async fn forward_datagrams(
     receiver: Arc<UdpSocket>,
     sender: Arc<UdpSocket>,
@@ -122,7 +124,7 @@
         let link = *link.borrow();
         let (datagram, sender) = (buffer[..length].to_vec(), sender.clone());
         match link {
-            // A datagram to a box that is down is lost, as on any network.
+            // Datagrams to a box that is down are lost, as on any network.
             LinkState::Sound => drop(sender.send_to(&datagram, target).await),
             LinkState::Delayed => drop(tokio::spawn(async move {
                 sleep(LINK_DELAY).await;
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -1,4 +1,5 @@
-//! What upstreams say of themselves in their answers, held against what comes to them.
+//! Checks that boxes respect what upstreams announce in their responses: that they leave, or
+//! want no requests for a while.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +7,17 @@
 
 use crate::checks::RunData;
 
-/// Time after which a box heeds that an upstream leaves, and what a request may take on its way.
+/// Time after which a box sends no more requests to an upstream that announced its leave, and
+/// how long a request may be in transit.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
 const IN_TRANSIT: Duration = Duration::from_millis(500);
-/// Time after which a box heeds a rest, and requests that may come all the same.
+/// Time after which a box respects an upstream's rest, and number of requests that may arrive
+/// nevertheless.
 const REST_BOUND: Duration = Duration::from_millis(500);
 const MAX_REQUESTS_IN_REST: usize = 2;
 
 impl RunData<'_> {
-    /// Requests that came to upstreams which had told their box that they leave, or rest.
+    /// Finds requests from boxes to upstreams that had told them that they leave or rest.
     pub(crate) fn ignored_announcements(&self) -> Vec<String> {
         let upstreams = self.world.upstreams.iter().map(|upstream| &upstream.process);
         upstreams.flat_map(|upstream| self.ignored_announcements_of(upstream)).collect()
@@ -24,7 +27,8 @@
         let done = upstream.handled();
         let mut found = Vec::new();
         for announcement in &done {
-            // Questions for the configuration do not tell their box.
+            // Requests for a configuration version have ids that do not start with the number of
+            // a box.
             let Some(box_number) = sender(announcement) else { continue };
             let announced_at = announcement.answered_at;
             let next_start = self.next_start(upstream, announcement.at);
@@ -58,8 +62,8 @@
         found
     }
 
-    /// When an upstream was known to have started again after a time: what it said before
-    /// holds no longer.
+    /// The first known restart of an upstream after a time. A restart invalidates earlier
+    /// announcements.
     fn next_start(&self, upstream: &Server, after: Instant) -> Option<Instant> {
         let upstream_restarts = self.world.upstream_restarts();
         let starts = upstream_restarts
@@ -68,7 +72,7 @@
         starts.map(|restart| restart.at).min()
     }
 
-    /// Whether a box was away between two times, and may have forgotten what it was told.
+    /// Whether a box was down between two times and may have lost what it had been told.
     fn had_outage_between(&self, box_number: usize, from: Instant, until: Instant) -> bool {
         let at_ms = |at| self.started_at_ms + self.at_ms(at);
         let box_outages = self.world.box_outages();
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,163 +1,168 @@
-//! What happens in a run, and when: all of it follows from the seed.
+//! Plans the steps of a run, which depend on the seed only.
 //!
-//! Phases with faults and phases with planned work only take turns. What is
-//! promised of planned work is checked in the latter.
+//! Phases with faults alternate with phases of only planned work. The guarantees for planned
+//! work are checked in the latter.
 
 /// Length of a phase with faults.
 const FAULT_PHASE_MS: u64 = 4000;
-/// Length of a phase with faults and the planned one after it.
+/// Length of a phase with faults and the phase of planned work after it.
 const CYCLE_MS: u64 = 10_000;
-/// Time after which a fault has no more effect on what is promised.
+/// Time after which a fault no longer affects the guarantees.
 const FAULT_EFFECT_MS: u64 = 2500;
-/// Shortest and longest time of a fault.
+/// Range of the duration of a fault.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 150..2500;
-/// Shortest and longest pause between two faults; less than most last, so that
-/// they overlap.
+/// Range of the interval between two steps. It is shorter than most faults last, so that they
+/// overlap.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 80..700;
-/// One step in so many comes as a series.
+/// One step in this many is a series.
 const SERIES_ONE_IN: u32 = 4;
-/// Steps of a series, and the time between them.
+/// Number of steps in a series, and the time between them in milliseconds.
 const SERIES: (u64, u64) = (3, 180);
 
-/// Sets the second stream of steps apart from the first.
+/// Distinguishes the random numbers of `silence_steps` from those of `fault_steps` for the same
+/// seed.
 const SILENCE_SEED_MASK: u64 = 0x5117_e4ce;
-/// Sets the third stream apart from both.
+/// Distinguishes the random numbers of `restart_steps` from those of the others.
 const RESTART_SEED_MASK: u64 = 0x0a9a_1d5e;
-/// Pause between two steps of the third stream: some come twice within a second.
+/// Interval between two restarts. Some restarts follow each other within a second.
 const RESTART_INTERVAL_MS: std::ops::Range<u64> = 200..1800;
-/// Longest pause before the first step of the second stream in a cycle.
+/// Upper bound of the delay before the first silence in a cycle.
 const MAX_FIRST_SILENCE_MS: u64 = 1200;
-/// How long a step of the second stream takes.
+/// Duration of a silence.
 const SILENCE_DURATION_MS: std::ops::Range<u64> = 1000..3000;
-/// Pause between two of them: they overlap.
+/// Interval between two silences, shorter than most of them, so that they overlap.
 const SILENCE_INTERVAL_MS: std::ops::Range<u64> = 100..1300;
 
-/// Sets the fourth stream apart from the others.
+/// Distinguishes the random numbers of `weights_steps` from those of the others.
 const WEIGHTS_SEED_MASK: u64 = 0x3e16_4275;
-/// Length of a phase of the fourth stream with faults and the calm one after it, which
-/// has no faults of the other streams in its second half.
+/// Length of a phase of `weights_steps` with faults and the phase without faults after it. The
+/// second half of the latter has no faults of the other sets either.
 const WEIGHTS_CYCLE_MS: u64 = 2 * CYCLE_MS;
-/// Length of a phase of the fourth stream with faults.
+/// Length of a phase of `weights_steps` with faults.
 const WEIGHTS_FAULT_PHASE_MS: u64 = 9000;
-/// Pause between two versions that are named.
+/// Interval between two new versions of the weights.
 const WEIGHTS_NAMED_INTERVAL_MS: std::ops::Range<u64> = 200..2500;
-/// Pause between two steps of the fourth stream: series of them overlap.
+/// Interval between two steps or series of `weights_steps`. Series overlap.
 const WEIGHTS_STEP_INTERVAL_MS: std::ops::Range<u64> = 300..1500;
-/// Steps of a series, each with the next box or each with the leader.
+/// Number of steps in a series of `weights_steps`, each of which affects the next box or the
+/// leader.
 const WEIGHTS_SERIES_STEPS: std::ops::Range<u64> = 4..9;
-/// Time between two of them: less than the pause between orders of two holders.
+/// Time between two steps of a series: less than the lease, which is the time between orders of
+/// two lease holders.
 const WEIGHTS_SERIES_INTERVAL_MS: std::ops::Range<u64> = 200..700;
-/// Sets the fifth stream apart from the others.
+/// Distinguishes the random numbers of `announcement_steps` from those of the others.
 const ANNOUNCEMENT_SEED_MASK: u64 = 0x7a11_0f2d;
-/// Length of a phase of the fifth stream with steps, and of one with the calm after it.
+/// Length of a phase of `announcement_steps` with steps, and of that phase with the one without
+/// steps after it.
 const ANNOUNCEMENT_PHASE_MS: u64 = 6000;
 const ANNOUNCEMENT_CYCLE_MS: u64 = 12_000;
-/// Pause between two steps of the fifth stream.
+/// Interval between two of `announcement_steps`.
 const ANNOUNCEMENT_INTERVAL_MS: std::ops::Range<u64> = 150..900;
-/// Picks the box that leads; other picks are below.
+/// Value of `Step::pick` that selects the current leader; other values are smaller.
 pub const PICK_LEADER: usize = 1000;
 
-/// How a connection is spoiled on its way.
+/// State of the network path of a connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkState {
-    /// It is not.
+    /// Works normally.
     #[default]
     Sound,
-    /// Each piece comes late.
+    /// Data arrives late.
     Delayed,
     /// Connections are reset.
     Reset,
-    /// Nothing gets from the caller to the other side.
+    /// No data gets from the client to the server.
     OneWay,
-    /// Nothing moves.
+    /// No data gets through in either direction.
     Silent,
 }
 
-/// Whose connections.
+/// A group of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionGroup {
-    /// Those of boxes to the store: calls and watches.
+    /// From boxes to the metadata store, including watches.
     Store,
-    /// Those of boxes to each other.
+    /// Between boxes.
     Peers,
-    /// Those of boxes to plain upstreams and engines.
+    /// From boxes to plain upstreams and engines.
     Upstreams,
-    /// Those of callers to boxes.
+    /// From clients to boxes.
     Callers,
-    /// All of them.
+    /// All of these.
     All,
 }
 
-/// Which direction between a box and all others.
+/// Direction of the traffic between a box and all others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerDirection {
-    /// What the box sends.
+    /// From the box to the others.
     From,
-    /// What is sent to it.
+    /// From the others to the box.
     To,
-    /// Either.
+    /// Both directions.
     Both,
 }
 
-/// What the store takes last before it falls silent.
+/// The last change that the metadata store accepts before it stops responding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LastChange {
-    /// A configuration.
+    /// A new configuration.
     Configuration,
-    /// An upstream is about to leave.
+    /// The announcement that an upstream is about to leave.
     Leave,
 }
 
-/// What happens.
+/// What a step does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A box is killed, and started again at the end.
+    /// Kills a box and restarts it at the end.
     BoxKilled,
-    /// A box stands still until the end.
+    /// Pauses a box until the end.
     BoxPaused,
-    /// All boxes are killed.
+    /// Kills all boxes and restarts them at the end.
     AllKilled,
-    /// The store answers 503.
+    /// The metadata store answers 503.
     StoreBusy,
-    /// The store says nothing.
+    /// The metadata store does not respond.
     StoreSilent,
-    /// The store does what it is asked and does not answer.
+    /// The metadata store carries out requests without responding.
     StoreLosesAnswers,
-    /// The store forgets the changes so far.
+    /// The metadata store discards its history of changes.
     StoreForgets,
-    /// A box's connections to the store are spoiled.
+    /// Disrupts a box's connections to the metadata store.
     StoreLink(LinkState),
-    /// Connections to an upstream are spoiled.
+    /// Disrupts the connections to an upstream.
     UpstreamLink(LinkState),
-    /// An upstream misbehaves in some of its next answers.
+    /// An upstream misbehaves in some of its next responses.
     UpstreamMisbehaves,
-    /// The store falls silent some milliseconds after a change.
+    /// The metadata store stops responding a few milliseconds after a change.
     StoreSilentAfter(LastChange),
-    /// Open connections go silent for good; new ones work.
+    /// Silences open connections for good; new connections work.
     Silenced(ConnectionGroup),
-    /// Datagrams and connections between a box and the others are spoiled.
+    /// Disrupts datagrams and connections between a box and all others.
     PeersLink(LinkState, PeerDirection),
-    /// An upstream starts again under the id that it had.
+    /// Restarts an upstream under the same id.
     UpstreamRestarts,
-    /// An engine does, as if it had lost the weights that it got since.
+    /// Restarts an engine under the same id. It may lose the weights that it has loaded since
+    /// its first start.
     EngineRestarts,
     /// An engine leaves orders unanswered and carries them out late.
     EngineOrdersLate,
-    /// An engine says nothing.
+    /// An engine does not respond.
     EngineHangs,
-    /// An upstream turns requests away and wants no others for a while.
+    /// An upstream refuses requests and asks for no more of them for a while.
     UpstreamRests,
-    /// An upstream says in its answers that it leaves, and starts again later.
+    /// An upstream announces in its responses that it leaves, and restarts later.
     UpstreamSaysLeaving,
-    /// Planned: a box is stopped, and started again when it has ended.
+    /// Planned: stops a box and restarts it once it has exited.
     BoxStopped,
-    /// Planned: a box reads its settings again.
+    /// Planned: has a box reload its settings.
     BoxReloads,
-    /// Planned: the configuration changes.
+    /// Planned: stores a new configuration.
     Configured,
-    /// Planned: other weights are named.
+    /// Planned: names a new version of the weights.
     WeightsNamed,
-    /// Planned: an upstream is about to leave, until the end.
+    /// Planned: an upstream is about to leave until the end.
     UpstreamLeaves,
 }
 
@@ -183,7 +188,7 @@
     Action::UpstreamMisbehaves,
     Action::UpstreamMisbehaves,
 ];
-/// Faults of the second stream.
+/// Actions of `silence_steps`.
 const SILENCES: [Action; 17] = [
     Action::StoreSilentAfter(LastChange::Configuration),
     Action::StoreSilentAfter(LastChange::Configuration),
@@ -203,8 +208,7 @@
     Action::PeersLink(LinkState::Delayed, PeerDirection::Both),
     Action::PeersLink(LinkState::Reset, PeerDirection::Both),
 ];
-/// Steps of the fourth stream beside the versions that are named. Those of boxes come in
-/// series.
+/// Actions of `weights_steps`, apart from new versions. Those on boxes occur in series.
 const WEIGHTS_STEPS: [Action; 7] = [
     Action::BoxStopped,
     Action::BoxStopped,
@@ -214,7 +218,7 @@
     Action::EngineHangs,
     Action::EngineRestarts,
 ];
-/// Steps of the fifth stream.
+/// Actions of `announcement_steps`.
 const ANNOUNCEMENT_STEPS: [Action; 9] = [
     Action::UpstreamRests,
     Action::UpstreamRests,
@@ -238,32 +242,32 @@
 /// One step of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Step {
-    /// When it begins, from the start of the run.
+    /// Start, relative to the start of the run.
     pub at_ms: u64,
-    /// When it ends.
+    /// End, relative to the start of the run.
     pub until_ms: u64,
-    /// What happens.
+    /// What the step does.
     pub action: Action,
-    /// Picks the box or upstream that it happens to.
+    /// Random number that selects the affected box, upstream or engine.
     pub pick: usize,
 }
 
 impl Step {
-    /// Whether it is a fault, and not planned work.
+    /// Whether the step is a fault rather than planned work.
     #[must_use]
     pub fn is_unplanned(&self) -> bool {
         !PLANNED_WORK.contains(&self.action)
     }
 
-    /// Whether it may hold up new weights: a fault, or a stop among those of the fourth
-    /// stream.
+    /// Whether the step may delay new weights: a fault, or the stop of a box in a fault phase of
+    /// `weights_steps`.
     #[must_use]
     pub fn delays_weights(&self) -> bool {
         let in_weights_fault_phase = self.at_ms % WEIGHTS_CYCLE_MS < WEIGHTS_FAULT_PHASE_MS;
         self.is_unplanned() || self.action == Action::BoxStopped && in_weights_fault_phase
     }
 
-    /// Whether it spoils the store or connections.
+    /// Whether the step disrupts the metadata store or connections.
     #[must_use]
     pub fn disrupts_connections(&self) -> bool {
         matches!(
@@ -279,15 +283,15 @@
         )
     }
 
-    /// Whether it keeps news from boxes: the store does not answer, or ways between them are
-    /// spoiled.
+    /// Whether the step delays updates to boxes: the metadata store does not respond, or
+    /// connections to it or between boxes are disrupted.
     #[must_use]
     pub fn delays_updates(&self) -> bool {
         self.disrupts_connections() && !matches!(self.action, Action::UpstreamLink(_))
     }
 }
 
-/// The steps of a run.
+/// Faults and planned work.
 #[must_use]
 pub fn fault_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -311,8 +315,8 @@
     steps
 }
 
-/// More steps of the same run, from a stream of their own: a seed's first steps are
-/// the same with and without them.
+/// Silences, in addition to `fault_steps`. They use their own random numbers, so that a seed
+/// gives the same `fault_steps` with and without them.
 #[must_use]
 pub fn silence_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed ^ SILENCE_SEED_MASK);
@@ -333,7 +337,7 @@
     steps
 }
 
-/// Upstreams that start again under their id, from a third stream.
+/// Restarts of upstreams and engines under the same id.
 #[must_use]
 pub fn restart_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed ^ RESTART_SEED_MASK);
@@ -350,8 +354,8 @@
     steps
 }
 
-/// Weights on the move, from a fourth stream: versions are named all the time, and for a
-/// part of it boxes go in series and engines are in trouble.
+/// Changes of the weights: new versions are named throughout the run. In fault phases boxes fail
+/// in series and engines misbehave.
 #[must_use]
 pub fn weights_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed ^ WEIGHTS_SEED_MASK);
@@ -382,8 +386,8 @@
     steps
 }
 
-/// Upstreams that say what they want in their answers, from a fifth stream, beside boxes and a
-/// store that go away.
+/// Upstreams that announce in their responses that they leave or rest, while boxes and the
+/// metadata store fail.
 #[must_use]
 pub fn announcement_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed ^ ANNOUNCEMENT_SEED_MASK);
@@ -400,8 +404,8 @@
     steps
 }
 
-/// When all must go by what the store took at `from_ms`: `bound_ms` later, or that long
-/// after the end of the faults that come up to then.
+/// Time by which every box has to apply what the metadata store accepted at `from_ms`:
+/// `bound_ms` later, or `bound_ms` after the end of the faults that begin before then.
 #[must_use]
 pub fn applied_by_ms(
     steps: &[Step],
@@ -421,7 +425,7 @@
     }
 }
 
-/// Whether nothing unplanned has an effect between two times.
+/// Whether no fault has an effect between two times.
 #[must_use]
 pub fn is_undisturbed(steps: &[Step], from_ms: u64, to_ms: u64) -> bool {
     !steps.iter().any(|step| {
--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that spoils the connections which pass it.
+//! A loopback TCP proxy that can disrupt the connections through it.
 
 use std::io::Result;
 use std::time::Duration;
@@ -12,40 +12,43 @@
 
 use crate::plan::LinkState;
 
-/// How late each piece of a delayed connection comes.
+/// Delay of each chunk of data on a delayed connection.
 pub const LINK_DELAY: Duration = Duration::from_millis(120);
-/// Most bytes that are passed on at once.
+/// Largest chunk of data that is forwarded at once.
 const BUFFER_BYTES: usize = 4096;
 
-/// What holds for the connections of a proxy.
+/// State that applies to all connections of a proxy.
 #[derive(Clone, Copy, Default)]
 struct ProxyState {
     link: LinkState,
-    /// Connections that are older than this count are silent for good.
+    /// Number of calls of `Proxy::silence`. Connections accepted at a lower count are silent for
+    /// good.
     silence_count: u64,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one address.
 pub struct Proxy {
-    /// Its own address.
+    /// Address that the proxy listens on.
     pub address: String,
     condition: watch::Sender<ProxyState>,
     acceptor: JoinHandle<()>,
 }
 
 impl Proxy {
-    /// Starts a proxy before `target`.
+    /// Starts a proxy for `target` on a free port.
     ///
     /// # Errors
-    /// Fails when no address can be had.
+    ///
+    /// Fails when no address can be bound.
     pub async fn start(target: &str) -> Result<Self> {
         Self::start_at("127.0.0.1:0", target).await
     }
 
-    /// Starts a proxy at an address of choice.
+    /// Starts a proxy for `target` at a given address.
     ///
     /// # Errors
-    /// Fails when the address cannot be had.
+    ///
+    /// Fails when the address cannot be bound.
     pub async fn start_at(address: &str, target: &str) -> Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?.to_string();
@@ -59,13 +62,13 @@
         Ok(Self { address, condition, acceptor })
     }
 
-    /// Spoils connections, or ends that.
+    /// Sets the state of all current and future connections.
     pub fn set(&self, link: LinkState) {
         self.condition.send_modify(|condition| condition.link = link);
     }
 
-    /// Silences the connections that are open now, for good. Neither end is told,
-    /// and new connections work.
+    /// Silences the connections that are open now, for good. Neither end is notified, and new
+    /// connections work.
     pub fn silence(&self) {
         self.condition.send_modify(|condition| condition.silence_count += 1);
     }
@@ -79,7 +82,7 @@
 
 async fn forward_connection(client: TcpStream, target: String, state: watch::Receiver<ProxyState>) {
     let count_at_start = state.borrow().silence_count;
-    // The far side sees a reset, and not an end in good order.
+    // With a linger time of zero, the client sees a reset rather than an orderly close.
     if SockRef::from(&client).set_linger(Some(Duration::ZERO)).is_err() {
         return;
     }
@@ -103,11 +106,11 @@
         _ = reset.wait_for(|condition| condition.link == LinkState::Reset) => false,
         _ = silence_count.wait_for(|condition| condition.silence_count > count_at_start) => true,
     };
-    // Both sockets stay open, unread, until the proxy is gone.
+    // Both sockets stay open without being read until the proxy is dropped.
     while goes_silent && silence_count.changed().await.is_ok() {}
 }
 
-/// Passes pieces on in one direction until it ends.
+/// Forwards data in one direction until it ends.
 async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -1,4 +1,4 @@
-//! What is done to the programs of a run.
+//! Carries out the actions of steps.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -15,25 +15,25 @@
 use crate::plan::{Action, ConnectionGroup, LastChange, LinkState, PICK_LEADER};
 use crate::proxy::Proxy;
 
-/// Time for which an upstream is about to leave at least: beyond the two seconds
-/// in which it may still get work.
+/// Shortest time for which an upstream is about to leave: longer than the two seconds in which
+/// it may still get requests.
 const MIN_LEAVE: Duration = Duration::from_secs(3);
-/// The store falls silent less than this many milliseconds after a change: within
-/// that time boxes have asked for the next one.
+/// The metadata store stops responding less than this many milliseconds after a change. Within
+/// that time boxes have sent their next watch request.
 const SILENCE_DELAY_MS: usize = 25;
-/// How often a box that is to stop is looked at.
+/// Interval at which a stopping box is polled for its exit.
 const STOP_POLL: Duration = Duration::from_millis(20);
-/// Least time for which an upstream wants no requests.
+/// Shortest time for which an upstream asks for no requests.
 const REST: Duration = Duration::from_millis(800);
-/// Answers that an upstream spoils at a time.
+/// Number of responses in which an upstream misbehaves.
 const MISBEHAVING_ANSWERS: usize = 5;
-/// Least time after which an unanswered order is carried out, and what is added for each
-/// of a thousand picks.
+/// Shortest time after which an unanswered order is carried out, and the time that is added for
+/// each unit of `pick`, which is below 1000.
 const MIN_ORDER_DELAY: Duration = Duration::from_millis(300);
 const ORDER_DELAY_PER_PICK: Duration = Duration::from_micros(2700);
-/// One restart of an engine in so many is told by no entry.
+/// One restart of an engine in this many is not announced by an updated entry.
 const UNANNOUNCED_ONE_IN: usize = 3;
-/// What an upstream may do in place of an answer.
+/// Ways in which an upstream may misbehave.
 const MISBEHAVIOUR: [Behavior; 10] = [
     Behavior::NotRun,
     Behavior::Close,
@@ -48,7 +48,7 @@
 ];
 
 impl World {
-    /// Has something happen for a while.
+    /// Carries out an action that lasts for `time`.
     pub async fn apply(&self, action: Action, pick: usize, time: Duration) {
         let number = if pick == PICK_LEADER { self.leader() } else { pick % self.boxes.len() };
         let (gateway_box, from_ms) = (&self.boxes[number], now_ms());
@@ -100,7 +100,7 @@
             Action::BoxStopped => {
                 let pid = gateway_box.process.pid();
                 gateway_box.process.try_signal("-TERM");
-                // Another step may have started it again meanwhile.
+                // Another step may have restarted the box in the meantime.
                 while gateway_box.process.pid() == pid && gateway_box.process.is_alive() {
                     sleep(STOP_POLL).await;
                 }
@@ -135,8 +135,8 @@
         self.box_outages().extend(gone.map(outage));
     }
 
-    /// Has an upstream start again under its id: its connections break, and its entry tells
-    /// of another start.
+    /// Restarts an upstream under the same id: its connections are reset, and its entry gets a
+    /// new start time.
     async fn restart_upstream(&self, pick: usize, time: Duration) {
         let number = pick % self.upstreams.len();
         set_link_for(&self.upstreams[number].proxy, LinkState::Reset, time).await;
@@ -147,9 +147,10 @@
         self.upstream_restarts().push(UpstreamRestart { id, at: Instant::now() });
     }
 
-    /// Has an engine start again under its id. Mostly its entry tells of it, also of the
-    /// weights that it had first; else it has those that it had, as the platform has it,
-    /// and nobody but the engine itself tells.
+    /// Restarts an engine under the same id. Mostly its entry announces the restart, and the
+    /// engine is back at the first version of the weights unless the scenario changes weights.
+    /// Otherwise it keeps its weights, as the platform guarantees, and only the engine's own
+    /// responses show the restart.
     async fn restart_engine(&self, pick: usize, time: Duration) {
         let number = pick % self.engines.len();
         let engine = &self.engines[number];
@@ -167,7 +168,7 @@
         self.site.register(&format!("e-{number}"), &entry);
     }
 
-    /// Has an upstream be about to leave for a while.
+    /// Marks an upstream as about to leave for a while.
     async fn announce_leave(&self, pick: usize, time: Duration) {
         let number = pick % self.upstreams.len();
         let pending_leaves = &self.pending_leaves[number];
@@ -177,13 +178,13 @@
         sleep(time).await;
         let id = self.upstreams[number].process.id.clone();
         self.upstream_leaves().push(UpstreamLeave { id, from, until: Instant::now() });
-        // Other steps may go on.
+        // Other steps may still require that the upstream is about to leave.
         if pending_leaves.fetch_sub(1, Ordering::SeqCst) == 1 {
             self.publish_upstream(number, "ready");
         }
     }
 
-    /// Has the store take a change and say nothing soon after.
+    /// Stores a change, then stops the metadata store's responses shortly after.
     async fn store_silent_after(&self, change: LastChange, pick: usize, time: Duration) {
         let silent = async {
             let pause_ms = u64::try_from(pick % SILENCE_DELAY_MS).unwrap_or_default();
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Silences open connections.
+    /// Silences the open connections of a group.
     fn silence(&self, group: ConnectionGroup) {
         let includes = |affected| group == affected || group == ConnectionGroup::All;
         for gateway_box in self.boxes.iter().filter(|_| includes(ConnectionGroup::Store)) {
--- a/soak/src/world/mod.rs
+++ b/soak/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The programs of a run; what is done to them stands in `happening`.
+//! Processes and proxies of a run. The actions on them are in `happening`.
 
 mod happening;
 
@@ -22,116 +22,111 @@
 use crate::plan::LinkState;
 use crate::proxy::Proxy;
 
-/// Plain upstreams.
+/// Number of plain upstreams.
 const UPSTREAMS: usize = 4;
-/// Model engines.
+/// Number of model engines.
 const ENGINES: usize = 3;
-/// Model engines when weights are on the move: half of them may load at a time.
+/// Number of model engines if the scenario changes weights, half of which may load at a time.
 const ENGINES_WITH_WEIGHTS_CHANGES: usize = 4;
-/// Pause between orders of two holders then, and time in which weights must be everywhere:
-/// half of what the platform asks.
+/// Lease and time bound for new weights if the scenario changes weights: half of what the
+/// platform requires.
 const WEIGHTS_CHANGES_LEASE_MS: u64 = 1500;
 const WEIGHTS_CHANGES_APPLY_MS: u64 = 5000;
-/// Halls, which boxes are dealt to in turn.
+/// Data halls, to which boxes are assigned in turn.
 const HALLS: [&str; 3] = ["north", "east", "west"];
-/// Service of the engines.
+/// Service name of the engines.
 const ENGINE_SERVICE: &str = "engines";
-/// Path of the route to them.
+/// Path prefix of the engines' route.
 pub const RUN_PATH: &str = "/run/";
 
-/// A process behind a proxy.
+/// A simulated process with a proxy in front of it.
 pub struct Proxied<T> {
-    /// The process.
     pub process: T,
-    /// The proxy.
     pub proxy: Proxy,
 }
 
-/// A box.
+/// A gateway box with its proxies.
 pub struct GatewayBox {
-    /// The process.
+    /// The gateway process.
     pub process: Gateway,
-    /// The proxy before the store.
+    /// Proxy between the box and the metadata store.
     pub metadata_proxy: Proxy,
-    /// The proxy before the box, which callers use.
+    /// Proxy in front of the box, which clients use.
     pub client_proxy: Proxy,
 }
 
-/// The newest configuration.
+/// The newest stored configuration.
 #[derive(Clone, Copy)]
 pub struct NewestConfiguration {
-    /// Its version.
     pub version: u64,
-    /// When the store had taken it.
+    /// When the metadata store had accepted it.
     pub stored_at: Instant,
 }
 
-/// A time for which an upstream was about to leave.
+/// A period in which an upstream was about to leave.
 pub struct UpstreamLeave {
     /// Id of the upstream.
     pub id: String,
-    /// When the store had taken it.
+    /// When its entry is set to leaving.
     pub from: Instant,
     /// When it was ready again.
     pub until: Instant,
 }
 
-/// A time for which a box was stopped, killed or paused, in Unix milliseconds.
+/// A period in which a box was stopped, killed or paused.
 pub struct BoxOutage {
-    /// The box.
     pub box_number: usize,
-    /// From the signal until it runs again.
+    /// From the signal until the box runs again, in Unix milliseconds.
     pub times_ms: RangeInclusive<u64>,
-    /// Whether it was paused.
+    /// Whether the box was paused.
     pub paused: bool,
 }
 
-/// All that takes part in a run.
+/// All processes and proxies of a run.
 pub struct World {
-    /// The platform.
+    /// The simulated platform.
     pub site: Site,
-    /// Boxes.
     pub boxes: Vec<GatewayBox>,
-    /// Plain upstreams.
     pub upstreams: Vec<Proxied<Server>>,
-    /// Engines.
     pub engines: Vec<Proxied<Engine>>,
     mesh: Mesh,
     newest: Mutex<NewestConfiguration>,
-    /// Whether weights are on the move: engines get requests, and keep their weights when
-    /// they start again.
+    /// Whether the scenario changes weights: engines then get requests and keep their weights
+    /// when they restart.
     pub weights_change: bool,
-    /// When each version of the weights was named, from the first, in Unix milliseconds.
+    /// When each version of the weights was named, starting with version 1, in Unix
+    /// milliseconds.
     weights_named_at_ms: Mutex<Vec<u64>>,
     box_outages: Mutex<Vec<BoxOutage>>,
     upstream_leaves: Mutex<Vec<UpstreamLeave>>,
-    /// For each upstream, the steps in which it is about to leave.
+    /// For each upstream, the number of current steps in which it is about to leave.
     pending_leaves: Vec<AtomicUsize>,
-    /// For each upstream, the start that its entry tells; none at first.
+    /// For each upstream, the start time in its entry in Unix milliseconds; 0 if it has not
+    /// restarted.
     restarted_at_ms: Vec<AtomicU64>,
-    /// Upstreams that crash under one request, if there are any.
+    /// Upstreams that crash on a certain request, if the scenario has any.
     pub crashing: Option<CrashingUpstreams>,
-    /// When upstreams started again under their ids.
+    /// Restarts of upstreams under the same id.
     upstream_restarts: Mutex<Vec<UpstreamRestart>>,
 }
 
-/// An upstream that started again under its id.
+/// A restart of an upstream under the same id.
 #[derive(Clone)]
 pub struct UpstreamRestart {
-    /// Its id.
+    /// Id of the upstream.
     pub id: String,
-    /// When its entry told of it.
+    /// When its entry announced the restart.
     pub at: Instant,
 }
 
-/// Path of a route that only one version of the configuration has.
+/// Path prefix of a route that exists only in this version of the configuration.
 #[must_use]
 pub fn version_path(version: u64) -> String {
     format!("/version-{version}/")
 }
 
-/// A configuration; if `with_runs`, with a route to the engines, and if `with_frail` to the
-/// upstreams that crash.
+/// A configuration, optionally with a route to the engines and a route to the upstreams that
+/// crash.
 fn configuration(version: u64, with_engine_route: bool, with_crashing: bool) -> Value {
     let mut document = config_document(version);
     let mut version_route = document["routes"][0].clone();
@@ -161,10 +156,11 @@
 }
 
 impl World {
-    /// Starts everything.
+    /// Starts the metadata store, upstreams, engines and boxes.
     ///
     /// # Errors
-    /// Fails when an address cannot be had.
+    ///
+    /// Fails when an address cannot be bound.
     pub async fn start(boxes: usize, weights_change: bool, with_crashing: bool) -> Result<Self> {
         let mut site = Site::start().await;
         site.distinct_peer_ports = true;
@@ -226,35 +222,36 @@
         })
     }
 
-    /// When upstreams were about to leave.
+    /// Periods in which upstreams were about to leave.
     pub fn upstream_leaves(&self) -> MutexGuard<'_, Vec<UpstreamLeave>> {
         self.upstream_leaves.lock().expect("no task panics under the lock")
     }
 
-    /// When upstreams started again under their ids.
+    /// Restarts of upstreams under the same id.
     pub fn upstream_restarts(&self) -> MutexGuard<'_, Vec<UpstreamRestart>> {
         self.upstream_restarts.lock().expect("no task panics under the lock")
     }
 
-    /// When boxes were away.
+    /// Periods in which boxes were down.
     pub fn box_outages(&self) -> MutexGuard<'_, Vec<BoxOutage>> {
         self.box_outages.lock().expect("no task panics under the lock")
     }
 
-    /// When each version of the weights was named, from the first, in Unix milliseconds.
+    /// When each version of the weights was named, starting with version 1, in Unix
+    /// milliseconds.
     pub fn weights_named_at_ms(&self) -> MutexGuard<'_, Vec<u64>> {
         self.weights_named_at_ms.lock().expect("no task panics under the lock")
     }
 
     /// Names the next version of the weights.
     fn name_next_weights(&self) {
-        // Under the lock, the store takes versions in their order.
+        // The lock is held so that the metadata store gets the versions in ascending order.
         let mut weights_named_at_ms = self.weights_named_at_ms();
         self.site.set_weight_version(MODEL, weights_named_at_ms.len() as u64 + 1);
         weights_named_at_ms.push(now_ms());
     }
 
-    /// The box that was the last to take the leadership, by its log.
+    /// The box that last became leader according to the logs.
     fn leader(&self) -> usize {
         let fence = |gateway_box: &GatewayBox| -> Option<u64> {
             let log = gateway_box.process.log_text();
@@ -265,7 +262,7 @@
         fences.max_by_key(|(_, fence)| *fence).map_or(0, |(number, _)| number)
     }
 
-    /// The box with a name.
+    /// The number of the box with a name.
     pub fn box_named(&self, name: &str) -> Option<usize> {
         let is_named = |gateway_box: &GatewayBox| {
             gateway_box.process.log.file_stem().is_some_and(|stem| stem == name)
@@ -273,13 +270,13 @@
         self.boxes.iter().position(is_named)
     }
 
-    /// The newest configuration.
+    /// The newest stored configuration.
     pub fn newest(&self) -> NewestConfiguration {
         *self.newest.lock().expect("no task panics under the lock")
     }
 
     fn set_configuration(&self, step: u64) {
-        // Under the lock, the store takes versions in their order.
+        // The lock is held so that the metadata store gets the versions in ascending order.
         let mut newest = self.newest.lock().expect("no task panics under the lock");
         newest.version += step;
         let document = configuration(newest.version, self.weights_change, self.crashing.is_some());
@@ -287,7 +284,7 @@
         newest.stored_at = Instant::now();
     }
 
-    /// Engines that do not have the weights named last, with their weights.
+    /// Engines that do not have the newest weights, with the version that they have.
     #[must_use]
     pub fn outdated_engines(&self) -> Vec<(usize, u64)> {
         let named = self.weights_named_at_ms().len() as u64;
@@ -305,7 +302,7 @@
         self.site.register(&upstream.process.id, &entry);
     }
 
-    /// Ends all faults.
+    /// Ends all faults and restarts the boxes that are down.
     pub fn end_faults(&self) {
         self.site.metadata.set_fault(StoreFault::None);
         for gateway_box in &self.boxes {
--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! Short runs with fixed seeds, and every seed that ever failed.
+//! Short runs with fixed seeds, and regression tests for seeds that have failed.
 
 use coursestile_soak::{Options, Scenario, run};
 use rstest::rstest;
@@ -11,15 +11,15 @@
     assert_no_violations(Options { seed, seconds: 10, boxes: 3, scenario: Scenario::First }).await;
 }
 
-// The plan has been changed since: a seed means other steps than it did then. Steps of
-// the second stream, which came last, are left out of the first cases.
+// Seeds that failed under an earlier version of the plan, so that they now give other steps.
+// Silences are left out, as they were not part of that plan.
 #[rstest]
-// The soak itself: overlapping leaves of one upstream were taken for one.
+// Overlapping leaves of one upstream were treated as a single leave by the soak test.
 #[case::overlapping_leaves(100)]
-// The stand-in: an answer of its own on a route of streams was no stream.
+// The stand-in upstream sent a plain response where the route requires a stream.
 #[case::plain_on_stream(101)]
 #[case::plain_on_stream_again(140)]
-// The stand-in: an event that breaks off began with an id of no event.
+// The stand-in upstream began a truncated event with an id that belongs to no event.
 #[case::made_up_event(123)]
 #[case::made_up_event_again(151)]
 #[tokio::test]
@@ -27,8 +27,9 @@
     assert_no_violations(Options { seed, seconds: 14, boxes: 4, scenario: Scenario::First }).await;
 }
 
-// All boxes' watches were lost: the store fell silent right after a change had ended
-// them and they had been sent again. They hung for seconds after its return.
+// Guards against lost watches: the metadata store stops responding right after a change has
+// ended all boxes' watches and they have been sent again. They must not hang for seconds once
+// the store responds again.
 #[tokio::test]
 async fn watches_lost_in_metadata_silence() {
     assert_no_violations(Options {
@@ -40,7 +41,8 @@
     .await;
 }
 
-// The same, and upstreams that said meanwhile that they leave still got work.
+// Guards against the same loss of watches when an upstream is about to leave: it must not get
+// requests beyond the time bound.
 #[tokio::test]
 async fn leaves_during_metadata_silence() {
     assert_no_violations(Options {
@@ -61,7 +63,8 @@
         .await;
 }
 
-// The soak itself: an engine lost its weights and told nobody, which the platform rules out.
+// Guards against an error of the soak test: an engine lost its weights without announcing it,
+// which the platform rules out.
 #[tokio::test]
 async fn engine_restarts_keep_weights() {
     assert_no_violations(Options {
@@ -73,9 +76,9 @@
     .await;
 }
 
-// Boxes go in series, the leader among them, faster than a new leader may give its first
-// order: for seconds nobody gives any, and boxes send requests to engines whose weights
-// had to be replaced by then.
+// Boxes, the leader among them, fail in series faster than a new leader may give its first
+// order. For seconds there are no orders, and boxes must not send requests to engines whose
+// weights should have been replaced by then.
 #[tokio::test]
 async fn weights_change_under_restarts() {
     assert_no_violations(Options {
@@ -87,8 +90,8 @@
     .await;
 }
 
-// One request crashed upstream after upstream, and what upstreams said in their answers was
-// not heeded: both seeds broke both promises.
+// Guards against two failures: a request that crashes one upstream after another, and boxes that
+// ignore what upstreams announce in their responses.
 #[rstest]
 #[case::one(1)]
 #[case::two(2)]
