--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -16,25 +16,25 @@
 use serde_json::{Value, json};
 
 use crate::control::{cpu_ticks, resident_mb};
-use crate::decide::full_state;
+use crate::decide::state_with_all_accounts;
 use crate::figures::{quantile_ms, ratio};
 
 /// Requests of each kind for the first token.
-const FIRST_TOKENS: usize = 400;
+const FIRST_TOKEN_REQUESTS: usize = 400;
 /// Streams open at once.
 const OPEN_STREAMS: usize = 500;
 /// Prompts that the dispatcher knows.
-const PROMPTS: usize = 10_000;
+const KNOWN_PROMPTS: usize = 10_000;
 /// Changes that are timed.
 const CHANGES: usize = 20;
 /// API key of the first account of the full state.
-const KEY: &str = "0";
+const API_KEY: &str = "0";
 
 /// Runs all benchmarks.
 pub async fn run() -> ExitCode {
     first_token().await;
     relay().await;
-    in_force().await;
+    configuration_changes().await;
     ExitCode::SUCCESS
 }
 
@@ -51,9 +51,9 @@
 }
 
 /// A fleet whose platform holds 1,300 accounts.
-async fn full_fleet(plan: &Plan) -> Arc<Fleet> {
+async fn start_fleet_with_accounts(plan: &Plan) -> Arc<Fleet> {
     let fleet = Arc::new(Fleet::start(plan).await);
-    let state = full_state();
+    let state = state_with_all_accounts();
     let platform = Consul::new(&fleet.platform.url());
     let base = serde_json::to_vec(&state).expect("a state can be written");
     let key = format!("{BASE_KEY_PREFIX}{}", state.revision);
@@ -67,15 +67,15 @@
     fleet
 }
 
-async fn time_first(fleet: &Fleet, url: &str, body: &Value) -> u64 {
-    let begun_at = Instant::now();
-    let call = fleet.http.post(format!("{url}/v1/completions")).bearer_auth(KEY).json(body);
+async fn time_first_token(fleet: &Fleet, url: &str, body: &Value) -> u64 {
+    let started_at = Instant::now();
+    let call = fleet.http.post(format!("{url}/v1/completions")).bearer_auth(API_KEY).json(body);
     let response = call.send().await.expect("an answer");
     let mut events = Box::pin(response.bytes_stream().eventsource());
     let mut took_us = 0;
     while let Some(Ok(event)) = events.next().await {
         if took_us == 0 && event.data.contains("\"text\"") {
-            took_us = micros(begun_at.elapsed());
+            took_us = micros(started_at.elapsed());
         }
     }
     took_us
@@ -86,32 +86,32 @@
     let mut plan = Plan::one_hall(2, 1, 0);
     plan.cache_tokens = 1_000_000;
     plan.engine_args = options(&[("step-us", "500")]);
-    let fleet = full_fleet(&plan).await;
-    println!("\nfirst token, {FIRST_TOKENS} requests each, in turn, two boxes");
+    let fleet = start_fleet_with_accounts(&plan).await;
+    println!("\nfirst token, {FIRST_TOKEN_REQUESTS} requests each, in turn, two boxes");
     println!("{:<28} {:>10} {:>10} {:>10}", "way", "p50 ms", "p95 ms", "p99 ms");
     for (name, length) in [("short prompt", 40), ("prompt of 6,000 tokens", 24_000)] {
-        let (mut direct, mut through) = (histogram(), histogram());
-        for number in 0..FIRST_TOKENS {
+        let (mut direct, mut proxied) = (histogram(), histogram());
+        for number in 0..FIRST_TOKEN_REQUESTS {
             let prompt = format!("{}{number}", "x".repeat(length));
             let id = format!("direct-{length}-{number}");
-            let own = json!({
+            let body = json!({
                 "model": "summary", "prompt": prompt, "max_tokens": 2, "stream": true,
                 "request_id": id,
             });
             let url = fleet.engines[0].url();
-            let direct_us = time_first(&fleet, &url, &own).await;
+            let direct_us = time_first_token(&fleet, &url, &body).await;
             let url = fleet.boxes[number % 2].process.url();
-            let through_us = time_first(&fleet, &url, &own).await;
+            let proxied_us = time_first_token(&fleet, &url, &body).await;
             // The first ones fill the caches.
             if number >= 20 {
                 direct.saturating_record(direct_us);
-                through.saturating_record(through_us);
+                proxied.saturating_record(proxied_us);
             }
         }
-        for (way, times) in [("engine", &direct), ("daemon", &through)] {
+        for (target, times) in [("engine", &direct), ("daemon", &proxied)] {
             println!(
                 "{:<28} {:>10.2} {:>10.2} {:>10.2}",
-                format!("{name}, {way}"),
+                format!("{name}, {target}"),
                 quantile_ms(times, 0.5),
                 quantile_ms(times, 0.95),
                 quantile_ms(times, 0.99)
@@ -131,7 +131,7 @@
         ("chunk-tokens", "1000000"),
         ("batch-slots", "128"),
     ]);
-    let fleet = full_fleet(&plan).await;
+    let fleet = start_fleet_with_accounts(&plan).await;
     let pid = fleet.boxes[0].process.pid();
     let idle_mb = resident_mb(pid);
     fill_prompts(&fleet).await;
@@ -140,7 +140,7 @@
     let prompts = status["dispatchers"][0]["prompts"].as_u64().unwrap_or(0);
     println!("\ndaemon {idle_mb:.1} MB idle, {filled_mb:.1} MB with its prompts");
     println!("relay: {OPEN_STREAMS} open streams, {prompts} prompts known, 1,300 accounts");
-    let (begun_at, ticks) = (Instant::now(), cpu_ticks(pid));
+    let (started_at, ticks) = (Instant::now(), cpu_ticks(pid));
     let streams: Vec<_> = (0..OPEN_STREAMS)
         .map(|number| {
             let fleet = fleet.clone();
@@ -149,34 +149,34 @@
         .collect();
     tokio::time::sleep(Duration::from_secs(5)).await;
     let memory_mb = resident_mb(pid);
-    let mut between = histogram();
+    let mut inter_token = histogram();
     let mut tokens = 0;
     for stream in streams {
         let (count, times) = stream.await.expect("a stream ends");
         tokens += count;
-        between.add(times).expect("histograms have the same bounds");
+        inter_token.add(times).expect("histograms have the same bounds");
     }
-    let elapsed = begun_at.elapsed();
+    let elapsed = started_at.elapsed();
     let cpu_percent = ratio(cpu_ticks(pid) - ticks, 1) / elapsed.as_secs_f64();
     println!(
         "{:.0} tokens/s; between tokens p50 {:.1} ms, p95 {:.1} ms, p99 {:.1} ms; \
          daemon {memory_mb:.1} MB, {cpu_percent:.0}% of a core",
         ratio(tokens, 1) / elapsed.as_secs_f64(),
-        quantile_ms(&between, 0.5),
-        quantile_ms(&between, 0.95),
-        quantile_ms(&between, 0.99)
+        quantile_ms(&inter_token, 0.5),
+        quantile_ms(&inter_token, 0.95),
+        quantile_ms(&inter_token, 0.99)
     );
 }
 
 /// Has the dispatcher get to know many prompts.
 async fn fill_prompts(fleet: &Arc<Fleet>) {
-    let prompts = futures_util::stream::iter(0..PROMPTS).map(|number| {
+    let prompts = futures_util::stream::iter(0..KNOWN_PROMPTS).map(|number| {
         let fleet = fleet.clone();
         async move {
             let prompt = format!("{number:<6000}");
             let body = json!({ "model": "summary", "prompt": prompt, "max_tokens": 1 });
             let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
-            let answer = fleet.http.post(url).bearer_auth(KEY).json(&body).send().await;
+            let answer = fleet.http.post(url).bearer_auth(API_KEY).json(&body).send().await;
             assert!(answer.is_ok_and(|answer| answer.status().is_success()));
         }
     });
@@ -187,7 +187,7 @@
     let prompt = format!("stream {number}");
     let body = json!({ "model": "summary", "prompt": prompt, "max_tokens": 500, "stream": true });
     let url = format!("{}/v1/completions", fleet.boxes[0].process.url());
-    let response = fleet.http.post(url).bearer_auth(KEY).json(&body).send().await;
+    let response = fleet.http.post(url).bearer_auth(API_KEY).json(&body).send().await;
     let mut events = Box::pin(response.expect("an answer").bytes_stream().eventsource());
     let (mut tokens, mut times) = (0, histogram());
     let mut last_at = None;
@@ -204,8 +204,8 @@
 }
 
 /// Time from a change's acceptance until all nine boxes serve it.
-async fn in_force() {
-    let fleet = full_fleet(&Plan::full_size()).await;
+async fn configuration_changes() {
+    let fleet = start_fleet_with_accounts(&Plan::full_size()).await;
     let mut times = histogram();
     for number in 0..CHANGES {
         let share = (1 + number % 3).to_string();
@@ -218,8 +218,8 @@
             "--json",
         ]);
         let accepted_at = Instant::now();
-        let made: Value = serde_json::from_str(&text).unwrap_or_default();
-        let revision = made["revision"].as_u64().expect("a revision");
+        let result: Value = serde_json::from_str(&text).unwrap_or_default();
+        let revision = result["revision"].as_u64().expect("a revision");
         let waits = fleet.boxes.iter().map(|entry_box| async {
             while fleet.status(entry_box).await.unwrap_or_default()["revision"].as_u64()
                 < Some(revision)
--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -17,15 +17,15 @@
 
 use crate::Options;
 use crate::report::refusals;
-use crate::runner::{Sending, create_accounts, send};
-use crate::workload::{Kind, Workload};
+use crate::runner::{SendOptions, create_accounts, send_load};
+use crate::workload::{Workload, WorkloadKind};
 
 /// Longest time that a fault stays.
-const MAX_FAULT_MS: u64 = 4000;
+const MAX_FAULT_DURATION_MS: u64 = 4000;
 /// Time without faults at the end, in seconds.
-const CALM_S: u64 = 8;
+const FAULT_FREE_S: u64 = 8;
 /// Time in which the boxes must agree after the heal.
-const AGREE_WITHIN: Duration = Duration::from_secs(30);
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Fault {
@@ -75,38 +75,38 @@
 ];
 
 /// Injects faults until `until`; returns how many of each kind.
-async fn inject(fleet: Arc<Fleet>, seed: u64, until: Instant) -> BTreeMap<Fault, u32> {
+async fn inject_faults(fleet: Arc<Fleet>, seed: u64, until: Instant) -> BTreeMap<Fault, u32> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut counts = BTreeMap::new();
-    let mut healing = Vec::new();
+    let mut active_faults = Vec::new();
     while Instant::now() < until {
         let fault = FAULTS[rng.usize(..FAULTS.len())];
-        let stays = Duration::from_millis(rng.u64(200..MAX_FAULT_MS));
+        let duration = Duration::from_millis(rng.u64(200..MAX_FAULT_DURATION_MS));
         let pick = rng.usize(..1000);
         *counts.entry(fault).or_default() += 1;
         let fleet = fleet.clone();
-        healing.push(tokio::spawn(async move {
-            if let Some((process, with)) = victim(&fleet, fault, pick) {
+        active_faults.push(tokio::spawn(async move {
+            if let Some((process, signal_name)) = process_to_signal(&fleet, fault, pick) {
                 let pid = process.pid();
-                signal(process, with);
-                tokio::time::sleep(stays).await;
+                signal(process, signal_name);
+                tokio::time::sleep(duration).await;
                 process.restart_after_exit(pid).await;
                 return;
             }
-            set(&fleet, fault, pick, true).await;
-            tokio::time::sleep(stays).await;
-            set(&fleet, fault, pick, false).await;
+            set_fault(&fleet, fault, pick, true).await;
+            tokio::time::sleep(duration).await;
+            set_fault(&fleet, fault, pick, false).await;
         }));
         tokio::time::sleep(Duration::from_millis(rng.u64(100..1500))).await;
     }
-    for heal in healing {
-        let _ = heal.await;
+    for fault_task in active_faults {
+        let _ = fault_task.await;
     }
     counts
 }
 
 /// The process that a fault ends, and the signal that it gets.
-fn victim(fleet: &Fleet, fault: Fault, pick: usize) -> Option<(&Process, &'static str)> {
+fn process_to_signal(fleet: &Fleet, fault: Fault, pick: usize) -> Option<(&Process, &'static str)> {
     let entry_box = &fleet.boxes[pick % fleet.boxes.len()].process;
     match fault {
         Fault::BoxKilled => Some((entry_box, "-KILL")),
@@ -118,13 +118,13 @@
 }
 
 /// Sets a fault, or heals it.
-async fn set(fleet: &Arc<Fleet>, fault: Fault, pick: usize, on: bool) {
+async fn set_fault(fleet: &Arc<Fleet>, fault: Fault, pick: usize, active: bool) {
     let entry_box = &fleet.boxes[pick % fleet.boxes.len()].process;
     let engine = &fleet.engines[pick % fleet.engines.len()];
     let store = &fleet.stores[pick % fleet.stores.len()];
     let worker = &fleet.workers[pick % fleet.workers.len()];
-    let stop = if on { "-STOP" } else { "-CONT" };
-    let slowdown = json!({ "slowdown": if on { 10 } else { 1 } });
+    let stop = if active { "-STOP" } else { "-CONT" };
+    let slowdown = json!({ "slowdown": if active { 10 } else { 1 } });
     match fault {
         Fault::BoxFrozen => signal(entry_box, stop),
         Fault::EngineFrozen => signal(engine, stop),
@@ -132,32 +132,34 @@
         Fault::EngineSlow => fleet.try_set_fault(engine, slowdown).await,
         Fault::LinkSlow => fleet.try_set_fault(store, slowdown).await,
         Fault::StreamsBroken => {
-            let pieces = if on { 7 } else { 0 };
+            let pieces = if active { 7 } else { 0 };
             fleet.try_set_fault(engine, json!({ "break_after_pieces": pieces })).await;
         }
-        Fault::PiecesReordered => fleet.try_set_fault(engine, json!({ "reorder": on })).await,
-        Fault::ReadsCorrupt => fleet.try_set_fault(store, json!({ "corrupt_reads": on })).await,
+        Fault::PiecesReordered => fleet.try_set_fault(engine, json!({ "reorder": active })).await,
+        Fault::ReadsCorrupt => fleet.try_set_fault(store, json!({ "corrupt_reads": active })).await,
         Fault::WorkerLosesAnswer => {
-            fleet.try_set_fault(worker, json!({ "lose_answers": u8::from(on) })).await;
+            fleet.try_set_fault(worker, json!({ "lose_answers": u8::from(active) })).await;
+        }
+        Fault::PlatformOut => {
+            fleet.try_set_fault(&fleet.platform, json!({ "outage": active })).await
         }
-        Fault::PlatformOut => fleet.try_set_fault(&fleet.platform, json!({ "outage": on })).await,
         Fault::PlatformLosesAnswers => {
-            fleet.try_set_fault(&fleet.platform, json!({ "lose_answers": u8::from(on) })).await;
+            fleet.try_set_fault(&fleet.platform, json!({ "lose_answers": u8::from(active) })).await;
         }
         Fault::PlatformSlow => {
-            let slow_ms = if on { 700 } else { 0 };
+            let slow_ms = if active { 700 } else { 0 };
             fleet.try_set_fault(&fleet.platform, json!({ "slow_ms": slow_ms })).await;
         }
         Fault::HallCut => {
             let hall = ["north", "east", "west"][pick % 3];
-            fleet.cut_hall(hall, on).await;
+            fleet.cut_hall(hall, active).await;
         }
-        Fault::OperatorsRace if on => race(fleet).await,
+        Fault::OperatorsRace if active => race_operators(fleet).await,
         Fault::UpstreamLeaves => {
-            let verb = if on { "leave" } else { "stay" };
+            let verb = if active { "leave" } else { "stay" };
             operate(fleet, &["upstream", verb, &engine.name]).await;
         }
-        Fault::VersionSwapped if on => {
+        Fault::VersionSwapped if active => {
             let version = if pick.is_multiple_of(2) { "v1" } else { "v2" };
             operate(fleet, &["model", "set", "summary", version]).await;
         }
@@ -171,8 +173,8 @@
 }
 
 /// Sends a signal; a process that has ended meanwhile is past that fault.
-fn signal(process: &Process, with: &str) {
-    let _ = process.try_signal(with);
+fn signal(process: &Process, signal_name: &str) {
+    let _ = process.try_signal(signal_name);
 }
 
 async fn operate(fleet: &Arc<Fleet>, args: &[&str]) -> i32 {
@@ -186,10 +188,10 @@
 }
 
 /// Two operators change one account at the same time.
-async fn race(fleet: &Arc<Fleet>) {
-    let args = ["account", "set", "sanam-9", "--share", "2"];
-    let other = ["account", "set", "sanam-9", "--share", "1"];
-    tokio::join!(operate(fleet, &args), operate(fleet, &other));
+async fn race_operators(fleet: &Arc<Fleet>) {
+    let first = ["account", "set", "sanam-9", "--share", "2"];
+    let second = ["account", "set", "sanam-9", "--share", "1"];
+    tokio::join!(operate(fleet, &first), operate(fleet, &second));
 }
 
 /// Runs the load under faults and checks the promises.
@@ -202,17 +204,17 @@
     "drain_timeout_ms = 15000".clone_into(&mut plan.limits);
     let fleet = Arc::new(Fleet::start(&plan).await);
     let rate_per_s = options.rate_per_s.min(30.0);
-    let workload = Workload::new(Kind::Sanam, options.seed, rate_per_s, options.seconds);
+    let workload = Workload::new(WorkloadKind::Sanam, options.seed, rate_per_s, options.seconds);
     let revision = create_accounts(&fleet, &workload);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
     fleet.wait_for_revision(&boxes, revision, boxes.len()).await;
-    let faults_s = options.seconds.saturating_sub(CALM_S).max(1);
+    let faults_s = options.seconds.saturating_sub(FAULT_FREE_S).max(1);
     let until = Instant::now() + Duration::from_secs(faults_s);
-    let injector = tokio::spawn(inject(fleet.clone(), options.seed, until));
-    let sending = Sending { progress: true, boxes_die: true, ..Sending::default() };
-    let outcome = send(&fleet, &workload, sending).await;
+    let injector = tokio::spawn(inject_faults(fleet.clone(), options.seed, until));
+    let send_options = SendOptions { progress: true, kills_boxes: true, ..SendOptions::default() };
+    let outcome = send_load(&fleet, &workload, send_options).await;
     let counts = injector.await.unwrap_or_default();
-    let (agreed, violations) = agree(&fleet).await;
+    let (agreed, violations) = wait_for_agreement(&fleet).await;
     println!(
         "seed {}, requests sent {}, whole answers {}",
         options.seed, outcome.sent, outcome.whole
@@ -224,9 +226,9 @@
     println!(
         "lost {}, doubled {}, wrong {}, untrue 'not run' {}, violated invariants {violations}, \
          boxes agree: {agreed}",
-        outcome.lost, outcome.doubled, outcome.wrong, outcome.untrue
+        outcome.lost, outcome.run_repeatedly, outcome.wrong, outcome.false_not_run
     );
-    if outcome.faults() == 0 && violations == 0 && agreed {
+    if outcome.failures() == 0 && violations == 0 && agreed {
         return ExitCode::SUCCESS;
     }
     println!("logs: {}", fleet.dir().display());
@@ -235,8 +237,8 @@
 
 /// Whether all boxes come to serve the same revision, and the invariants that
 /// they saw violated.
-async fn agree(fleet: &Arc<Fleet>) -> (bool, u64) {
-    let until = Instant::now() + AGREE_WITHIN;
+async fn wait_for_agreement(fleet: &Arc<Fleet>) -> (bool, u64) {
+    let until = Instant::now() + CONVERGENCE_TIMEOUT;
     loop {
         let mut revisions = Vec::new();
         let mut violations = 0;
@@ -245,7 +247,8 @@
             revisions.push(status["revision"].as_u64());
             violations += status["violations"].as_u64().unwrap_or(0);
         }
-        let same = revisions[0].is_some() && revisions.iter().all(|one| *one == revisions[0]);
+        let same =
+            revisions[0].is_some() && revisions.iter().all(|revision| *revision == revisions[0]);
         if same || Instant::now() >= until {
             return (same, violations);
         }
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -12,14 +12,14 @@
 use crate::figures::quantile_ms;
 use crate::outcome::Outcome;
 use crate::report::{plot, print_head, print_row, refusals};
-use crate::runner::{Sending, create_accounts, send};
-use crate::workload::{Kind, Workload};
+use crate::runner::{SendOptions, create_accounts, send_load};
+use crate::workload::{Workload, WorkloadKind};
 
 struct Policy {
     name: &'static str,
-    route: &'static str,
-    keep: &'static str,
-    share: &'static str,
+    routing: &'static str,
+    retention: &'static str,
+    sharing: &'static str,
     stores: usize,
     store_bytes: u64,
     link_bytes_per_ms: u64,
@@ -34,31 +34,31 @@
 /// Bytes of kept context a token.
 const KV_TOKEN_BYTES: u64 = 20_000;
 
-const OURS: Policy = Policy {
+const DEFAULT_POLICY: Policy = Policy {
     name: "cost, keep worth (ours)",
-    route: "cost",
-    keep: "worth",
-    share: "fair",
+    routing: "cost",
+    retention: "worth",
+    sharing: "fair",
     stores: 2,
     store_bytes: STORE_BYTES,
     link_bytes_per_ms: LINK_BYTES_PER_MS,
 };
 
-const BASELINE: Policy = Policy { keep: "lru", share: "fifo", stores: 0, ..OURS };
+const BASELINE: Policy = Policy { retention: "lru", sharing: "fifo", stores: 0, ..DEFAULT_POLICY };
 
 const POLICIES: [Policy; 7] = [
-    Policy { name: "round robin, no store", route: "round_robin", ..BASELINE },
-    Policy { name: "least outstanding, no store", route: "least_outstanding", ..BASELINE },
-    Policy { name: "longest prefix, no store", route: "longest_prefix", ..BASELINE },
-    Policy { name: "cost, keep lru", keep: "lru", ..OURS },
-    Policy { name: "cost, keep ttl", keep: "ttl", ..OURS },
-    OURS,
+    Policy { name: "round robin, no store", routing: "round_robin", ..BASELINE },
+    Policy { name: "least outstanding, no store", routing: "least_outstanding", ..BASELINE },
+    Policy { name: "longest prefix, no store", routing: "longest_prefix", ..BASELINE },
+    Policy { name: "cost, keep lru", retention: "lru", ..DEFAULT_POLICY },
+    Policy { name: "cost, keep ttl", retention: "ttl", ..DEFAULT_POLICY },
+    DEFAULT_POLICY,
     Policy {
         name: "bound: all kept, link free",
-        keep: "lru",
+        retention: "lru",
         store_bytes: STORE_BYTES * 100,
         link_bytes_per_ms: LINK_BYTES_PER_MS * 1000,
-        ..OURS
+        ..DEFAULT_POLICY
     },
 ];
 
@@ -68,20 +68,22 @@
     plan.cache_tokens = CACHE_TOKENS;
     plan.store_bytes = policy.store_bytes;
     plan.link_bytes_per_ms = policy.link_bytes_per_ms;
-    plan.policy =
-        format!("route = {}\nkeep = {}\nshare = {}", policy.route, policy.keep, policy.share);
+    plan.policy = format!(
+        "route = {}\nkeep = {}\nshare = {}",
+        policy.routing, policy.retention, policy.sharing
+    );
     plan
 }
 
 /// Context that a fleet can keep in engines and stores together, in tokens.
-fn kept_tokens(plan: &Plan) -> usize {
+fn context_capacity_tokens(plan: &Plan) -> usize {
     let engines: usize = plan.halls.iter().map(|hall| hall.engines).sum();
     let stored = plan.store_bytes * plan.stores as u64 / KV_TOKEN_BYTES;
     let cached = engines as u64 * CACHE_TOKENS;
     usize::try_from(cached + stored).unwrap_or(usize::MAX)
 }
 
-async fn start(policy: &Policy, workload: &Workload) -> Arc<Fleet> {
+async fn start_fleet(policy: &Policy, workload: &Workload) -> Arc<Fleet> {
     let fleet = Arc::new(Fleet::start(&plan(policy)).await);
     let revision = create_accounts(&fleet, workload);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
@@ -93,21 +95,23 @@
 pub async fn run(options: &Options) -> ExitCode {
     let mut faults = 0;
     let mut times: Vec<(String, Histogram<u64>)> = Vec::new();
-    for kind in [Kind::Sanam, Kind::Petra] {
+    for kind in [WorkloadKind::Sanam, WorkloadKind::Petra] {
         for percent in options.loads_percent.iter().copied() {
             let rate_per_s = options.rate_per_s * percent / 100.0;
             let workload = Workload::new(kind, options.seed, rate_per_s, options.seconds);
-            let workload = workload.warmed(options.seed);
-            let hindsight = workload.hindsight_percent(kept_tokens(&plan(&OURS)));
+            let workload = workload.with_warmup(options.seed);
+            let optimal_percent =
+                workload.optimal_recompute_percent(context_capacity_tokens(&plan(&DEFAULT_POLICY)));
             println!("\n{} at {percent}% ({rate_per_s:.0} requests/s)", kind.name());
-            println!("least recompute in hindsight, with the same room: {hindsight:.1}%");
+            println!("least recompute in hindsight, with the same room: {optimal_percent:.1}%");
             print_head();
             for policy in &POLICIES {
-                let fleet = start(policy, &workload).await;
-                let sending = Sending { warm_ms: workload.warm_ms, ..Sending::default() };
-                let outcome = send(&fleet, &workload, sending).await;
+                let fleet = start_fleet(policy, &workload).await;
+                let send_options =
+                    SendOptions { warmup_ms: workload.warmup_ms, ..SendOptions::default() };
+                let outcome = send_load(&fleet, &workload, send_options).await;
                 print_row(policy.name, &outcome);
-                faults += outcome.faults();
+                faults += outcome.failures();
                 times.push((
                     format!("{} {percent}% {}", kind.name(), policy.name),
                     outcome.first_token_us,
@@ -115,7 +119,7 @@
             }
         }
     }
-    faults += run_flood(options).await;
+    faults += run_flooding(options).await;
     if let Some(path) = &options.plot {
         let shown: Vec<_> = times.into_iter().filter(|(name, _)| name.contains(" 80% ")).collect();
         if let Err(error) = plot(path, &shown) {
@@ -127,39 +131,40 @@
 }
 
 /// One account sends ten times its share; what the others feel of it.
-async fn run_flood(options: &Options) -> u64 {
+async fn run_flooding(options: &Options) -> u64 {
     println!("\none account sends ten times its share");
     println!(
         "{:<34} {:>14} {:>14} {:>8} {:>8}",
         "share policy", "others p95 ms", "flooder p95 ms", "whole", "refus"
     );
     let mut faults = 0;
-    for (share, flooded) in [("fair", false), ("fifo", true), ("fair", true)] {
-        let policy = Policy { share, ..OURS };
+    for (sharing, is_flooded) in [("fair", false), ("fifo", true), ("fair", true)] {
+        let policy = Policy { sharing, ..DEFAULT_POLICY };
         let rate_per_s = options.rate_per_s * 0.5;
-        let mut workload = Workload::new(Kind::Sanam, options.seed, rate_per_s, options.seconds);
-        if flooded {
+        let mut workload =
+            Workload::new(WorkloadKind::Sanam, options.seed, rate_per_s, options.seconds);
+        if is_flooded {
             // Account 3 has 1 of 20 shares.
-            workload.flood(3, options.seed + 1, rate_per_s * 10.0 / 20.0, options.seconds);
-            workload.flood(3, options.seed + 2, rate_per_s * 2.0, options.seconds);
+            workload.add_requests(3, options.seed + 1, rate_per_s * 10.0 / 20.0, options.seconds);
+            workload.add_requests(3, options.seed + 2, rate_per_s * 2.0, options.seconds);
         }
-        let fleet = start(&policy, &workload).await;
-        let outcome = send(&fleet, &workload, Sending::default()).await;
-        let name = format!("{share}{}", if flooded { ", flooded" } else { "" });
-        print_shares(&name, &outcome);
-        faults += outcome.faults();
+        let fleet = start_fleet(&policy, &workload).await;
+        let outcome = send_load(&fleet, &workload, SendOptions::default()).await;
+        let name = format!("{sharing}{}", if is_flooded { ", flooded" } else { "" });
+        print_flood_row(&name, &outcome);
+        faults += outcome.failures();
     }
     faults
 }
 
-fn print_shares(name: &str, outcome: &Outcome) {
-    let mut others = outcome.by_account_us[0].clone();
-    for (account, times) in outcome.by_account_us.iter().enumerate() {
+fn print_flood_row(name: &str, outcome: &Outcome) {
+    let mut others = outcome.first_token_by_account_us[0].clone();
+    for (account, times) in outcome.first_token_by_account_us.iter().enumerate() {
         if account != 0 && account != 3 {
             others.add(times).expect("histograms have the same bounds");
         }
     }
-    let flooder = quantile_ms(&outcome.by_account_us[3], 0.95);
+    let flooder = quantile_ms(&outcome.first_token_by_account_us[3], 0.95);
     let refused: u64 = outcome.refusals.values().sum();
     println!(
         "{name:<34} {:>14.1} {flooder:>14.1} {:>8} {refused:>8}",
@@ -170,46 +175,50 @@
 
 /// A fault in the middle of a load.
 #[derive(Clone, Copy)]
-enum Fault {
-    StoreDies,
-    LinkSlow,
-    EnginesFreeze,
+enum MidRunFault {
+    StorePaused,
+    LinksSlow,
+    EnginesPaused,
     BoxKilled,
-    PlatformOut,
+    PlatformOutage,
 }
 
-impl Fault {
+impl MidRunFault {
     fn name(self) -> &'static str {
         match self {
-            Self::StoreDies => "a store dies",
-            Self::LinkSlow => "links at a tenth",
-            Self::EnginesFreeze => "three engines freeze",
+            Self::StorePaused => "a store dies",
+            Self::LinksSlow => "links at a tenth",
+            Self::EnginesPaused => "three engines freeze",
             Self::BoxKilled => "a box is killed",
-            Self::PlatformOut => "the platform is out",
+            Self::PlatformOutage => "the platform is out",
         }
     }
 
-    async fn set(self, fleet: &Fleet, on: bool) {
+    async fn apply(self, fleet: &Fleet, active: bool) {
         match self {
-            Self::StoreDies => {
-                fleet.stores[0].signal(if on { "-STOP" } else { "-CONT" });
+            Self::StorePaused => {
+                fleet.stores[0].signal(if active { "-STOP" } else { "-CONT" });
             }
-            Self::LinkSlow => {
+            Self::LinksSlow => {
                 for store in &fleet.stores {
-                    fleet.set_fault(store, json!({ "slowdown": if on { 10 } else { 1 } })).await;
+                    fleet
+                        .set_fault(store, json!({ "slowdown": if active { 10 } else { 1 } }))
+                        .await;
                 }
             }
-            Self::EnginesFreeze => {
+            Self::EnginesPaused => {
                 for engine in &fleet.engines[..3] {
-                    engine.signal(if on { "-STOP" } else { "-CONT" });
+                    engine.signal(if active { "-STOP" } else { "-CONT" });
                 }
             }
             Self::BoxKilled => {
-                if on {
+                if active {
                     fleet.boxes[4].process.signal("-KILL");
                 }
             }
-            Self::PlatformOut => fleet.set_fault(&fleet.platform, json!({ "outage": on })).await,
+            Self::PlatformOutage => {
+                fleet.set_fault(&fleet.platform, json!({ "outage": active })).await
+            }
         }
     }
 }
@@ -222,26 +231,26 @@
         "fault in the middle", "before p95", "during p95", "after p95", "sent", "whole", "bad"
     );
     let all = [
-        Fault::StoreDies,
-        Fault::LinkSlow,
-        Fault::EnginesFreeze,
-        Fault::BoxKilled,
-        Fault::PlatformOut,
+        MidRunFault::StorePaused,
+        MidRunFault::LinksSlow,
+        MidRunFault::EnginesPaused,
+        MidRunFault::BoxKilled,
+        MidRunFault::PlatformOutage,
     ];
     for fault in all {
         let third_s = (options.seconds / 3).max(4);
         let rate_per_s = options.rate_per_s * 0.5;
-        let workload = Workload::new(Kind::Sanam, options.seed, rate_per_s, third_s * 3);
-        let fleet = start(&OURS, &workload).await;
-        let injected = fleet.clone();
+        let workload = Workload::new(WorkloadKind::Sanam, options.seed, rate_per_s, third_s * 3);
+        let fleet = start_fleet(&DEFAULT_POLICY, &workload).await;
+        let fault_fleet = fleet.clone();
         let injector = tokio::spawn(async move {
             tokio::time::sleep(Duration::from_secs(third_s)).await;
-            fault.set(&injected, true).await;
+            fault.apply(&fault_fleet, true).await;
             tokio::time::sleep(Duration::from_secs(third_s)).await;
-            fault.set(&injected, false).await;
+            fault.apply(&fault_fleet, false).await;
         });
-        let sending = Sending { boxes_die: true, ..Sending::default() };
-        let outcome = send(&fleet, &workload, sending).await;
+        let send_options = SendOptions { kills_boxes: true, ..SendOptions::default() };
+        let outcome = send_load(&fleet, &workload, send_options).await;
         let _ = injector.await;
         let p95 = |from_s, to_s| p95_between(&outcome, from_s, to_s);
         // The first seconds warm the caches; the heal gets three seconds.
@@ -253,17 +262,17 @@
             p95(third_s * 2 + 3, third_s * 3),
             outcome.sent,
             outcome.whole,
-            outcome.faults(),
+            outcome.failures(),
             refusals(&outcome)
         );
-        faults += outcome.faults();
+        faults += outcome.failures();
     }
     if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn p95_between(outcome: &Outcome, from_s: u64, to_s: u64) -> f64 {
     let mut all: Option<Histogram<u64>> = None;
-    for (_, times) in outcome.by_second_us.range(from_s..to_s) {
+    for (_, times) in outcome.first_token_by_second_us.range(from_s..to_s) {
         match &mut all {
             Some(all) => all.add(times).expect("histograms have the same bounds"),
             None => all = Some(times.clone()),
--- a/load/src/control.rs
+++ b/load/src/control.rs
@@ -9,17 +9,17 @@
 
 use crate::Options;
 use crate::figures::ratio;
-use crate::runner::{Sending, create_accounts, send};
-use crate::workload::{Kind, Workload};
+use crate::runner::{SendOptions, create_accounts, send_load};
+use crate::workload::{Workload, WorkloadKind};
 
 /// Entry boxes of the fleets.
-const FLEETS: [usize; 4] = [3, 9, 30, 60];
+const FLEET_SIZES: [usize; 4] = [3, 9, 30, 60];
 /// Data halls of each fleet.
 const HALLS: usize = 3;
 /// Time until a new fleet is calm.
-const SETTLE: Duration = Duration::from_secs(12);
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 /// Requests a second for each box under load.
-const LOAD_PER_BOX: f64 = 2.0;
+const REQUESTS_PER_S_PER_BOX: f64 = 2.0;
 
 /// Memory of a process, in megabytes.
 pub fn resident_mb(pid: u32) -> f64 {
@@ -38,14 +38,14 @@
 
 /// What all boxes together have used.
 #[derive(Clone, Copy, Default)]
-struct Sample {
+struct FleetUsage {
     sent_bytes: u64,
     sent_messages: u64,
     cpu_ticks: u64,
     platform_calls: u64,
 }
 
-async fn counter(fleet: &Fleet, entry_box: &EntryBox, name: &str) -> u64 {
+async fn read_counter(fleet: &Fleet, entry_box: &EntryBox, name: &str) -> u64 {
     let url = format!("http://{}/metrics", entry_box.operators);
     let page = match fleet.http.get(url).send().await {
         Ok(answer) => answer.text().await.unwrap_or_default(),
@@ -55,17 +55,18 @@
     line.and_then(|line| line.rsplit(' ').next()?.parse().ok()).unwrap_or(0)
 }
 
-async fn sample(fleet: &Fleet) -> Sample {
-    let mut sample = Sample::default();
+async fn sample_usage(fleet: &Fleet) -> FleetUsage {
+    let mut usage = FleetUsage::default();
     for entry_box in &fleet.boxes {
-        sample.cpu_ticks += cpu_ticks(entry_box.process.pid());
+        usage.cpu_ticks += cpu_ticks(entry_box.process.pid());
         let sent = "coursestile_peer_sent";
-        sample.sent_bytes += counter(fleet, entry_box, &format!("{sent}_bytes_total")).await;
-        sample.sent_messages += counter(fleet, entry_box, &format!("{sent}_messages_total")).await;
+        usage.sent_bytes += read_counter(fleet, entry_box, &format!("{sent}_bytes_total")).await;
+        usage.sent_messages +=
+            read_counter(fleet, entry_box, &format!("{sent}_messages_total")).await;
         let calls = "coursestile_platform_calls_total";
-        sample.platform_calls += counter(fleet, entry_box, calls).await;
+        usage.platform_calls += read_counter(fleet, entry_box, calls).await;
     }
-    sample
+    usage
 }
 
 fn plan(boxes: usize) -> Plan {
@@ -73,13 +74,20 @@
     Plan::new((0..HALLS).map(hall).collect())
 }
 
-fn print(name: &str, boxes: usize, before: Sample, after: Sample, took: Duration, memory_mb: f64) {
-    let each = |part: u64| ratio(part, boxes as u64) / took.as_secs_f64();
+fn print_row(
+    name: &str,
+    boxes: usize,
+    before: FleetUsage,
+    after: FleetUsage,
+    took: Duration,
+    memory_mb: f64,
+) {
+    let per_box_per_s = |amount: u64| ratio(amount, boxes as u64) / took.as_secs_f64();
     println!(
         "{boxes:>6} {name:<8} {:>12.0} {:>12.1} {:>10.2} {memory_mb:>10.1} {:>14.2}",
-        each(after.sent_bytes - before.sent_bytes),
-        each(after.sent_messages - before.sent_messages),
-        each(after.cpu_ticks - before.cpu_ticks),
+        per_box_per_s(after.sent_bytes - before.sent_bytes),
+        per_box_per_s(after.sent_messages - before.sent_messages),
+        per_box_per_s(after.cpu_ticks - before.cpu_ticks),
         ratio(after.platform_calls - before.platform_calls, 1) / took.as_secs_f64()
     );
 }
@@ -91,28 +99,29 @@
         "boxes", "state", "B/s a box", "msg/s a box", "cpu % box", "MB a box", "platform/s all"
     );
     let mut faults = 0;
-    for boxes in FLEETS {
+    for boxes in FLEET_SIZES {
         let fleet = Arc::new(Fleet::start(&plan(boxes)).await);
-        let rate_per_s = LOAD_PER_BOX * f64::from(u32::try_from(boxes).unwrap_or(1));
-        let workload = Workload::new(Kind::Sanam, options.seed, rate_per_s, options.seconds);
+        let rate_per_s = REQUESTS_PER_S_PER_BOX * f64::from(u32::try_from(boxes).unwrap_or(1));
+        let workload =
+            Workload::new(WorkloadKind::Sanam, options.seed, rate_per_s, options.seconds);
         let revision = create_accounts(&fleet, &workload);
         let all: Vec<_> = fleet.boxes.iter().collect();
         // Views of a fleet that starts all at once take longer to converge.
         fleet.wait_for_revision(&all, revision, boxes / 2).await;
-        tokio::time::sleep(SETTLE).await;
-        let (begun_at, before) = (Instant::now(), sample(&fleet).await);
+        tokio::time::sleep(SETTLE_TIME).await;
+        let (started_at, before) = (Instant::now(), sample_usage(&fleet).await);
         tokio::time::sleep(Duration::from_secs(options.seconds)).await;
-        let after = sample(&fleet).await;
-        print("idle", boxes, before, after, begun_at.elapsed(), memory(&fleet));
-        let (begun_at, before) = (Instant::now(), sample(&fleet).await);
-        faults += send(&fleet, &workload, Sending::default()).await.faults();
-        let after = sample(&fleet).await;
-        print("load", boxes, before, after, begun_at.elapsed(), memory(&fleet));
+        let after = sample_usage(&fleet).await;
+        print_row("idle", boxes, before, after, started_at.elapsed(), mean_memory_mb(&fleet));
+        let (started_at, before) = (Instant::now(), sample_usage(&fleet).await);
+        faults += send_load(&fleet, &workload, SendOptions::default()).await.failures();
+        let after = sample_usage(&fleet).await;
+        print_row("load", boxes, before, after, started_at.elapsed(), mean_memory_mb(&fleet));
     }
     if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn memory(fleet: &Fleet) -> f64 {
-    let all: f64 = fleet.boxes.iter().map(|one| resident_mb(one.process.pid())).sum();
+fn mean_memory_mb(fleet: &Fleet) -> f64 {
+    let all: f64 = fleet.boxes.iter().map(|entry_box| resident_mb(entry_box.process.pid())).sum();
     all / f64::from(u32::try_from(fleet.boxes.len()).unwrap_or(1))
 }
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -23,29 +23,29 @@
 use crate::figures::ratio;
 
 /// Engines of one hall, when one model has them all.
-const HALL_ENGINES: usize = 128;
+const ENGINES_PER_HALL: usize = 128;
 /// Client accounts.
 const ACCOUNTS: usize = 1300;
 /// Boxes of all halls.
 const BOXES: usize = 350;
 /// Boxes of one hall.
-const HALL_BOXES: usize = 58;
+const BOXES_PER_HALL: usize = 58;
 
 /// Prints the table.
 pub fn run() -> ExitCode {
     println!("{:<52} {:>12} {:>12}", "what", "time us", "memory");
     for prompts in [40_000, 6_600] {
-        dispatcher(prompts);
+        measure_dispatcher(prompts);
     }
-    configuration();
-    ownership();
-    membership();
-    ledger();
+    measure_configuration();
+    measure_ownership();
+    measure_membership();
+    measure_ledger();
     ExitCode::SUCCESS
 }
 
-fn row(what: &str, time_us: Option<f64>, bytes: Option<u64>) {
-    let time = time_us.map_or(String::new(), |time| format!("{time:.2}"));
+fn print_row(what: &str, mean_us: Option<f64>, bytes: Option<u64>) {
+    let time = mean_us.map_or(String::new(), |time| format!("{time:.2}"));
     let memory = bytes.map_or(String::new(), |bytes| format!("{:.2} MB", ratio(bytes, 1_000_000)));
     println!("{what:<52} {time:>12} {memory:>12}");
 }
@@ -58,15 +58,15 @@
 }
 
 /// Mean time of `count` calls, in microseconds.
-fn time_us(count: usize, mut call: impl FnMut(usize)) -> f64 {
-    let begun_at = Instant::now();
+fn mean_us(count: usize, mut call: impl FnMut(usize)) -> f64 {
+    let started_at = Instant::now();
     for number in 0..count {
         call(number);
     }
-    begun_at.elapsed().as_secs_f64() * 1e6 / f64::from(u32::try_from(count).unwrap_or(1))
+    started_at.elapsed().as_secs_f64() * 1e6 / f64::from(u32::try_from(count).unwrap_or(1))
 }
 
-fn ask(number: usize, prompts: usize) -> SlotRequest {
+fn slot_request(number: usize, prompts: usize) -> SlotRequest {
     let account = format!("account-{}", number % ACCOUNTS);
     let (model, version) = ("model".to_owned(), "v1".to_owned());
     let scope = Scope { account, model, version };
@@ -92,37 +92,38 @@
 }
 
 fn new_dispatcher(prompts: usize) -> Dispatcher {
-    let engines = (0..HALL_ENGINES)
+    let engines = (0..ENGINES_PER_HALL)
         .map(|number| Engine::new(&format!("engine-{number}"), "http://e", 8, 65_536, 0.03))
         .collect();
     let store = Store::new("http://s", u64::MAX / 2, 2e6);
     let stores = BTreeMap::from([("s".to_owned(), store)]);
-    let keeper = ContextManager::new(RetentionPolicy::Worth, stores, prompts * 2, 20_000, "box");
-    Dispatcher::new(Policies::default(), engines, keeper)
+    let context_manager =
+        ContextManager::new(RetentionPolicy::Worth, stores, prompts * 2, 20_000, "box");
+    Dispatcher::new(Policies::default(), engines, context_manager)
 }
 
 /// A request's whole way through the dispatcher, with the fleet 70% busy.
-fn dispatcher(prompts: usize) {
-    let asks: Vec<_> = (0..prompts).map(|number| ask(number, prompts)).collect();
+fn measure_dispatcher(prompts: usize) {
+    let requests: Vec<_> = (0..prompts).map(|number| slot_request(number, prompts)).collect();
     let before = resident_bytes();
     let mut dispatcher = new_dispatcher(prompts);
     let mut open = std::collections::VecDeque::new();
     let mut number = 0;
-    let mut turn = |dispatcher: &mut Dispatcher, source: &SlotRequest| {
+    let mut serve = |dispatcher: &mut Dispatcher, source: &SlotRequest| {
         number += 1;
-        let mut one = source.clone();
-        one.id.number = number;
-        let id = one.id.clone();
+        let mut request = source.clone();
+        request.id.number = number;
+        let id = request.id.clone();
         let now_ms = 1_000_000 + number;
-        let actions = dispatcher.request_slot(now_ms, one);
+        let actions = dispatcher.request_slot(now_ms, request);
         let granted = actions.iter().any(|action| {
             matches!(action, Action::Respond { response: SlotResponse::Granted(_), .. })
         });
         assert!(granted, "the fleet has places free");
-        let first = SlotReport::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
-        dispatcher.record_slot_report(now_ms, &first);
+        let first_token = SlotReport::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
+        dispatcher.record_slot_report(now_ms, &first_token);
         open.push_back(id);
-        if open.len() > HALL_ENGINES * 8 * 7 / 10 {
+        if open.len() > ENGINES_PER_HALL * 8 * 7 / 10 {
             let id = open.pop_front().expect("it is not empty");
             let request = "request".to_owned();
             let done = SlotReport::Done {
@@ -134,21 +135,21 @@
             dispatcher.record_slot_report(now_ms, &done);
         }
     };
-    for source in &asks {
-        turn(&mut dispatcher, source);
+    for source in &requests {
+        serve(&mut dispatcher, source);
     }
     let memory = resident_bytes().saturating_sub(before);
-    let name = format!("decide, {HALL_ENGINES} engines, {prompts} prompts, all returning");
-    let time = time_us(20_000, |number| turn(&mut dispatcher, &asks[number % asks.len()]));
-    row(&name, Some(time), Some(memory));
-    let ticks = time_us(20, |_| {
+    let name = format!("decide, {ENGINES_PER_HALL} engines, {prompts} prompts, all returning");
+    let time = mean_us(20_000, |number| serve(&mut dispatcher, &requests[number % requests.len()]));
+    print_row(&name, Some(time), Some(memory));
+    let tick_us = mean_us(20, |_| {
         dispatcher.tick(1_000_000);
     });
-    row("  its tick, 20 a second", Some(ticks), None);
-    let keeps = time_us(5, |_| {
+    print_row("  its tick, 20 a second", Some(tick_us), None);
+    let context_tick_us = mean_us(5, |_| {
         dispatcher.context.tick(1_000_000);
     });
-    row("  its look at what is kept, once a second", Some(keeps), None);
+    print_row("  its look at what is kept, once a second", Some(context_tick_us), None);
 }
 
 fn set_account(number: usize) -> Change {
@@ -167,7 +168,7 @@
 }
 
 /// A state with all accounts.
-pub fn full_state() -> ConfigState {
+pub fn state_with_all_accounts() -> ConfigState {
     let mut state = ConfigState::default();
     let terms =
         Terms { models: BTreeMap::from([("summary".to_owned(), vec![])]), ..Terms::default() };
@@ -179,35 +180,35 @@
     state
 }
 
-fn configuration() {
+fn measure_configuration() {
     let before = resident_bytes();
-    let state = full_state();
+    let state = state_with_all_accounts();
     let config = Config::new(state.clone());
     let memory = resident_bytes().saturating_sub(before);
-    row("configuration of 1,300 accounts", None, Some(memory));
+    print_row("configuration of 1,300 accounts", None, Some(memory));
     let json = serde_json::to_vec(&state).unwrap_or_default().len() as u64;
-    row("  as a base in the platform's service", None, Some(json));
+    print_row("  as a base in the platform's service", None, Some(json));
     let change = entry(1, set_account(1));
     let delta = serde_json::to_vec(&change).unwrap_or_default().len();
     println!("{:<52} {:>12} {delta:>10} B", "  one change on the wire, at most", "");
-    let adopt = time_us(20, |_| drop(Config::new(state.clone())));
-    row("  adopt a change", Some(adopt), None);
-    let lookup = time_us(100_000, |number| {
+    let adopt_us = mean_us(20, |_| drop(Config::new(state.clone())));
+    print_row("  adopt a change", Some(adopt_us), None);
+    let lookup_us = mean_us(100_000, |number| {
         std::hint::black_box(config.account_of(&(number % ACCOUNTS).to_string()));
     });
-    row("  find an account by its key", Some(lookup), None);
+    print_row("  find an account by its key", Some(lookup_us), None);
 }
 
-fn ownership() {
-    let names: Vec<_> = (0..HALL_BOXES).map(|number| format!("box-{number}")).collect();
-    let time = time_us(10_000, |number| {
+fn measure_ownership() {
+    let names: Vec<_> = (0..BOXES_PER_HALL).map(|number| format!("box-{number}")).collect();
+    let time = mean_us(10_000, |number| {
         let key = number.to_string();
         std::hint::black_box(owner(&key, names.iter().map(String::as_str)));
     });
-    row("owner among 58 boxes", Some(time), None);
+    print_row("owner among 58 boxes", Some(time), None);
 }
 
-fn membership() {
+fn measure_membership() {
     let member = |number: usize| Member {
         id: BoxRef { name: format!("box-{number}"), incarnation: 1_796_213_873_408 },
         hall: format!("hall-{}", number % 6),
@@ -224,7 +225,7 @@
     }
     let memory = resident_bytes().saturating_sub(before);
     let mut now_ms = 100_000;
-    let time = time_us(200, |_| {
+    let time = mean_us(200, |_| {
         now_ms += 1000;
         membership.tick(now_ms);
         // Answers keep the others alive.
@@ -232,10 +233,10 @@
             membership.merge(now_ms, member(number));
         }
     });
-    row("membership of 350 boxes, a period with all news", Some(time), Some(memory));
+    print_row("membership of 350 boxes, a period with all news", Some(time), Some(memory));
 }
 
-fn ledger() {
+fn measure_ledger() {
     let before = resident_bytes();
     let mut ledger = Ledger::default();
     let key = |number: usize| CallKey {
@@ -244,10 +245,10 @@
     };
     let answer = Answer { status: 200, content_type: None, body: vec![0; 200] };
     let outcome = Outcome::Answered(answer);
-    let time = time_us(10_000, |number| {
+    let time = mean_us(10_000, |number| {
         ledger.begin(1, &key(number), 1, u64::MAX);
         ledger.record_outcome(&key(number), &outcome);
     });
     let memory = resident_bytes().saturating_sub(before);
-    row("ledger, 10,000 calls with answers of 200 bytes", Some(time), Some(memory));
+    print_row("ledger, 10,000 calls with answers of 200 bytes", Some(time), Some(memory));
 }
--- a/load/src/demo.rs
+++ b/load/src/demo.rs
@@ -7,19 +7,19 @@
 
 use crate::Options;
 use crate::report::{print_head, print_row, refusals};
-use crate::runner::{Sending, create_accounts, send};
-use crate::workload::{Kind, Workload};
+use crate::runner::{SendOptions, create_accounts, send_load};
+use crate::workload::{Workload, WorkloadKind};
 
 /// Runs the demo; fails on a lost, doubled or wrong answer.
 pub async fn run(options: &Options) -> ExitCode {
     let mut faults = 0;
-    for kind in [Kind::Sanam, Kind::Petra] {
-        faults += show(kind, options).await;
+    for kind in [WorkloadKind::Sanam, WorkloadKind::Petra] {
+        faults += run_workload(kind, options).await;
     }
     if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-async fn show(kind: Kind, options: &Options) -> u64 {
+async fn run_workload(kind: WorkloadKind, options: &Options) -> u64 {
     println!("== {}: 3 halls, 9 boxes, 18 engines, 2 stores, 3 workers", kind.name());
     let fleet = Arc::new(Fleet::start(&Plan::full_size()).await);
     let workload = Workload::new(kind, options.seed, options.rate_per_s, options.seconds);
@@ -30,7 +30,9 @@
         "\n$ coursestile account list\n{}",
         fleet.must_run_operator_tool(&["account", "list"])
     );
-    let outcome = send(&fleet, &workload, Sending { progress: true, ..Sending::default() }).await;
+    let outcome =
+        send_load(&fleet, &workload, SendOptions { progress: true, ..SendOptions::default() })
+            .await;
     if let Some(trace) = &outcome.trace {
         println!("\n$ coursestile trace {trace}\n{}", fleet.run_operator_tool(&["trace", trace]).1);
     }
@@ -41,7 +43,7 @@
     println!("refusals: {}", refusals(&outcome));
     println!(
         "lost {}, doubled {}, wrong {}, untrue 'not run' {}\n",
-        outcome.lost, outcome.doubled, outcome.wrong, outcome.untrue
+        outcome.lost, outcome.run_repeatedly, outcome.wrong, outcome.false_not_run
     );
-    outcome.faults()
+    outcome.failures()
 }
--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -24,7 +24,7 @@
 use crate::figures::ratio;
 
 /// Boxes of the fleets that are compared.
-const FLEETS: [u32; 4] = [30, 100, 300, 1000];
+const FLEET_SIZES: [u32; 4] = [30, 100, 300, 1000];
 /// Data halls.
 const HALLS: u32 = 5;
 /// Engines for each hundred boxes.
@@ -32,11 +32,11 @@
 /// Stores for each hundred boxes.
 const STORES_PERCENT: u32 = 20;
 /// Upstreams of whose load a box tells.
-const TOLD_LOADS: u32 = 16;
+const LOADS_PER_GOSSIP: u32 = 16;
 /// Parts that a store keeps.
-const KEPT_PARTS: u32 = 400;
+const PARTS_PER_STORE: u32 = 400;
 /// Times that each step is repeated.
-const ROUNDS: u32 = 400;
+const ITERATIONS: u32 = 400;
 /// Model of all engines.
 const MODEL: &str = "m";
 /// Service of all engines.
@@ -48,40 +48,40 @@
         "| boxes | peers told of a change | bytes of gossip | of a change | hear gossip, us | hear a change, us | choose, us |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    for boxes in FLEETS {
-        let (mut peers, told) = known_peers(boxes);
+    for boxes in FLEET_SIZES {
+        let (mut peers, target_count) = known_peers(boxes);
         let targets = peers.next_targets(1, Audience::OwnHall, GossipScope::OwnHall).full.len();
-        let gossip_bytes = encoded_bytes(&gossip(boxes, 1));
-        let change_bytes = encoded_bytes(&changes(boxes, 1, 1));
-        let hear_us = mean_us(|round| {
-            let peer = 1 + round % (boxes - 1);
+        let gossip_bytes = encoded_bytes(&gossip_message(boxes, 1));
+        let change_bytes = encoded_bytes(&load_changes(boxes, 1, 1));
+        let gossip_us = mean_us(|iteration| {
+            let peer = 1 + iteration % (boxes - 1);
             peers.receive_gossip(
                 2,
                 address(peer),
-                gossip(boxes, peer + round),
+                gossip_message(boxes, peer + iteration),
                 ViewDigest::default(),
             );
         });
-        let change_us = mean_us(|round| {
-            let peer = 1 + round % (boxes - 1);
-            peers.receive_load_changes(2, address(peer), &changes(boxes, peer, round));
+        let change_us = mean_us(|iteration| {
+            let peer = 1 + iteration % (boxes - 1);
+            peers.receive_load_changes(2, address(peer), &load_changes(boxes, peer, iteration));
         });
-        black_box(told);
+        black_box(target_count);
         println!(
-            "| {boxes} | {targets} | {gossip_bytes} | {change_bytes} | {hear_us:.1} | {change_us:.1} | {:.1} |",
-            choice_us(boxes)
+            "| {boxes} | {targets} | {gossip_bytes} | {change_bytes} | {gossip_us:.1} | {change_us:.1} | {:.1} |",
+            mean_choose_us(boxes)
         );
     }
     ExitCode::SUCCESS
 }
 
 fn mean_us(mut step: impl FnMut(u32)) -> f64 {
-    let begun_at = Instant::now();
-    for round in 0..ROUNDS {
-        step(round);
+    let started_at = Instant::now();
+    for iteration in 0..ITERATIONS {
+        step(iteration);
     }
-    let took_ns = u64::try_from(begun_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
-    ratio(took_ns, u64::from(ROUNDS) * 1000)
+    let took_ns = u64::try_from(started_at.elapsed().as_nanos()).unwrap_or(u64::MAX);
+    ratio(took_ns, u64::from(ITERATIONS) * 1000)
 }
 
 fn encoded_bytes(message: &impl serde::Serialize) -> usize {
@@ -92,45 +92,47 @@
     IpAddr::V4(Ipv4Addr::from(0x0a00_0000 | number))
 }
 
-fn told(boxes: u32, upstream: u32, requests: u32) -> LoadReport {
+fn load_report(boxes: u32, upstream: u32, requests: u32) -> LoadReport {
     let load = Load { requests, pending_prefill_tokens: 4000, memory_tokens: 6000 };
-    LoadReport { upstream: upstream % engines(boxes), load, receive_age_ms: 40 }
+    LoadReport { upstream: upstream % engine_count(boxes), load, receive_age_ms: 40 }
 }
 
-fn engines(boxes: u32) -> u32 {
+fn engine_count(boxes: u32) -> u32 {
     boxes * ENGINES_PERCENT / 100
 }
 
-fn gossip(boxes: u32, seed: u32) -> Gossip {
-    let loads = (0..TOLD_LOADS).map(|one| told(boxes, seed * TOLD_LOADS + one, 2)).collect();
-    let peers = (1..25).map(|one| address((seed + one) % boxes)).collect();
+fn gossip_message(boxes: u32, seed: u32) -> Gossip {
+    let loads = (0..LOADS_PER_GOSSIP)
+        .map(|index| load_report(boxes, seed * LOADS_PER_GOSSIP + index, 2))
+        .collect();
+    let peers = (1..25).map(|offset| address((seed + offset) % boxes)).collect();
     Gossip { incarnation: 1, hall: seed % HALLS, loads, peers, ..Gossip::default() }
 }
 
-fn changes(boxes: u32, seed: u32, requests: u32) -> LoadChanges {
-    let loads = vec![told(boxes, seed, requests % 7)];
+fn load_changes(boxes: u32, seed: u32, requests: u32) -> LoadChanges {
+    let loads = vec![load_report(boxes, seed, requests % 7)];
     LoadChanges { incarnation: 1, loads, ..LoadChanges::default() }
 }
 
 /// The peers of a box that has heard all others.
 fn known_peers(boxes: u32) -> (Peers, usize) {
-    let own = LocalBox {
+    let local_box = LocalBox {
         number: 0,
         address: SocketAddr::new(address(0), 7000),
         hall: 0,
         millicores: 120,
     };
-    let mut peers = Peers::new(own, &[]);
+    let mut peers = Peers::new(local_box, &[]);
     for peer in 1..boxes {
-        peers.receive_gossip(0, address(peer), gossip(boxes, peer), ViewDigest::default());
+        peers.receive_gossip(0, address(peer), gossip_message(boxes, peer), ViewDigest::default());
     }
-    let told = peers.next_targets(0, Audience::All, GossipScope::OwnHall).full.len();
-    (peers, told)
+    let target_count = peers.next_targets(0, Audience::All, GossipScope::OwnHall).full.len();
+    (peers, target_count)
 }
 
-fn choice_us(boxes: u32) -> f64 {
+fn mean_choose_us(boxes: u32) -> f64 {
     let mut upstreams = Upstreams::default();
-    for engine in 0..engines(boxes) {
+    for engine in 0..engine_count(boxes) {
         let entry = UpstreamEntry {
             service: SERVICE.to_owned(),
             address: SocketAddr::new(address(engine), 8080),
@@ -147,7 +149,7 @@
                 Load { requests: 4, pending_prefill_tokens: 3000 + engine, memory_tokens: 9000 };
         }
     }
-    let stores = stores(boxes);
+    let stores = configured_stores(boxes);
     let engine = EngineSpec {
         slots: 24,
         memory_tokens: 40_097,
@@ -155,16 +157,16 @@
         link_mbps: 130_000.0,
         per_part_sources: true,
     };
-    mean_us(|round| {
-        let part = round % (KEPT_PARTS * boxes * STORES_PERCENT / 100);
+    mean_us(|iteration| {
+        let part = iteration % (PARTS_PER_STORE * boxes * STORES_PERCENT / 100);
         let prompt =
-            Prompt::parse(MODEL, "9000,60", &format!("aa:2500,{part:x}:5000,ff{round:x}:1500"));
+            Prompt::parse(MODEL, "9000,60", &format!("aa:2500,{part:x}:5000,ff{iteration:x}:1500"));
         black_box(choose(
             1,
             &upstreams,
             &stores,
             Some(&engine),
-            &demand(prompt.as_ref(), round.into()),
+            &demand(prompt.as_ref(), iteration.into()),
         ));
     })
 }
@@ -193,21 +195,21 @@
     }
 }
 
-fn stores(boxes: u32) -> Stores {
+fn configured_stores(boxes: u32) -> Stores {
     let count = boxes * STORES_PERCENT / 100;
     let configured: Vec<Store> = (0..count).map(store).collect();
     let mut stores = Stores::default();
     stores.configure(&configured);
     for (place, (_, state)) in (0_u32..).zip(stores.iter_mut()) {
-        let parts = (0..KEPT_PARTS).map(|part| part * count + place);
-        let held = parts.map(|part| CacheChange {
+        let parts = (0..PARTS_PER_STORE).map(|part| part * count + place);
+        let cached = parts.map(|part| CacheChange {
             part: CachedPart { scope: scope(MODEL, 1, None), part_id: format!("{part:x}") },
             tokens: 5000,
         });
         let listing = CacheListing {
             boot_epoch: 1,
             next_position: 1,
-            complete: held.collect(),
+            complete: cached.collect(),
             partial: Vec::new(),
         };
         state.contents.apply_listing(&listing);
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -79,7 +79,7 @@
             Value(word) if experiment.is_none() => {
                 experiment = Some(word.to_string_lossy().into_owned());
             }
-            other => return Err(other.unexpected()),
+            arg => return Err(arg.unexpected()),
         }
     }
     Ok((experiment, options))
@@ -107,8 +107,8 @@
         Some("control") => control::run(&options).await,
         Some("decide") => decide::run(),
         Some("gateway") => gateway::run(),
-        Some(other) => {
-            eprintln!("error: there is no experiment '{other}'; see --help");
+        Some(name) => {
+            eprintln!("error: there is no experiment '{name}'; see --help");
             ExitCode::from(2)
         }
     }
--- a/load/src/outcome.rs
+++ b/load/src/outcome.rs
@@ -19,19 +19,19 @@
     /// Requests without an answer or a refusal.
     pub lost: u64,
     /// Calls that may not be repeated and ran more than once.
-    pub doubled: u64,
+    pub run_repeatedly: u64,
     /// Calls refused as not run that had run.
-    pub untrue: u64,
+    pub false_not_run: u64,
     /// Refusals, by reason.
     pub refusals: BTreeMap<String, u64>,
     /// Time to first token of completions, in microseconds.
     pub first_token_us: Histogram<u64>,
     /// Time to first token by account, in microseconds.
-    pub by_account_us: Vec<Histogram<u64>>,
+    pub first_token_by_account_us: Vec<Histogram<u64>>,
     /// Time between tokens, in microseconds.
-    pub between_us: Histogram<u64>,
+    pub inter_token_us: Histogram<u64>,
     /// Time to first token by second of arrival, in microseconds.
-    pub by_second_us: BTreeMap<u64, Histogram<u64>>,
+    pub first_token_by_second_us: BTreeMap<u64, Histogram<u64>>,
     /// A trace to show.
     pub trace: Option<String>,
     /// Whole answers by account.
@@ -54,13 +54,13 @@
             whole: 0,
             wrong: 0,
             lost: 0,
-            doubled: 0,
-            untrue: 0,
+            run_repeatedly: 0,
+            false_not_run: 0,
             refusals: BTreeMap::new(),
             first_token_us: histogram(),
-            by_account_us: ACCOUNT_WEIGHTS.iter().map(|_| histogram()).collect(),
-            between_us: histogram(),
-            by_second_us: BTreeMap::new(),
+            first_token_by_account_us: ACCOUNT_WEIGHTS.iter().map(|_| histogram()).collect(),
+            inter_token_us: histogram(),
+            first_token_by_second_us: BTreeMap::new(),
             trace: None,
             whole_by_account: vec![0; ACCOUNT_WEIGHTS.len()],
             usage: Usage::default(),
@@ -71,12 +71,12 @@
 
 impl Outcome {
     /// Answers that must not be: wrong, lost, doubled or untrue ones.
-    pub fn faults(&self) -> u64 {
-        self.wrong + self.lost + self.doubled + self.untrue
+    pub fn failures(&self) -> u64 {
+        self.wrong + self.lost + self.run_repeatedly + self.false_not_run
     }
 
     /// Counts a refusal.
-    pub fn refused(&mut self, reason: &str) {
+    pub fn add_refusal(&mut self, reason: &str) {
         *self.refusals.entry(reason.to_owned()).or_default() += 1;
     }
 }
--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -39,7 +39,7 @@
         first(0.99),
         usage.recomputed_percent(),
         usage.link_gb(),
-        outcome.faults()
+        outcome.failures()
     );
 }
 
--- a/load/src/runner.rs
+++ b/load/src/runner.rs
@@ -12,24 +12,24 @@
 use serde_json::{Value, json};
 
 use crate::outcome::{Outcome, Usage, histogram};
-use crate::workload::{ACCOUNT_WEIGHTS, Arrival, Work, Workload};
+use crate::workload::{ACCOUNT_WEIGHTS, Arrival, RequestKind, Workload};
 
 /// Time that a caller waits.
-const TIMEOUT_MS: u64 = 10_000;
+const REQUEST_TIMEOUT_MS: u64 = 10_000;
 /// Further tries of a caller whose call may not be repeated, with its ticket.
-const TICKET_TRIES: u32 = 6;
+const MAX_TICKET_ATTEMPTS: u32 = 6;
 /// Wait between those tries.
-const TRY_WAIT: Duration = Duration::from_millis(300);
+const TICKET_RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// How a load is sent.
 #[derive(Clone, Copy, Default)]
-pub struct Sending {
+pub struct SendOptions {
     /// Shows progress.
     pub progress: bool,
     /// Arrivals before this time warm the fleet and are not measured.
-    pub warm_ms: u64,
+    pub warmup_ms: u64,
     /// Entry boxes are killed meanwhile, which breaks their callers' connections.
-    pub boxes_die: bool,
+    pub kills_boxes: bool,
 }
 
 /// API key of an account of a workload.
@@ -71,44 +71,47 @@
     last["revision"].as_u64().unwrap_or(0)
 }
 
-struct Run {
+struct LoadRun {
     fleet: Arc<Fleet>,
     workload: Arc<Workload>,
     outcome: Arc<Mutex<Outcome>>,
-    sending: Sending,
-    tickets: Vec<Vec<String>>,
+    options: SendOptions,
+    ticket_prefixes: Vec<Vec<String>>,
 }
 
 /// Sends all arrivals, waits for their ends and checks the service's runs.
-pub async fn send(fleet: &Arc<Fleet>, workload: &Workload, sending: Sending) -> Outcome {
+pub async fn send_load(fleet: &Arc<Fleet>, workload: &Workload, options: SendOptions) -> Outcome {
     let outcome = Arc::new(Mutex::new(Outcome::default()));
     let workload = Arc::new(workload.clone());
-    let tickets = fetch_tickets(fleet, &workload).await;
-    let run = Arc::new(Run {
+    let ticket_prefixes = fetch_ticket_prefixes(fleet, &workload).await;
+    let run = Arc::new(LoadRun {
         fleet: fleet.clone(),
         workload: workload.clone(),
         outcome: outcome.clone(),
-        sending,
-        tickets,
+        options,
+        ticket_prefixes,
     });
-    let begun_at = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let mut tasks = Vec::new();
-    let mut shown_s = 0;
-    let mut warm = Usage::default();
+    let mut last_progress_s = 0;
+    let mut usage_at_warmup_end = Usage::default();
     for (number, arrival) in workload.arrivals.iter().enumerate() {
-        tokio::time::sleep_until(begun_at + Duration::from_millis(arrival.at_ms)).await;
-        if arrival.at_ms >= sending.warm_ms && warm.prompt_tokens == 0 && sending.warm_ms > 0 {
-            warm = Usage::read(fleet).await;
+        tokio::time::sleep_until(started_at + Duration::from_millis(arrival.at_ms)).await;
+        if arrival.at_ms >= options.warmup_ms
+            && usage_at_warmup_end.prompt_tokens == 0
+            && options.warmup_ms > 0
+        {
+            usage_at_warmup_end = Usage::read(fleet).await;
         }
         let second = arrival.at_ms / 1000;
-        if sending.progress && second >= shown_s + 5 {
-            shown_s = second;
+        if options.progress && second >= last_progress_s + 5 {
+            last_progress_s = second;
             let so_far = outcome.lock().expect("outcome lock");
             eprintln!("  {second:>4} s: {} sent, {} whole", so_far.sent, so_far.whole);
         }
         outcome.lock().expect("outcome lock").sent += 1;
         let (run, arrival) = (run.clone(), arrival.clone());
-        tasks.push(tokio::spawn(async move { run.serve(number, &arrival).await }));
+        tasks.push(tokio::spawn(async move { run.send_arrival(number, &arrival).await }));
     }
     let mut lost = 0;
     for task in tasks {
@@ -118,12 +121,12 @@
     let outcome = Arc::into_inner(outcome).expect("all tasks have ended");
     let mut outcome = outcome.into_inner().expect("outcome lock");
     outcome.lost += lost;
-    outcome.usage = Usage::read(fleet).await.since(&warm);
+    outcome.usage = Usage::read(fleet).await.since(&usage_at_warmup_end);
     check_runs(fleet, &mut outcome).await;
     outcome
 }
 
-async fn fetch_tickets(fleet: &Fleet, workload: &Workload) -> Vec<Vec<String>> {
+async fn fetch_ticket_prefixes(fleet: &Fleet, workload: &Workload) -> Vec<Vec<String>> {
     let mut all = Vec::new();
     for account in 0..ACCOUNT_WEIGHTS.len() {
         let mut prefixes = Vec::new();
@@ -152,30 +155,30 @@
     }
     for (key, not_run) in &outcome.once_keys {
         let count = runs.get(key).copied().unwrap_or(0);
-        outcome.doubled += u64::from(count > 1);
-        outcome.untrue += u64::from(*not_run && count > 0);
+        outcome.run_repeatedly += u64::from(count > 1);
+        outcome.false_not_run += u64::from(*not_run && count > 0);
     }
 }
 
 /// How an answer was read.
-enum Read {
+enum Received {
     Whole { text: String, version: String },
     Refused(String),
     Broken,
 }
 
-impl Run {
-    async fn serve(&self, number: usize, arrival: &Arrival) {
-        match &arrival.work {
-            Work::Completion { context, question, max_tokens } => {
+impl LoadRun {
+    async fn send_arrival(&self, number: usize, arrival: &Arrival) {
+        match &arrival.request {
+            RequestKind::Completion { context, question, max_tokens } => {
                 let prompt = self.workload.prompt(arrival.account, *context, *question);
-                self.complete(number, arrival, &prompt, *max_tokens).await;
+                self.send_completion(number, arrival, &prompt, *max_tokens).await;
             }
-            Work::CallOnce => self.call_once(number, arrival.account).await,
-            Work::Call => {
+            RequestKind::CallOnce => self.send_call_once(number, arrival.account).await,
+            RequestKind::Call => {
                 let call = self.request(number, arrival.account, "/app/scores/fixtures/today");
                 let ended = call.send().await;
-                self.call_ended(ended.ok()).await;
+                self.record_call(ended.ok()).await;
             }
         }
     }
@@ -184,45 +187,56 @@
         let at = number % self.fleet.boxes.len();
         let url = format!("{}{path}", self.fleet.boxes[at].process.url());
         let call = self.fleet.http.post(url).bearer_auth(api_key(&self.workload, account));
-        call.header("x-timeout-ms", TIMEOUT_MS)
+        call.header("x-timeout-ms", REQUEST_TIMEOUT_MS)
     }
 
     /// Sends a completion; through another box when the first cannot be
     /// reached, as the balancer would.
-    async fn complete(&self, number: usize, arrival: &Arrival, prompt: &str, max_tokens: u32) {
+    async fn send_completion(
+        &self,
+        number: usize,
+        arrival: &Arrival,
+        prompt: &str,
+        max_tokens: u32,
+    ) {
         let body = json!({
             "model": "summary", "prompt": prompt, "max_tokens": max_tokens, "stream": true,
         });
-        let begun_at = Instant::now();
+        let started_at = Instant::now();
         for attempt in 0..self.fleet.boxes.len() {
             let call = self.request(number + attempt, arrival.account, "/v1/completions");
             match call.json(&body).send().await {
                 Ok(response) if response.status().is_success() => {
-                    let read = self.read(response, arrival, begun_at).await;
-                    return self.check(arrival, read, prompt, max_tokens);
+                    let result = self.read_stream(response, arrival, started_at).await;
+                    return self.record_completion(arrival, result, prompt, max_tokens);
                 }
-                Ok(response) => return self.refused(response).await,
+                Ok(response) => return self.record_refused_response(response).await,
                 Err(error) if error.is_connect() => {}
                 Err(_) => break,
             }
         }
-        self.check(arrival, Read::Broken, prompt, max_tokens);
+        self.record_completion(arrival, Received::Broken, prompt, max_tokens);
     }
 
-    async fn read(&self, response: Response, arrival: &Arrival, begun_at: Instant) -> Read {
+    async fn read_stream(
+        &self,
+        response: Response,
+        arrival: &Arrival,
+        started_at: Instant,
+    ) -> Received {
         let trace = response.headers().get("x-trace-id").cloned();
         let mut events = Box::pin(response.bytes_stream().eventsource());
         let (mut text, mut version) = (String::new(), String::new());
         let mut last_at = None;
         while let Some(Ok(event)) = events.next().await {
             if event.data == "[DONE]" {
-                return Read::Whole { text, version };
+                return Received::Whole { text, version };
             }
             let Ok(chunk) = serde_json::from_str::<Value>(&event.data) else {
                 break;
             };
             if let Some(kind) = chunk["error"]["type"].as_str() {
-                return Read::Refused(format!("broke off: {kind}"));
+                return Received::Refused(format!("broke off: {kind}"));
             }
             let piece = chunk["choices"][0]["text"].as_str().unwrap_or_default();
             if piece.is_empty() {
@@ -233,13 +247,13 @@
             let mut outcome = self.outcome.lock().expect("outcome lock");
             let now = Instant::now();
             match last_at.replace(now) {
-                Some(last_at) => outcome.between_us.saturating_record(micros(now - last_at)),
-                None if arrival.at_ms < self.sending.warm_ms => {}
+                Some(last_at) => outcome.inter_token_us.saturating_record(micros(now - last_at)),
+                None if arrival.at_ms < self.options.warmup_ms => {}
                 None => {
-                    let took_us = micros(now - begun_at);
+                    let took_us = micros(now - started_at);
                     outcome.first_token_us.saturating_record(took_us);
-                    outcome.by_account_us[arrival.account].saturating_record(took_us);
-                    let second = outcome.by_second_us.entry(arrival.at_ms / 1000);
+                    outcome.first_token_by_account_us[arrival.account].saturating_record(took_us);
+                    let second = outcome.first_token_by_second_us.entry(arrival.at_ms / 1000);
                     second.or_insert_with(histogram).saturating_record(took_us);
                     outcome.trace = trace
                         .as_ref()
@@ -249,62 +263,69 @@
                 }
             }
         }
-        Read::Broken
+        Received::Broken
     }
 
-    fn check(&self, arrival: &Arrival, read: Read, prompt: &str, max_tokens: u32) {
+    fn record_completion(
+        &self,
+        arrival: &Arrival,
+        result: Received,
+        prompt: &str,
+        max_tokens: u32,
+    ) {
         let mut outcome = self.outcome.lock().expect("outcome lock");
-        match read {
-            Read::Whole { text, version } => {
+        match result {
+            Received::Whole { text, version } => {
                 let right = text == full_answer(&version, prompt, max_tokens as usize);
                 outcome.whole += u64::from(right);
                 outcome.wrong += u64::from(!right);
                 outcome.whole_by_account[arrival.account] += u64::from(right);
             }
-            Read::Refused(end) => outcome.refused(&end),
-            Read::Broken if self.sending.boxes_die => outcome.refused("connection broke"),
-            Read::Broken => outcome.lost += 1,
+            Received::Refused(end) => outcome.add_refusal(&end),
+            Received::Broken if self.options.kills_boxes => outcome.add_refusal("connection broke"),
+            Received::Broken => outcome.lost += 1,
         }
     }
 
-    async fn refused(&self, response: Response) {
+    async fn record_refused_response(&self, response: Response) {
         let body: Value = response.json().await.unwrap_or_default();
         let mut outcome = self.outcome.lock().expect("outcome lock");
         match body["error"]["type"].as_str() {
             Some(kind) => {
                 let ran = body["error"]["ran"].as_str().unwrap_or("unsaid");
-                outcome.refused(&format!("{ran}: {kind}"));
+                outcome.add_refusal(&format!("{ran}: {kind}"));
             }
             None => outcome.lost += 1,
         }
     }
 
-    async fn call_ended(&self, response: Option<Response>) {
-        let ours = |response: &Response| response.headers().contains_key("x-coursestile-ran");
+    async fn record_call(&self, response: Option<Response>) {
+        let is_from_gateway =
+            |response: &Response| response.headers().contains_key("x-coursestile-ran");
         match response {
-            Some(response) if !response.status().is_success() && !ours(&response) => {
+            Some(response) if !response.status().is_success() && !is_from_gateway(&response) => {
                 let answer = format!("worker answered {}", response.status().as_u16());
-                self.outcome.lock().expect("outcome lock").refused(&answer);
+                self.outcome.lock().expect("outcome lock").add_refusal(&answer);
             }
             Some(response) if response.status().is_success() => {
                 self.outcome.lock().expect("outcome lock").whole += 1;
             }
-            Some(response) => self.refused(response).await,
+            Some(response) => self.record_refused_response(response).await,
             None => {
                 // A call without a key: its caller knows that it cannot know.
-                self.outcome.lock().expect("outcome lock").refused("connection broke");
+                self.outcome.lock().expect("outcome lock").add_refusal("connection broke");
             }
         }
     }
 
     /// Sends a call under a ticket, again through other boxes until its
     /// outcome is known.
-    async fn call_once(&self, number: usize, account: usize) {
+    async fn send_call_once(&self, number: usize, account: usize) {
         let at = number % self.fleet.boxes.len();
-        let key = format!("{}/{number}", self.tickets[account][at]);
+        let key = format!("{}/{number}", self.ticket_prefixes[account][at]);
         let mut said_not_run = false;
         let mut last = None;
-        for attempt in 0..TICKET_TRIES {
+        for attempt in 0..MAX_TICKET_ATTEMPTS {
             let call = self.request(number + attempt as usize, account, "/app/scores/orders/1");
             let answer = call.header("idempotency-key", &key).send().await;
             let ran = answer.as_ref().ok().and_then(|answer| {
@@ -317,10 +338,10 @@
             if done {
                 break;
             }
-            tokio::time::sleep(TRY_WAIT).await;
+            tokio::time::sleep(TICKET_RETRY_DELAY).await;
         }
         self.outcome.lock().expect("outcome lock").once_keys.push((key, said_not_run));
-        self.call_ended(last).await;
+        self.record_call(last).await;
     }
 }
 
--- a/load/src/workload.rs
+++ b/load/src/workload.rs
@@ -9,14 +9,14 @@
 
 /// A kind of workload.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum WorkloadKind {
     /// Match summaries from rulebooks, and short questions of fans.
     Sanam,
     /// Page checks against style packs that return late.
     Petra,
 }
 
-impl Kind {
+impl WorkloadKind {
     /// Name in tables.
     pub fn name(self) -> &'static str {
         match self {
@@ -78,7 +78,7 @@
 
 /// What a request is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestKind {
     /// A completion on a context, or on none.
     Completion {
         /// Number of the context.
@@ -102,14 +102,14 @@
     /// Account that sends it.
     pub account: usize,
     /// What it is.
-    pub work: Work,
+    pub request: RequestKind,
 }
 
 impl Arrival {
-    fn context_used(&self) -> Option<(u64, usize)> {
-        match self.work {
-            Work::Completion { context: Some(context), .. } => Some((self.at_ms, context)),
-            Work::Completion { .. } | Work::CallOnce | Work::Call => None,
+    fn context_use(&self) -> Option<(u64, usize)> {
+        match self.request {
+            RequestKind::Completion { context: Some(context), .. } => Some((self.at_ms, context)),
+            RequestKind::Completion { .. } | RequestKind::CallOnce | RequestKind::Call => None,
         }
     }
 }
@@ -119,22 +119,22 @@
 /// Numbers of contexts that never come back start here.
 const FIRST_ONE_OFF_CONTEXT: usize = 1 << 20;
 /// Rate of the pass over all contexts that warms a fleet, a second.
-const WARM_RATE_PER_S: usize = 60;
+const WARMUP_RATE_PER_S: usize = 60;
 
 /// A workload.
 #[derive(Clone)]
 pub struct Workload {
     /// Whose it is.
-    pub kind: Kind,
+    pub kind: WorkloadKind,
     /// When the warming pass is over.
-    pub warm_ms: u64,
+    pub warmup_ms: u64,
     /// All arrivals, in order.
     pub arrivals: Vec<Arrival>,
 }
 
 impl Workload {
     /// Arrivals at random times, `rate_per_s` in the mean.
-    pub fn new(kind: Kind, seed: u64, rate_per_s: f64, seconds: u64) -> Self {
+    pub fn new(kind: WorkloadKind, seed: u64, rate_per_s: f64, seconds: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut arrivals = Vec::new();
         let mut at_s = 0.0;
@@ -142,44 +142,48 @@
         loop {
             at_s += -(1.0 - rng.f64()).ln() / rate_per_s;
             if at_s >= end_s {
-                return Self { kind, warm_ms: 0, arrivals };
+                return Self { kind, warmup_ms: 0, arrivals };
             }
-            let account = weighted(&mut rng, &ACCOUNT_WEIGHTS);
-            let work = work(&mut rng, kind, account);
-            arrivals.push(Arrival { at_ms: to_ms(at_s), account, work });
+            let account = weighted_index(&mut rng, &ACCOUNT_WEIGHTS);
+            let request = random_request(&mut rng, kind, account);
+            arrivals.push(Arrival { at_ms: to_ms(at_s), account, request });
         }
     }
 
     /// Puts a pass over all contexts before the arrivals.
-    pub fn warmed(mut self, seed: u64) -> Self {
+    pub fn with_warmup(mut self, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut contexts: Vec<_> = (0..self.kind.contexts()).collect();
         rng.shuffle(&mut contexts);
-        let pass = contexts.into_iter().enumerate().map(|(number, context)| Arrival {
-            at_ms: (number * 1000 / WARM_RATE_PER_S) as u64,
+        let warmup = contexts.into_iter().enumerate().map(|(number, context)| Arrival {
+            at_ms: (number * 1000 / WARMUP_RATE_PER_S) as u64,
             account: context % ACCOUNT_WEIGHTS.len(),
-            work: Work::Completion { context: Some(context), question: rng.u64(..), max_tokens: 8 },
+            request: RequestKind::Completion {
+                context: Some(context),
+                question: rng.u64(..),
+                max_tokens: 8,
+            },
         });
-        let pass: Vec<_> = pass.collect();
+        let warmup: Vec<_> = warmup.collect();
         // The last ones of the pass get a second to end.
-        self.warm_ms = pass.last().map_or(0, |arrival| arrival.at_ms + 1000);
+        self.warmup_ms = warmup.last().map_or(0, |arrival| arrival.at_ms + 1000);
         for arrival in &mut self.arrivals {
-            arrival.at_ms += self.warm_ms;
+            arrival.at_ms += self.warmup_ms;
         }
-        self.arrivals.splice(0..0, pass);
+        self.arrivals.splice(0..0, warmup);
         self
     }
 
     /// Least share of prompt tokens that can be recomputed when at most
     /// `capacity_tokens` of context are kept and the future is known, in
     /// percent: the context needed last is dropped first.
-    pub fn hindsight_percent(&self, capacity_tokens: usize) -> f64 {
+    pub fn optimal_recompute_percent(&self, capacity_tokens: usize) -> f64 {
         let capacity = capacity_tokens / self.kind.context_tokens();
-        let uses: Vec<_> = self.arrivals.iter().filter_map(Arrival::context_used).collect();
+        let uses: Vec<_> = self.arrivals.iter().filter_map(Arrival::context_use).collect();
         let mut kept: Vec<usize> = Vec::new();
         let (mut prompts, mut missed) = (0, 0);
         for (index, (at_ms, context)) in uses.iter().enumerate() {
-            let measured = *at_ms >= self.warm_ms;
+            let measured = *at_ms >= self.warmup_ms;
             prompts += usize::from(measured);
             if kept.contains(context) {
                 continue;
@@ -199,10 +203,10 @@
     }
 
     /// Adds requests of one account, at `rate_per_s`.
-    pub fn flood(&mut self, account: usize, seed: u64, rate_per_s: f64, seconds: u64) {
-        let flood = Self::new(self.kind, seed, rate_per_s, seconds);
-        let own = flood.arrivals.into_iter().map(|arrival| Arrival { account, ..arrival });
-        self.arrivals.extend(own);
+    pub fn add_requests(&mut self, account: usize, seed: u64, rate_per_s: f64, seconds: u64) {
+        let added = Self::new(self.kind, seed, rate_per_s, seconds);
+        let added = added.arrivals.into_iter().map(|arrival| Arrival { account, ..arrival });
+        self.arrivals.extend(added);
         self.arrivals.sort_by_key(|arrival| arrival.at_ms);
     }
 
@@ -229,33 +233,33 @@
     (seconds * 1000.0) as u64
 }
 
-fn weighted(rng: &mut fastrand::Rng, weights: &[f64]) -> usize {
-    let mut left = rng.f64() * weights.iter().sum::<f64>();
+fn weighted_index(rng: &mut fastrand::Rng, weights: &[f64]) -> usize {
+    let mut remaining = rng.f64() * weights.iter().sum::<f64>();
     for (index, weight) in weights.iter().enumerate() {
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return index;
         }
     }
     weights.len() - 1
 }
 
-fn work(rng: &mut fastrand::Rng, kind: Kind, account: usize) -> Work {
+fn random_request(rng: &mut fastrand::Rng, kind: WorkloadKind, account: usize) -> RequestKind {
     if rng.u64(0..100) < kind.call_percent() {
-        return if rng.bool() { Work::CallOnce } else { Work::Call };
+        return if rng.bool() { RequestKind::CallOnce } else { RequestKind::Call };
     }
     let question = rng.u64(..);
     if rng.u64(0..100) < kind.question_percent() {
-        return Work::Completion { context: None, question, max_tokens: rng.u32(8..24) };
+        return RequestKind::Completion { context: None, question, max_tokens: rng.u32(8..24) };
     }
-    if kind == Kind::Petra && account >= FIRST_ONE_OFF_ACCOUNT {
+    if kind == WorkloadKind::Petra && account >= FIRST_ONE_OFF_ACCOUNT {
         let context = Some(FIRST_ONE_OFF_CONTEXT + rng.usize(..1 << 40));
-        return Work::Completion { context, question, max_tokens: rng.u32(16..48) };
+        return RequestKind::Completion { context, question, max_tokens: rng.u32(16..48) };
     }
     let accounts = ACCOUNT_WEIGHTS.len();
-    let own: Vec<_> = (account..kind.contexts()).step_by(accounts).collect();
-    let ranks = 1..=u32::try_from(own.len()).unwrap_or(1);
+    let account_contexts: Vec<_> = (account..kind.contexts()).step_by(accounts).collect();
+    let ranks = 1..=u32::try_from(account_contexts.len()).unwrap_or(1);
     let weights: Vec<_> = ranks.map(|rank| f64::from(rank).powf(-kind.skew())).collect();
-    let context = own[weighted(rng, &weights)];
-    Work::Completion { context: Some(context), question, max_tokens: rng.u32(16..48) }
+    let context = account_contexts[weighted_index(rng, &weights)];
+    RequestKind::Completion { context: Some(context), question, max_tokens: rng.u32(16..48) }
 }
--- a/load/tests/chaos.rs
+++ b/load/tests/chaos.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 #[test]
-fn promises_hold() {
+fn guarantees_hold_under_random_faults() {
     let program = env!("CARGO_BIN_EXE_coursestile-load");
     let run = Command::new(program).args(["chaos", "--seconds", "24", "--seed", "5"]).output();
     let run = run.expect("the program starts");
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -90,7 +90,7 @@
     let failed = tokio::select! {
         failed = run_all(&args) => failed,
         () = stop_signal() => {
-            // The child processes are killed when their parent exits.
+            // Dropping the run has killed its processes.
             eprintln!("error: stopped by a signal");
             return ExitCode::from(2);
         }
