--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -1,5 +1,5 @@
-//! Speed of the daemon: what it adds to the first token, how much it relays,
-//! its memory when full, and how fast a change is in force.
+//! Benchmarks of the daemon: the time it adds to the first token, its relay rate, its memory
+//! with many prompts, and the time until a configuration change is in force.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -19,15 +19,15 @@
 use crate::decide::state_with_all_accounts;
 use crate::figures::{quantile_ms, ratio};
 
-/// Requests of each kind for the first token.
+/// Number of requests whose time to first token is measured, for each prompt length and target.
 const FIRST_TOKEN_REQUESTS: usize = 400;
-/// Streams open at once.
+/// Number of streams that are open at the same time.
 const OPEN_STREAMS: usize = 500;
-/// Prompts that the dispatcher knows.
+/// Number of prompts that the dispatcher has recorded.
 const KNOWN_PROMPTS: usize = 10_000;
-/// Changes that are timed.
+/// Number of configuration changes that are timed.
 const CHANGES: usize = 20;
-/// API key of the first account of the full state.
+/// API key of the first account in `state_with_all_accounts`.
 const API_KEY: &str = "0";
 
 /// Runs all benchmarks.
@@ -50,16 +50,16 @@
     pairs.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
 }
 
-/// A fleet whose platform holds 1,300 accounts.
+/// Starts a fleet whose platform stores a configuration with 1,300 accounts.
 async fn start_fleet_with_accounts(plan: &Plan) -> Arc<Fleet> {
     let fleet = Arc::new(Fleet::start(plan).await);
     let state = state_with_all_accounts();
     let platform = Consul::new(&fleet.platform.url());
-    let base = serde_json::to_vec(&state).expect("a state can be written");
+    let base = serde_json::to_vec(&state).expect("a configuration can be serialized");
     let key = format!("{BASE_KEY_PREFIX}{}", state.revision);
     platform.compare_and_swap(&key, 0, &base).await.expect("the platform answers");
     let head = ConfigHead { base_revision: state.revision, entries: Vec::new() };
-    let head = serde_json::to_vec(&head).expect("a head can be written");
+    let head = serde_json::to_vec(&head).expect("a configuration head can be serialized");
     platform.compare_and_swap(HEAD_KEY, 0, &head).await.expect("the platform answers");
     fleet.must_run_operator_tool(&["model", "set", "summary", "v1"]);
     let boxes: Vec<_> = fleet.boxes.iter().collect();
@@ -81,7 +81,8 @@
     took_us
 }
 
-/// The first token through the daemon, and from the engine itself, in turn.
+/// Compares the time to first token through the daemon with that of the engine itself, with
+/// alternating requests.
 async fn first_token() {
     let mut plan = Plan::one_hall(2, 1, 0);
     plan.cache_tokens = 1_000_000;
@@ -102,7 +103,7 @@
             let direct_us = time_first_token(&fleet, &url, &body).await;
             let url = fleet.boxes[number % 2].process.url();
             let proxied_us = time_first_token(&fleet, &url, &body).await;
-            // The first ones fill the caches.
+            // The first requests fill the caches and are not counted.
             if number >= 20 {
                 direct.saturating_record(direct_us);
                 proxied.saturating_record(proxied_us);
@@ -120,7 +121,7 @@
     }
 }
 
-/// Many open streams through one daemon that knows many prompts.
+/// Relays many open streams through one daemon that has recorded many prompts.
 async fn relay() {
     let mut plan = Plan::one_hall(1, 8, 0);
     plan.slots = 128;
@@ -139,7 +140,7 @@
     let status = fleet.status(&fleet.boxes[0]).await.unwrap_or_default();
     let prompts = status["dispatchers"][0]["prompts"].as_u64().unwrap_or(0);
     println!("\ndaemon {idle_mb:.1} MB idle, {filled_mb:.1} MB with its prompts");
-    println!("relay: {OPEN_STREAMS} open streams, {prompts} prompts known, 1,300 accounts");
+    println!("relay: {OPEN_STREAMS} open streams, {prompts} recorded prompts, 1,300 accounts");
     let (started_at, ticks) = (Instant::now(), cpu_ticks(pid));
     let streams: Vec<_> = (0..OPEN_STREAMS)
         .map(|number| {
@@ -152,7 +153,7 @@
     let mut inter_token = histogram();
     let mut tokens = 0;
     for stream in streams {
-        let (count, times) = stream.await.expect("a stream ends");
+        let (count, times) = stream.await.expect("the task does not panic");
         tokens += count;
         inter_token.add(times).expect("histograms have the same bounds");
     }
@@ -168,7 +169,7 @@
     );
 }
 
-/// Has the dispatcher get to know many prompts.
+/// Sends many prompts, which the dispatcher records.
 async fn fill_prompts(fleet: &Arc<Fleet>) {
     let prompts = futures_util::stream::iter(0..KNOWN_PROMPTS).map(|number| {
         let fleet = fleet.clone();
@@ -203,7 +204,8 @@
     (tokens, times)
 }
 
-/// Time from a change's acceptance until all nine boxes serve it.
+/// Measures the time from the acceptance of a configuration change until all nine boxes serve
+/// it.
 async fn configuration_changes() {
     let fleet = start_fleet_with_accounts(&Plan::full_size()).await;
     let mut times = histogram();
--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -1,10 +1,9 @@
-//! A long run under random faults of every kind, from a seed.
+//! A long run with random faults of all kinds, determined by a seed.
 //!
-//! One task injects faults, alone and several at once, while a load runs and
-//! operators change the configuration. In the end everything is healed, and
-//! every promise is checked from outside: by the answers, by the service's own
-//! record of runs, by the boxes' count of violated invariants and by their
-//! agreement on the configuration.
+//! One task injects faults, some of which overlap, while a load runs and operators change the
+//! configuration. At the end all faults are removed and the guarantees are checked from outside:
+//! by the answers, the services' records of their runs, the boxes' count of violated invariants
+//! and whether all boxes agree on the configuration.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -20,11 +19,11 @@
 use crate::runner::{SendOptions, create_accounts, send_load};
 use crate::workload::{Workload, WorkloadKind};
 
-/// Longest time that a fault stays.
+/// Longest duration of a fault.
 const MAX_FAULT_DURATION_MS: u64 = 4000;
-/// Time without faults at the end, in seconds.
+/// Time at the end without new faults, in seconds.
 const FAULT_FREE_S: u64 = 8;
-/// Time in which the boxes must agree after the heal.
+/// Time in which the boxes have to agree on the configuration after the run.
 const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,7 +73,7 @@
     Fault::HallCut,
 ];
 
-/// Injects faults until `until`; returns how many of each kind.
+/// Injects faults until `until`. Returns the number of faults of each kind.
 async fn inject_faults(fleet: Arc<Fleet>, seed: u64, until: Instant) -> BTreeMap<Fault, u32> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut counts = BTreeMap::new();
@@ -105,7 +104,7 @@
     counts
 }
 
-/// The process that a fault ends, and the signal that it gets.
+/// The process that is ended by a fault, and the signal that ends it.
 fn process_to_signal(fleet: &Fleet, fault: Fault, pick: usize) -> Option<(&Process, &'static str)> {
     let entry_box = &fleet.boxes[pick % fleet.boxes.len()].process;
     match fault {
@@ -117,7 +116,7 @@
     }
 }
 
-/// Sets a fault, or heals it.
+/// Sets or removes a fault.
 async fn set_fault(fleet: &Arc<Fleet>, fault: Fault, pick: usize, active: bool) {
     let entry_box = &fleet.boxes[pick % fleet.boxes.len()].process;
     let engine = &fleet.engines[pick % fleet.engines.len()];
@@ -172,7 +171,7 @@
     }
 }
 
-/// Sends a signal; a process that has ended meanwhile is past that fault.
+/// Sends a signal. An error means that the process has exited already and is ignored.
 fn signal(process: &Process, signal_name: &str) {
     let _ = process.try_signal(signal_name);
 }
@@ -187,14 +186,14 @@
     tokio::task::spawn_blocking(run).await.unwrap_or(-1)
 }
 
-/// Two operators change one account at the same time.
+/// Two operators change the same account at the same time.
 async fn race_operators(fleet: &Arc<Fleet>) {
     let first = ["account", "set", "sanam-9", "--share", "2"];
     let second = ["account", "set", "sanam-9", "--share", "1"];
     tokio::join!(operate(fleet, &first), operate(fleet, &second));
 }
 
-/// Runs the load under faults and checks the promises.
+/// Runs the load with random faults and checks the guarantees.
 pub async fn run(options: &Options) -> ExitCode {
     let halls = ["north", "east", "west"].map(|name| HallPlan::new(name, 2, 2, 1));
     let mut plan = Plan::new(halls.to_vec());
@@ -235,8 +234,8 @@
     ExitCode::FAILURE
 }
 
-/// Whether all boxes come to serve the same revision, and the invariants that
-/// they saw violated.
+/// Waits until all boxes serve the same revision. Returns whether they do within the time limit,
+/// and the number of violated invariants that they have counted.
 async fn wait_for_agreement(fleet: &Arc<Fleet>) -> (bool, u64) {
     let until = Instant::now() + CONVERGENCE_TIMEOUT;
     loop {
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -1,4 +1,4 @@
-//! Policies against each other: same seed, same arrivals, fresh fleets.
+//! Compares policies: each gets a new fleet and the same arrivals from the same seed.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::Options;
 use crate::figures::quantile_ms;
 use crate::outcome::Outcome;
-use crate::report::{plot, print_head, print_row, refusals};
+use crate::report::{plot, print_header, print_row, refusals};
 use crate::runner::{SendOptions, create_accounts, send_load};
 use crate::workload::{Workload, WorkloadKind};
 
@@ -25,13 +25,14 @@
     link_bytes_per_ms: u64,
 }
 
-/// Engines with little cache, so that gaps outlast it within a short run.
+/// Cache of an engine. It is small, so that contexts are evicted between two uses even in a
+/// short run.
 const CACHE_TOKENS: u64 = 24_576;
-/// Bytes of a store, too few for all contexts.
+/// Capacity of a store, which does not suffice for all contexts.
 const STORE_BYTES: u64 = 9_000_000_000;
-/// Rate of a store's link.
+/// Bandwidth of a store's link.
 const LINK_BYTES_PER_MS: u64 = 2_000_000;
-/// Bytes of kept context a token.
+/// Stored bytes for each token of context.
 const KV_TOKEN_BYTES: u64 = 20_000;
 
 const DEFAULT_POLICY: Policy = Policy {
@@ -75,7 +76,7 @@
     plan
 }
 
-/// Context that a fleet can keep in engines and stores together, in tokens.
+/// Tokens of context that all engines and stores of a fleet can hold together.
 fn context_capacity_tokens(plan: &Plan) -> usize {
     let engines: usize = plan.halls.iter().map(|hall| hall.engines).sum();
     let stored = plan.store_bytes * plan.stores as u64 / KV_TOKEN_BYTES;
@@ -93,7 +94,7 @@
 
 /// Compares all policies under both workloads.
 pub async fn run(options: &Options) -> ExitCode {
-    let mut faults = 0;
+    let mut failures = 0;
     let mut times: Vec<(String, Histogram<u64>)> = Vec::new();
     for kind in [WorkloadKind::Sanam, WorkloadKind::Petra] {
         for percent in options.loads_percent.iter().copied() {
@@ -103,15 +104,15 @@
             let optimal_percent =
                 workload.optimal_recompute_percent(context_capacity_tokens(&plan(&DEFAULT_POLICY)));
             println!("\n{} at {percent}% ({rate_per_s:.0} requests/s)", kind.name());
-            println!("least recompute in hindsight, with the same room: {optimal_percent:.1}%");
-            print_head();
+            println!("lowest possible recompute with the same capacity: {optimal_percent:.1}%");
+            print_header();
             for policy in &POLICIES {
                 let fleet = start_fleet(policy, &workload).await;
                 let send_options =
                     SendOptions { warmup_ms: workload.warmup_ms, ..SendOptions::default() };
                 let outcome = send_load(&fleet, &workload, send_options).await;
                 print_row(policy.name, &outcome);
-                faults += outcome.failures();
+                failures += outcome.failures();
                 times.push((
                     format!("{} {percent}% {}", kind.name(), policy.name),
                     outcome.first_token_us,
@@ -119,7 +120,7 @@
             }
         }
     }
-    faults += run_flooding(options).await;
+    failures += run_flooding(options).await;
     if let Some(path) = &options.plot {
         let shown: Vec<_> = times.into_iter().filter(|(name, _)| name.contains(" 80% ")).collect();
         if let Err(error) = plot(path, &shown) {
@@ -127,17 +128,18 @@
             return ExitCode::FAILURE;
         }
     }
-    if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-/// One account sends ten times its share; what the others feel of it.
+/// One account sends ten times its share of requests. Measures how this affects the other
+/// accounts.
 async fn run_flooding(options: &Options) -> u64 {
     println!("\none account sends ten times its share");
     println!(
         "{:<34} {:>14} {:>14} {:>8} {:>8}",
         "share policy", "others p95 ms", "flooder p95 ms", "whole", "refus"
     );
-    let mut faults = 0;
+    let mut failures = 0;
     for (sharing, is_flooded) in [("fair", false), ("fifo", true), ("fair", true)] {
         let policy = Policy { sharing, ..DEFAULT_POLICY };
         let rate_per_s = options.rate_per_s * 0.5;
@@ -152,9 +154,9 @@
         let outcome = send_load(&fleet, &workload, SendOptions::default()).await;
         let name = format!("{sharing}{}", if is_flooded { ", flooded" } else { "" });
         print_flood_row(&name, &outcome);
-        faults += outcome.failures();
+        failures += outcome.failures();
     }
-    faults
+    failures
 }
 
 fn print_flood_row(name: &str, outcome: &Outcome) {
@@ -173,7 +175,7 @@
     );
 }
 
-/// A fault in the middle of a load.
+/// A fault in the middle third of a load.
 #[derive(Clone, Copy)]
 enum MidRunFault {
     StorePaused,
@@ -186,7 +188,7 @@
 impl MidRunFault {
     fn name(self) -> &'static str {
         match self {
-            Self::StorePaused => "a store dies",
+            Self::StorePaused => "a store freezes",
             Self::LinksSlow => "links at a tenth",
             Self::EnginesPaused => "three engines freeze",
             Self::BoxKilled => "a box is killed",
@@ -223,9 +225,9 @@
     }
 }
 
-/// Our policies under load, with a fault in the middle third.
+/// Runs the default policy under load, with a fault in the middle third.
 pub async fn run_faults(options: &Options) -> ExitCode {
-    let mut faults = 0;
+    let mut failures = 0;
     println!(
         "{:<24} {:>10} {:>10} {:>10} {:>6} {:>6} {:>6}  refusals",
         "fault in the middle", "before p95", "during p95", "after p95", "sent", "whole", "bad"
@@ -253,7 +255,8 @@
         let outcome = send_load(&fleet, &workload, send_options).await;
         let _ = injector.await;
         let p95 = |from_s, to_s| p95_between(&outcome, from_s, to_s);
-        // The first seconds warm the caches; the heal gets three seconds.
+        // The first seconds fill the caches and the first three seconds after the fault are for
+        // recovery, so both are left out.
         println!(
             "{:<24} {:>10.1} {:>10.1} {:>10.1} {:>6} {:>6} {:>6}  {}",
             fault.name(),
@@ -265,9 +268,9 @@
             outcome.failures(),
             refusals(&outcome)
         );
-        faults += outcome.failures();
+        failures += outcome.failures();
     }
-    if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn p95_between(outcome: &Outcome, from_s: u64, to_s: u64) -> f64 {
--- a/load/src/control.rs
+++ b/load/src/control.rs
@@ -1,5 +1,5 @@
-//! Cost of control on fleets of growing size: real processes, measured from
-//! outside.
+//! Measures the cost of the control plane in fleets of growing size, from outside of real
+//! processes.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -12,23 +12,23 @@
 use crate::runner::{SendOptions, create_accounts, send_load};
 use crate::workload::{Workload, WorkloadKind};
 
-/// Entry boxes of the fleets.
+/// Numbers of entry boxes of the fleets.
 const FLEET_SIZES: [usize; 4] = [3, 9, 30, 60];
 /// Data halls of each fleet.
 const HALLS: usize = 3;
-/// Time until a new fleet is calm.
+/// Time for a new fleet to settle before measurements start.
 const SETTLE_TIME: Duration = Duration::from_secs(12);
-/// Requests a second for each box under load.
+/// Requests per second and box under load.
 const REQUESTS_PER_S_PER_BOX: f64 = 2.0;
 
-/// Memory of a process, in megabytes.
+/// Resident memory of a process, in megabytes.
 pub fn resident_mb(pid: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/statm")).unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
     ratio(pages.unwrap_or(0) * 4096, 1_000_000)
 }
 
-/// Processor time of a process, in hundredths of a second.
+/// CPU time of a process, in hundredths of a second.
 pub fn cpu_ticks(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<_> = text.rsplit(')').next().unwrap_or_default().split(' ').collect();
@@ -36,7 +36,7 @@
     ticks(12).unwrap_or(0) + ticks(13).unwrap_or(0)
 }
 
-/// What all boxes together have used.
+/// Totals of all boxes of a fleet.
 #[derive(Clone, Copy, Default)]
 struct FleetUsage {
     sent_bytes: u64,
@@ -98,7 +98,7 @@
         "{:>6} {:<8} {:>12} {:>12} {:>10} {:>10} {:>14}",
         "boxes", "state", "B/s a box", "msg/s a box", "cpu % box", "MB a box", "platform/s all"
     );
-    let mut faults = 0;
+    let mut failures = 0;
     for boxes in FLEET_SIZES {
         let fleet = Arc::new(Fleet::start(&plan(boxes)).await);
         let rate_per_s = REQUESTS_PER_S_PER_BOX * f64::from(u32::try_from(boxes).unwrap_or(1));
@@ -106,7 +106,7 @@
             Workload::new(WorkloadKind::Sanam, options.seed, rate_per_s, options.seconds);
         let revision = create_accounts(&fleet, &workload);
         let all: Vec<_> = fleet.boxes.iter().collect();
-        // Views of a fleet that starts all at once take longer to converge.
+        // Membership takes longer to converge when all boxes of a fleet start at once.
         fleet.wait_for_revision(&all, revision, boxes / 2).await;
         tokio::time::sleep(SETTLE_TIME).await;
         let (started_at, before) = (Instant::now(), sample_usage(&fleet).await);
@@ -114,11 +114,11 @@
         let after = sample_usage(&fleet).await;
         print_row("idle", boxes, before, after, started_at.elapsed(), mean_memory_mb(&fleet));
         let (started_at, before) = (Instant::now(), sample_usage(&fleet).await);
-        faults += send_load(&fleet, &workload, SendOptions::default()).await.failures();
+        failures += send_load(&fleet, &workload, SendOptions::default()).await.failures();
         let after = sample_usage(&fleet).await;
         print_row("load", boxes, before, after, started_at.elapsed(), mean_memory_mb(&fleet));
     }
-    if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 fn mean_memory_mb(fleet: &Fleet) -> f64 {
--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -1,4 +1,5 @@
-//! Time and memory of the decisions at the size to come, on the real structures.
+//! Measures time and memory of dispatcher, configuration, membership and ledger at the planned
+//! fleet size, by calling them directly.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -22,13 +23,13 @@
 
 use crate::figures::ratio;
 
-/// Engines of one hall, when one model has them all.
+/// Engines in one hall that all serve the same model.
 const ENGINES_PER_HALL: usize = 128;
-/// Client accounts.
+/// Number of client accounts.
 const ACCOUNTS: usize = 1300;
-/// Boxes of all halls.
+/// Boxes in all halls.
 const BOXES: usize = 350;
-/// Boxes of one hall.
+/// Boxes in one hall.
 const BOXES_PER_HALL: usize = 58;
 
 /// Prints the table.
@@ -50,7 +51,7 @@
     println!("{what:<52} {time:>12} {memory:>12}");
 }
 
-/// Memory of this process, in bytes.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<u64>().ok());
@@ -102,7 +103,8 @@
     Dispatcher::new(Policies::default(), engines, context_manager)
 }
 
-/// A request's whole way through the dispatcher, with the fleet 70% busy.
+/// Measures a request's way through the dispatcher from slot request to completion, with 70% of
+/// the slots in use.
 fn measure_dispatcher(prompts: usize) {
     let requests: Vec<_> = (0..prompts).map(|number| slot_request(number, prompts)).collect();
     let before = resident_bytes();
@@ -119,12 +121,12 @@
         let granted = actions.iter().any(|action| {
             matches!(action, Action::Respond { response: SlotResponse::Granted(_), .. })
         });
-        assert!(granted, "the fleet has places free");
+        assert!(granted, "the fleet has free slots");
         let first_token = SlotReport::FirstToken { id: id.clone(), cached_tokens: 0, took_ms: 180 };
         dispatcher.record_slot_report(now_ms, &first_token);
         open.push_back(id);
         if open.len() > ENGINES_PER_HALL * 8 * 7 / 10 {
-            let id = open.pop_front().expect("it is not empty");
+            let id = open.pop_front().expect("a request was just added");
             let request = "request".to_owned();
             let done = SlotReport::Done {
                 id,
@@ -139,7 +141,7 @@
         serve(&mut dispatcher, source);
     }
     let memory = resident_bytes().saturating_sub(before);
-    let name = format!("decide, {ENGINES_PER_HALL} engines, {prompts} prompts, all returning");
+    let name = format!("decide, {ENGINES_PER_HALL} engines, {prompts} prompts, all seen before");
     let time = mean_us(20_000, |number| serve(&mut dispatcher, &requests[number % requests.len()]));
     print_row(&name, Some(time), Some(memory));
     let tick_us = mean_us(20, |_| {
@@ -149,7 +151,7 @@
     let context_tick_us = mean_us(5, |_| {
         dispatcher.context.tick(1_000_000);
     });
-    print_row("  its look at what is kept, once a second", Some(context_tick_us), None);
+    print_row("  its context tick, once a second", Some(context_tick_us), None);
 }
 
 fn set_account(number: usize) -> Change {
@@ -167,7 +169,7 @@
     ConfigEntry { revision, proposal }
 }
 
-/// A state with all accounts.
+/// A configuration with all accounts.
 pub fn state_with_all_accounts() -> ConfigState {
     let mut state = ConfigState::default();
     let terms =
@@ -228,12 +230,12 @@
     let time = mean_us(200, |_| {
         now_ms += 1000;
         membership.tick(now_ms);
-        // Answers keep the others alive.
+        // Regular updates keep the other boxes alive.
         for number in 1..BOXES {
             membership.merge(now_ms, member(number));
         }
     });
-    print_row("membership of 350 boxes, a period with all news", Some(time), Some(memory));
+    print_row("membership of 350 boxes, a period with updates from all", Some(time), Some(memory));
 }
 
 fn measure_ledger() {
--- a/load/src/demo.rs
+++ b/load/src/demo.rs
@@ -1,4 +1,5 @@
-//! Both workloads on a fleet of today's size, with what an operator sees.
+//! Runs both workloads on a fleet of the present size and shows the output of the operators'
+//! tool.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -6,17 +7,18 @@
 use coursestile_standins::fleet::{Fleet, Plan};
 
 use crate::Options;
-use crate::report::{print_head, print_row, refusals};
+use crate::report::{print_header, print_row, refusals};
 use crate::runner::{SendOptions, create_accounts, send_load};
 use crate::workload::{Workload, WorkloadKind};
 
-/// Runs the demo; fails on a lost, doubled or wrong answer.
+/// Runs the demo. Fails if a request is lost, runs more than once, or gets a wrong answer or
+/// false refusal.
 pub async fn run(options: &Options) -> ExitCode {
-    let mut faults = 0;
+    let mut failures = 0;
     for kind in [WorkloadKind::Sanam, WorkloadKind::Petra] {
-        faults += run_workload(kind, options).await;
+        failures += run_workload(kind, options).await;
     }
-    if faults == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if failures == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
 async fn run_workload(kind: WorkloadKind, options: &Options) -> u64 {
@@ -37,7 +39,7 @@
         println!("\n$ coursestile trace {trace}\n{}", fleet.run_operator_tool(&["trace", trace]).1);
     }
     println!("$ coursestile status\n{}", fleet.run_operator_tool(&["status"]).1);
-    print_head();
+    print_header();
     print_row(kind.name(), &outcome);
     println!("\nrequests sent {}, whole answers {}", outcome.sent, outcome.whole);
     println!("refusals: {}", refusals(&outcome));
--- a/load/src/figures.rs
+++ b/load/src/figures.rs
@@ -1,8 +1,8 @@
-//! Figures that tables and experiments share.
+//! Calculations that the reports and experiments share.
 
 use hdrhistogram::Histogram;
 
-/// `part` over `whole`; 0 when there is nothing.
+/// `part` divided by `whole`, with a divisor of at least 1.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
 pub fn ratio(part: u64, whole: u64) -> f64 {
     part as f64 / whole.max(1) as f64
--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -1,5 +1,5 @@
-//! What the gateway's pure parts cost on one box as the fleet grows: hearing its peers, and
-//! choosing an engine.
+//! Measures the cost of gateway decisions on one box as the fleet grows: receiving gossip from
+//! peers, and choosing an engine.
 
 use std::hint::black_box;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -23,19 +23,19 @@
 
 use crate::figures::ratio;
 
-/// Boxes of the fleets that are compared.
+/// Numbers of boxes of the fleets that are compared.
 const FLEET_SIZES: [u32; 4] = [30, 100, 300, 1000];
-/// Data halls.
+/// Number of data halls.
 const HALLS: u32 = 5;
-/// Engines for each hundred boxes.
+/// Engines for every hundred boxes.
 const ENGINES_PERCENT: u32 = 87;
-/// Stores for each hundred boxes.
+/// Stores for every hundred boxes.
 const STORES_PERCENT: u32 = 20;
-/// Upstreams of whose load a box tells.
+/// Number of upstreams whose load a gossip message reports.
 const LOADS_PER_GOSSIP: u32 = 16;
-/// Parts that a store keeps.
+/// Number of context parts in each store.
 const PARTS_PER_STORE: u32 = 400;
-/// Times that each step is repeated.
+/// Number of times that each operation is repeated.
 const ITERATIONS: u32 = 400;
 /// Model of all engines.
 const MODEL: &str = "m";
@@ -45,7 +45,7 @@
 /// Prints the table.
 pub fn run() -> ExitCode {
     println!(
-        "| boxes | peers told of a change | bytes of gossip | of a change | hear gossip, us | hear a change, us | choose, us |"
+        "| boxes | peers notified of a change | bytes of gossip | bytes of a change | receive gossip, us | receive a change, us | choose, us |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for boxes in FLEET_SIZES {
@@ -114,7 +114,8 @@
     LoadChanges { incarnation: 1, loads, ..LoadChanges::default() }
 }
 
-/// The peers of a box that has heard all others.
+/// Peers of a box that has received gossip from all others, and the number of targets of its
+/// next gossip message.
 fn known_peers(boxes: u32) -> (Peers, usize) {
     let local_box = LocalBox {
         number: 0,
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -1,7 +1,7 @@
 //! Load and experiment tool for coursestile.
 //!
-//! Starts fleets of real processes with stand-ins around them, sends open-loop
-//! loads that are the same for each policy compared, and prints tables.
+//! Starts fleets of real processes surrounded by stand-ins, sends open-loop loads that are the
+//! same for each compared policy, and prints tables.
 
 mod bench;
 mod chaos;
@@ -49,13 +49,13 @@
 pub struct Options {
     /// Length of each load.
     pub seconds: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Seed of arrivals.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Percents of the rate that are compared.
+    /// Loads to compare, in percent of the request rate.
     pub loads_percent: Vec<f64>,
-    /// Where to write a plot.
+    /// Path of the plot to write, if any.
     pub plot: Option<String>,
 }
 
--- a/load/src/outcome.rs
+++ b/load/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What came of a load, and what it used.
+//! Results of a load and the resources that it used.
 
 use std::collections::BTreeMap;
 
@@ -8,19 +8,19 @@
 use crate::figures::ratio;
 use crate::workload::ACCOUNT_WEIGHTS;
 
-/// What came of a load.
+/// Results of a load.
 pub struct Outcome {
     /// Requests sent.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete and correct answers.
     pub whole: u64,
-    /// Answers with other content than expected.
+    /// Complete answers with other content than expected.
     pub wrong: u64,
-    /// Requests without an answer or a refusal.
+    /// Requests that got neither an answer nor a refusal.
     pub lost: u64,
-    /// Calls that may not be repeated and ran more than once.
+    /// Calls that must run at most once and ran more often.
     pub run_repeatedly: u64,
-    /// Calls refused as not run that had run.
+    /// Calls that were refused as not run although they had run.
     pub false_not_run: u64,
     /// Refusals, by reason.
     pub refusals: BTreeMap<String, u64>,
@@ -28,21 +28,22 @@
     pub first_token_us: Histogram<u64>,
     /// Time to first token by account, in microseconds.
     pub first_token_by_account_us: Vec<Histogram<u64>>,
-    /// Time between tokens, in microseconds.
+    /// Time between two tokens, in microseconds.
     pub inter_token_us: Histogram<u64>,
-    /// Time to first token by second of arrival, in microseconds.
+    /// Time to first token by the second in which the request arrived, in microseconds.
     pub first_token_by_second_us: BTreeMap<u64, Histogram<u64>>,
-    /// A trace to show.
+    /// A trace id that the demo shows.
     pub trace: Option<String>,
-    /// Whole answers by account.
+    /// Complete and correct answers by account.
     pub whole_by_account: Vec<u64>,
-    /// Recompute and link use after the warm-up.
+    /// Recomputed tokens and link traffic after the warm-up.
     pub usage: Usage,
-    /// Keys of calls that may not be repeated, and whether each was refused as not run.
+    /// Keys of calls that must run at most once, and whether the last answer said that the call
+    /// had not run.
     pub once_keys: Vec<(String, bool)>,
 }
 
-/// An empty histogram of microseconds, up to two minutes.
+/// An empty histogram for times of up to two minutes in microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).expect("bounds are in order")
 }
@@ -70,7 +71,8 @@
 }
 
 impl Outcome {
-    /// Answers that must not be: wrong, lost, doubled or untrue ones.
+    /// Number of violated guarantees: wrong answers, lost requests, repeated runs and false
+    /// refusals.
     pub fn failures(&self) -> u64 {
         self.wrong + self.lost + self.run_repeatedly + self.false_not_run
     }
@@ -81,19 +83,19 @@
     }
 }
 
-/// Recompute and link use, as the stand-ins counted them.
+/// Prompt tokens and link traffic as counted by the stand-ins.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Prompt tokens of all runs.
     pub prompt_tokens: u64,
-    /// Prompt tokens found in caches.
+    /// Prompt tokens that were found in caches.
     pub cached_tokens: u64,
-    /// Bytes over the stores' links.
+    /// Bytes transferred over the stores' links.
     pub link_bytes: u64,
 }
 
 impl Usage {
-    /// Reads what the stand-ins counted.
+    /// Reads the stand-ins' counters.
     pub async fn read(fleet: &Fleet) -> Self {
         let mut usage = Self::default();
         for engine in &fleet.engines {
@@ -108,7 +110,7 @@
         usage
     }
 
-    /// What was used since `earlier`.
+    /// Difference to `earlier`.
     pub fn since(&self, earlier: &Self) -> Self {
         Self {
             prompt_tokens: self.prompt_tokens.saturating_sub(earlier.prompt_tokens),
@@ -117,13 +119,13 @@
         }
     }
 
-    /// Share of prompt tokens that were computed, in percent.
+    /// Percentage of prompt tokens that were computed rather than found in caches.
     pub fn recomputed_percent(&self) -> f64 {
         let computed = self.prompt_tokens - self.cached_tokens.min(self.prompt_tokens);
         100.0 * ratio(computed, self.prompt_tokens)
     }
 
-    /// Bytes over the links, in gigabytes.
+    /// Link traffic in gigabytes.
     pub fn link_gb(&self) -> f64 {
         ratio(self.link_bytes, 1_000_000_000)
     }
--- a/load/src/report.rs
+++ b/load/src/report.rs
@@ -8,7 +8,7 @@
 use crate::figures::quantile_ms;
 use crate::outcome::Outcome;
 
-/// Refusals in one line.
+/// All refusals and their numbers in one line.
 pub fn refusals(outcome: &Outcome) -> String {
     if outcome.refusals.is_empty() {
         return "none".to_owned();
@@ -17,15 +17,15 @@
     kinds.collect::<Vec<_>>().join(", ")
 }
 
-/// Head of the table of loads.
-pub fn print_head() {
+/// Prints the header of the table of loads.
+pub fn print_header() {
     println!(
         "{:<34} {:>6} {:>6} {:>8} {:>8} {:>8} {:>8} {:>8} {:>6} {:>5}",
         "load", "sent", "whole", "p50 ms", "p95 ms", "p99 ms", "recomp%", "link GB", "refus", "bad"
     );
 }
 
-/// A row of the table of loads.
+/// Prints a row of the table of loads.
 pub fn print_row(name: &str, outcome: &Outcome) {
     let usage = &outcome.usage;
     let first = |quantile| quantile_ms(&outcome.first_token_us, quantile);
@@ -43,7 +43,7 @@
     );
 }
 
-/// Plots time to first token against its quantile, a line for each load.
+/// Plots the quantiles of the time to first token, with a line for each load.
 pub fn plot(path: &str, loads: &[(String, Histogram<u64>)]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (900, 560)).into_drawing_area();
     area.fill(&WHITE)?;
--- a/load/src/runner.rs
+++ b/load/src/runner.rs
@@ -1,4 +1,4 @@
-//! Sends a workload to a fleet, open loop, and checks every answer.
+//! Sends a workload to a fleet in an open loop and checks every answer.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -14,21 +14,21 @@
 use crate::outcome::{Outcome, Usage, histogram};
 use crate::workload::{ACCOUNT_WEIGHTS, Arrival, RequestKind, Workload};
 
-/// Time that a caller waits.
+/// Time limit that clients set for their requests.
 const REQUEST_TIMEOUT_MS: u64 = 10_000;
-/// Further tries of a caller whose call may not be repeated, with its ticket.
+/// Number of attempts for a call that must run at most once, all with the same idempotency key.
 const MAX_TICKET_ATTEMPTS: u32 = 6;
-/// Wait between those tries.
+/// Delay between two such attempts.
 const TICKET_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// How a load is sent.
+/// Options for sending a load.
 #[derive(Clone, Copy, Default)]
 pub struct SendOptions {
-    /// Shows progress.
+    /// Whether to print progress.
     pub progress: bool,
-    /// Arrivals before this time warm the fleet and are not measured.
+    /// Arrivals before this time fill the caches and are not measured.
     pub warmup_ms: u64,
-    /// Entry boxes are killed meanwhile, which breaks their callers' connections.
+    /// Whether entry boxes are killed during the load, so that connections to them may break.
     pub kills_boxes: bool,
 }
 
@@ -37,7 +37,8 @@
     format!("{}-{account}-key", workload.kind.name())
 }
 
-/// Creates a template and ten accounts for a workload; returns the revision.
+/// Creates a template and ten accounts for a workload. Returns the resulting configuration
+/// revision.
 pub fn create_accounts(fleet: &Fleet, workload: &Workload) -> u64 {
     let template = workload.kind.name();
     let weights = workload.kind.weights();
@@ -79,7 +80,8 @@
     ticket_prefixes: Vec<Vec<String>>,
 }
 
-/// Sends all arrivals, waits for their ends and checks the service's runs.
+/// Sends all arrivals, waits until they have ended and checks the services' records of their
+/// runs.
 pub async fn send_load(fleet: &Arc<Fleet>, workload: &Workload, options: SendOptions) -> Outcome {
     let outcome = Arc::new(Mutex::new(Outcome::default()));
     let workload = Arc::new(workload.clone());
@@ -106,10 +108,10 @@
         let second = arrival.at_ms / 1000;
         if options.progress && second >= last_progress_s + 5 {
             last_progress_s = second;
-            let so_far = outcome.lock().expect("outcome lock");
+            let so_far = outcome.lock().expect("no task panics under the lock");
             eprintln!("  {second:>4} s: {} sent, {} whole", so_far.sent, so_far.whole);
         }
-        outcome.lock().expect("outcome lock").sent += 1;
+        outcome.lock().expect("no task panics under the lock").sent += 1;
         let (run, arrival) = (run.clone(), arrival.clone());
         tasks.push(tokio::spawn(async move { run.send_arrival(number, &arrival).await }));
     }
@@ -119,7 +121,7 @@
     }
     drop(run);
     let outcome = Arc::into_inner(outcome).expect("all tasks have ended");
-    let mut outcome = outcome.into_inner().expect("outcome lock");
+    let mut outcome = outcome.into_inner().expect("no task panics under the lock");
     outcome.lost += lost;
     outcome.usage = Usage::read(fleet).await.since(&usage_at_warmup_end);
     check_runs(fleet, &mut outcome).await;
@@ -144,7 +146,7 @@
     all
 }
 
-/// Compares the service's own record of runs with what callers were told.
+/// Compares the services' records of their runs with the answers that clients got.
 async fn check_runs(fleet: &Fleet, outcome: &mut Outcome) {
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     for worker in &fleet.workers {
@@ -160,7 +162,7 @@
     }
 }
 
-/// How an answer was read.
+/// What a client received for a streaming completion.
 enum Received {
     Whole { text: String, version: String },
     Refused(String),
@@ -190,8 +192,8 @@
         call.header("x-timeout-ms", REQUEST_TIMEOUT_MS)
     }
 
-    /// Sends a completion; through another box when the first cannot be
-    /// reached, as the balancer would.
+    /// Sends a completion. If a box cannot be reached, tries the next one as a load balancer
+    /// would.
     async fn send_completion(
         &self,
         number: usize,
@@ -244,7 +246,7 @@
             }
             text.push_str(piece);
             chunk["system_fingerprint"].as_str().unwrap_or_default().clone_into(&mut version);
-            let mut outcome = self.outcome.lock().expect("outcome lock");
+            let mut outcome = self.outcome.lock().expect("no task panics under the lock");
             let now = Instant::now();
             match last_at.replace(now) {
                 Some(last_at) => outcome.inter_token_us.saturating_record(micros(now - last_at)),
@@ -273,7 +275,7 @@
         prompt: &str,
         max_tokens: u32,
     ) {
-        let mut outcome = self.outcome.lock().expect("outcome lock");
+        let mut outcome = self.outcome.lock().expect("no task panics under the lock");
         match result {
             Received::Whole { text, version } => {
                 let right = text == full_answer(&version, prompt, max_tokens as usize);
@@ -289,7 +291,7 @@
 
     async fn record_refused_response(&self, response: Response) {
         let body: Value = response.json().await.unwrap_or_default();
-        let mut outcome = self.outcome.lock().expect("outcome lock");
+        let mut outcome = self.outcome.lock().expect("no task panics under the lock");
         match body["error"]["type"].as_str() {
             Some(kind) => {
                 let ran = body["error"]["ran"].as_str().unwrap_or("unsaid");
@@ -305,21 +307,24 @@
         match response {
             Some(response) if !response.status().is_success() && !is_from_gateway(&response) => {
                 let answer = format!("worker answered {}", response.status().as_u16());
-                self.outcome.lock().expect("outcome lock").add_refusal(&answer);
+                self.outcome.lock().expect("no task panics under the lock").add_refusal(&answer);
             }
             Some(response) if response.status().is_success() => {
-                self.outcome.lock().expect("outcome lock").whole += 1;
+                self.outcome.lock().expect("no task panics under the lock").whole += 1;
             }
             Some(response) => self.record_refused_response(response).await,
             None => {
-                // A call without a key: its caller knows that it cannot know.
-                self.outcome.lock().expect("outcome lock").add_refusal("connection broke");
+                // Without an idempotency key, a client cannot find out whether the call has run.
+                self.outcome
+                    .lock()
+                    .expect("no task panics under the lock")
+                    .add_refusal("connection broke");
             }
         }
     }
 
-    /// Sends a call under a ticket, again through other boxes until its
-    /// outcome is known.
+    /// Sends a call with an idempotency key, and repeats it through other boxes until it
+    /// succeeds or the attempts are used up.
     async fn send_call_once(&self, number: usize, account: usize) {
         let at = number % self.fleet.boxes.len();
         let key = format!("{}/{number}", self.ticket_prefixes[account][at]);
@@ -340,7 +345,11 @@
             }
             tokio::time::sleep(TICKET_RETRY_DELAY).await;
         }
-        self.outcome.lock().expect("outcome lock").once_keys.push((key, said_not_run));
+        self.outcome
+            .lock()
+            .expect("no task panics under the lock")
+            .once_keys
+            .push((key, said_not_run));
         self.record_call(last).await;
     }
 }
--- a/load/src/workload.rs
+++ b/load/src/workload.rs
@@ -1,23 +1,23 @@
-//! Arrivals of both users' workloads, the same for each seed.
+//! Arrivals of the two users' workloads, determined by a seed.
 //!
-//! A prompt is a long context, shared by many requests of one account, and a
-//! short question. Contexts come back after gaps in which engines forget them.
+//! A prompt consists of a long context, which many requests of one account share, and a short
+//! question. Contexts are used again after pauses in which engines evict them.
 
 use std::fmt::Write as _;
 
 use crate::figures::ratio;
 
-/// A kind of workload.
+/// The user whose workload is simulated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkloadKind {
-    /// Match summaries from rulebooks, and short questions of fans.
+    /// Match summaries from rulebooks, and short questions from fans.
     Sanam,
-    /// Page checks against style packs that return late.
+    /// Page checks against style packs that are used again after a long time.
     Petra,
 }
 
 impl WorkloadKind {
-    /// Name in tables.
+    /// Name of the workload in tables and account names.
     pub fn name(self) -> &'static str {
         match self {
             Self::Sanam => "sanam",
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Contexts of all accounts together.
+    /// Number of contexts of all accounts together.
     fn contexts(self) -> usize {
         match self {
             Self::Sanam => 120,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Share of requests that go to the plain service, in percent.
+    /// Percentage of requests that go to the plain service.
     fn call_percent(self) -> u64 {
         match self {
             Self::Sanam => 20,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Share of completions that are short questions, in percent.
+    /// Percentage of completions that are short questions without a context.
     fn question_percent(self) -> u64 {
         match self {
             Self::Sanam => 30,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// How strongly requests prefer some contexts: 0 is not at all.
+    /// Exponent by which requests concentrate on few contexts; 0 means that they are spread
+    /// evenly.
     fn skew(self) -> f64 {
         match self {
             Self::Sanam => 0.9,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Arguments of `template set` that weigh the measures as this user does.
+    /// Value of `--weights` in `template set` that reflects this user's priorities.
     pub fn weights(self) -> &'static str {
         match self {
             Self::Sanam => "1,0.1,0.1",
@@ -73,13 +74,13 @@
     }
 }
 
-/// Accounts of a workload: a few large ones among ten.
+/// Relative request rates of the accounts, a few of which are large.
 pub const ACCOUNT_WEIGHTS: [f64; 10] = [6.0, 4.0, 3.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0];
 
-/// What a request is.
+/// Kind of request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A completion on a context, or on none.
+    /// A completion, with or without a context.
     Completion {
         /// Number of the context.
         context: Option<usize>,
@@ -88,20 +89,19 @@
         /// Tokens to generate.
         max_tokens: u32,
     },
-    /// A call that may not be repeated.
+    /// A call that must run at most once.
     CallOnce,
-    /// A call that may be repeated.
+    /// A call that may be retried.
     Call,
 }
 
-/// A request to come.
+/// A request and its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// When, since the start.
+    /// Time since the start of the load.
     pub at_ms: u64,
-    /// Account that sends it.
+    /// Account that sends the request.
     pub account: usize,
-    /// What it is.
     pub request: RequestKind,
 }
 
@@ -114,26 +114,26 @@
     }
 }
 
-/// Accounts from this one on send contexts that never come back.
+/// Accounts from this one on use each context only once in the Petra workload.
 const FIRST_ONE_OFF_ACCOUNT: usize = 6;
-/// Numbers of contexts that never come back start here.
+/// Contexts that are used only once are numbered from here.
 const FIRST_ONE_OFF_CONTEXT: usize = 1 << 20;
-/// Rate of the pass over all contexts that warms a fleet, a second.
+/// Requests per second of the warm-up.
 const WARMUP_RATE_PER_S: usize = 60;
 
 /// A workload.
 #[derive(Clone)]
 pub struct Workload {
-    /// Whose it is.
+    /// The user whose workload this is.
     pub kind: WorkloadKind,
-    /// When the warming pass is over.
+    /// End of the warm-up; 0 if there is none.
     pub warmup_ms: u64,
-    /// All arrivals, in order.
+    /// All arrivals in order of time.
     pub arrivals: Vec<Arrival>,
 }
 
 impl Workload {
-    /// Arrivals at random times, `rate_per_s` in the mean.
+    /// Arrivals at random times with a mean rate of `rate_per_s`.
     pub fn new(kind: WorkloadKind, seed: u64, rate_per_s: f64, seconds: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut arrivals = Vec::new();
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Puts a pass over all contexts before the arrivals.
+    /// Adds a warm-up before the arrivals, which uses each context once.
     pub fn with_warmup(mut self, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut contexts: Vec<_> = (0..self.kind.contexts()).collect();
@@ -165,7 +165,7 @@
             },
         });
         let warmup: Vec<_> = warmup.collect();
-        // The last ones of the pass get a second to end.
+        // The last requests of the warm-up get one second to complete.
         self.warmup_ms = warmup.last().map_or(0, |arrival| arrival.at_ms + 1000);
         for arrival in &mut self.arrivals {
             arrival.at_ms += self.warmup_ms;
@@ -174,9 +174,9 @@
         self
     }
 
-    /// Least share of prompt tokens that can be recomputed when at most
-    /// `capacity_tokens` of context are kept and the future is known, in
-    /// percent: the context needed last is dropped first.
+    /// Lowest possible percentage of prompts whose context has to be recomputed if at most
+    /// `capacity_tokens` of context are kept and all arrivals are known in advance. The context
+    /// whose next use is furthest away is evicted first.
     pub fn optimal_recompute_percent(&self, capacity_tokens: usize) -> f64 {
         let capacity = capacity_tokens / self.kind.context_tokens();
         let uses: Vec<_> = self.arrivals.iter().filter_map(Arrival::context_use).collect();
@@ -202,7 +202,7 @@
         100.0 * ratio(missed as u64, prompts as u64)
     }
 
-    /// Adds requests of one account, at `rate_per_s`.
+    /// Adds requests of one account with a mean rate of `rate_per_s`.
     pub fn add_requests(&mut self, account: usize, seed: u64, rate_per_s: f64, seconds: u64) {
         let added = Self::new(self.kind, seed, rate_per_s, seconds);
         let added = added.arrivals.into_iter().map(|arrival| Arrival { account, ..arrival });
--- a/load/tests/chaos.rs
+++ b/load/tests/chaos.rs
@@ -1,5 +1,4 @@
-//! A short run under random faults; `coursestile-load chaos --seconds 600` is
-//! the long one.
+//! A short run with random faults. For a long run use `coursestile-load chaos --seconds 600`.
 
 use std::process::Command;
 
