--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -140,7 +140,7 @@
             fleet.try_set_fault(worker, json!({ "lose_answers": u8::from(active) })).await;
         }
         Fault::PlatformOut => {
-            fleet.try_set_fault(&fleet.platform, json!({ "outage": active })).await
+            fleet.try_set_fault(&fleet.platform, json!({ "outage": active })).await;
         }
         Fault::PlatformLosesAnswers => {
             fleet.try_set_fault(&fleet.platform, json!({ "lose_answers": u8::from(active) })).await;
--- a/load/src/compare.rs
+++ b/load/src/compare.rs
@@ -219,7 +219,7 @@
                 }
             }
             Self::PlatformOutage => {
-                fleet.set_fault(&fleet.platform, json!({ "outage": active })).await
+                fleet.set_fault(&fleet.platform, json!({ "outage": active })).await;
             }
         }
     }
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -70,7 +70,7 @@
             Action::StoreBusy => self.disrupt_metadata(StoreFault::Unavailable, time).await,
             Action::StoreSilent => self.disrupt_metadata(StoreFault::Unresponsive, time).await,
             Action::StoreLosesAnswers => {
-                self.disrupt_metadata(StoreFault::WriteAnswersLost, time).await
+                self.disrupt_metadata(StoreFault::WriteAnswersLost, time).await;
             }
             Action::StoreForgets => self.site.metadata.compact(),
             Action::StoreLink(link) => set_link_for(&gateway_box.metadata_proxy, link, time).await,
