--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -16,14 +16,14 @@
 /// it is complete, and the index of the engine.
 async fn start_long_completion(fleet: &Fleet) -> (tokio::task::JoinHandle<String>, usize) {
     let request = completion_request(fleet, 0, KEY, "A long report, please.", 300);
-    let answer = tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
+    let text = tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
         for (index, engine) in fleet.engines.iter().enumerate() {
             let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap_or_default();
             if runs["started"].as_array().is_some_and(|started| !started.is_empty()) {
                 tokio::time::sleep(Duration::from_millis(200)).await;
-                return (answer, index);
+                return (text, index);
             }
         }
     }
@@ -36,17 +36,17 @@
 #[tokio::test]
 async fn engine_killed() {
     let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
-    let (answer, engine) = start_long_completion(&fleet).await;
+    let (text, engine) = start_long_completion(&fleet).await;
     fleet.engines[engine].kill();
-    assert_eq!(answer.await.unwrap(), expected_long_text());
+    assert_eq!(text.await.unwrap(), expected_long_text());
 }
 
 #[tokio::test]
 async fn engine_frozen() {
     let fleet = start_fleet(&Plan::one_hall(2, 3, 0)).await;
-    let (answer, engine) = start_long_completion(&fleet).await;
+    let (text, engine) = start_long_completion(&fleet).await;
     fleet.engines[engine].signal("-STOP");
-    assert_eq!(answer.await.unwrap(), expected_long_text());
+    assert_eq!(text.await.unwrap(), expected_long_text());
     fleet.engines[engine].signal("-CONT");
 }
 
@@ -138,8 +138,8 @@
     let request_with_timeout =
         completion_request(&fleet, 0, KEY, "Too late?", 9000).header("x-timeout-ms", 400);
     let sent_at = std::time::Instant::now();
-    let answer = request_with_timeout.send().await.unwrap();
-    assert_eq!(answer.status(), 504);
-    assert_eq!(answer.headers()["x-coursestile-ran"], "outcome unknown");
+    let response = request_with_timeout.send().await.unwrap();
+    assert_eq!(response.status(), 504);
+    assert_eq!(response.headers()["x-coursestile-ran"], "outcome unknown");
     assert!(sent_at.elapsed() < Duration::from_secs(5), "the final answer comes at once");
 }
--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -848,9 +848,9 @@
     terms.note_leader(20, Some(3), 3);
     assert!(!terms.saw_leader_before(3) && terms.saw_leader_before(7));
     // A term that a peer reports does not count as seen by this box.
-    let mut told = LeaderTerms::default();
-    told.merge(3, 20);
-    assert!(!told.saw_leader_before(7));
+    let mut reported = LeaderTerms::default();
+    reported.merge(3, 20);
+    assert!(!reported.saw_leader_before(7));
 }
 
 #[test]
@@ -881,8 +881,8 @@
     for (revision, at_ms) in [(3, 10), (5, 20), (7, 5000)] {
         terms.note_leader(at_ms, Some(revision), revision);
     }
-    let told: Vec<_> = terms.recent(5100, PAUSE_MS).collect();
-    assert_eq!(told, [(5, 20), (7, 5000)]);
+    let recent: Vec<_> = terms.recent(5100, PAUSE_MS).collect();
+    assert_eq!(recent, [(5, 20), (7, 5000)]);
 }
 
 #[test]
--- a/tests/kept_context.rs
+++ b/tests/kept_context.rs
@@ -31,8 +31,8 @@
         send_prompt(fleet, key, context_seed).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    for other in 0..4 {
-        send_prompt(fleet, "petra-key", &format!("other {other}")).await;
+    for filler in 0..4 {
+        send_prompt(fleet, "petra-key", &format!("other {filler}")).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
 }
@@ -159,8 +159,8 @@
         check_completion(&fleet, 0, "sanam-key", &prompt("page one"), 5).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
-    for other in 0..4 {
-        send_prompt(&fleet, "petra-key", &format!("other {other}")).await;
+    for filler in 0..4 {
+        send_prompt(&fleet, "petra-key", &format!("other {filler}")).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
     // The stored block and this prompt have the same beginning and different ends.
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -14,7 +14,7 @@
 
 const KEY: &str = "sanam-key";
 
-async fn started_runs(fleet: &Fleet, engine: usize) -> usize {
+async fn started_count(fleet: &Fleet, engine: usize) -> usize {
     let runs = fleet.get(&format!("{}/runs", fleet.engines[engine].url())).await.unwrap();
     runs["started"].as_array().unwrap().len()
 }
@@ -31,18 +31,18 @@
 async fn upstream_leaves() {
     let halls = vec![HallPlan::new("north", 2, 2, 0), HallPlan::new("east", 2, 1, 0)];
     let fleet = start_fleet(&Plan::new(halls)).await;
-    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 600);
+    let request = completion_request(&fleet, 0, KEY, "A long one.", 600);
     let long_completion =
-        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
+        tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     send_short_requests(&fleet, 8).await;
     fleet.must_run_operator_tool(&["upstream", "leave", "north-e1"]);
     // The platform has accepted the change. From here on, it is down.
     tokio::time::sleep(Duration::from_millis(500)).await;
     fleet.set_fault(&fleet.platform, json!({ "outage": true })).await;
     tokio::time::sleep(Duration::from_millis(2500)).await;
-    let runs_before = started_runs(&fleet, 0).await;
+    let runs_before = started_count(&fleet, 0).await;
     send_short_requests(&fleet, 40).await;
-    assert_eq!(started_runs(&fleet, 0).await, runs_before, "no new work after 3 s");
+    assert_eq!(started_count(&fleet, 0).await, runs_before, "no new work after 3 s");
     assert_eq!(long_completion.await.unwrap(), full_answer("v1", "A long one.", 600));
 }
 
@@ -54,17 +54,17 @@
     let order_request =
         fleet.http.post(format!("{}/orders", fleet.engines[0].url())).json(&order_body);
     assert!(order_request.send().await.unwrap().status().is_success());
-    let runs_before = started_runs(&fleet, 0).await;
+    let runs_before = started_count(&fleet, 0).await;
     send_short_requests(&fleet, 20).await;
-    assert_eq!(started_runs(&fleet, 0).await, runs_before);
+    assert_eq!(started_count(&fleet, 0).await, runs_before);
 }
 
 #[tokio::test]
 async fn box_stops() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 900);
+    let request = completion_request(&fleet, 0, KEY, "A long one.", 900);
     let long_completion =
-        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
+        tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.boxes[0].process.signal("-TERM");
     tokio::time::sleep(Duration::from_millis(300)).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -12,7 +12,7 @@
 
 const KEY: &str = "sanam-key";
 
-async fn started_runs(fleet: &Fleet) -> usize {
+async fn started_count(fleet: &Fleet) -> usize {
     let mut count = 0;
     for engine in &fleet.engines {
         let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
@@ -71,7 +71,7 @@
     }
     // Each request starts at most one run, and those refused as "not run" start none.
     assert!(not_run > 0);
-    assert!(started_runs(&fleet).await <= 200 - not_run, "a refused request ran");
+    assert!(started_count(&fleet).await <= 200 - not_run, "a refused request ran");
 }
 
 #[tokio::test]
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -26,10 +26,10 @@
         }
     }
     // Eight requests run and the others are queued when the dispatcher's box is killed.
-    let answers: Vec<_> = (1..20).map(|number| send((dispatcher_box + 1) % 3, number)).collect();
+    let texts: Vec<_> = (1..20).map(|number| send((dispatcher_box + 1) % 3, number)).collect();
     tokio::time::sleep(Duration::from_millis(400)).await;
     fleet.boxes[dispatcher_box].process.kill();
-    for (number, answer) in join_all(answers).await.into_iter().enumerate() {
-        assert_eq!(answer.unwrap(), full_answer("v1", &prompt(number + 1), 150));
+    for (number, text) in join_all(texts).await.into_iter().enumerate() {
+        assert_eq!(text.unwrap(), full_answer("v1", &prompt(number + 1), 150));
     }
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -22,7 +22,7 @@
 }
 
 /// Sends the reports of one box to another, as gossip does.
-fn exchange_reports(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
+fn send_reports(now_ms: u64, from: &mut Quarantine, to: &mut Quarantine) -> UpdateUrgency {
     let crashes = from.crashes_to_announce(now_ms);
     let answers = from.answers_to_announce(now_ms);
     to.merge_reports(now_ms, &crashes, &answers)
@@ -36,8 +36,9 @@
         "two upstreams only"
     );
     assert!(is_quarantined(&quarantine_after_crashes(&[1, 2, 1, 3]), NOW_MS + 100));
-    let other = quarantine_after_crashes(&[1, 2, 3]).until_ms(NOW_MS + 100, Fingerprint(8));
-    assert_eq!(other, None, "another request");
+    let other_until_ms =
+        quarantine_after_crashes(&[1, 2, 3]).until_ms(NOW_MS + 100, Fingerprint(8));
+    assert_eq!(other_until_ms, None, "another request");
 }
 
 #[test]
@@ -47,10 +48,10 @@
     quarantine.record_crash(NOW_MS + 60, REQUEST, 3, NOW_MS + 60);
     quarantine.record_crash(NOW_MS + 70, REQUEST, 4, NOW_MS + 70);
     assert!(!is_quarantined(&quarantine, NOW_MS + 100), "two since it was answered");
-    let mut held = quarantine_after_crashes(&[1, 2, 3]);
-    assert!(held.record_answer(REQUEST, NOW_MS + 50));
-    assert!(!is_quarantined(&held, NOW_MS + 100));
-    assert!(!held.record_answer(Fingerprint(8), NOW_MS + 50), "no suspect");
+    let mut quarantined = quarantine_after_crashes(&[1, 2, 3]);
+    assert!(quarantined.record_answer(REQUEST, NOW_MS + 50));
+    assert!(!is_quarantined(&quarantined, NOW_MS + 100));
+    assert!(!quarantined.record_answer(Fingerprint(8), NOW_MS + 50), "no suspect");
 }
 
 /// After the quarantine has ended, a request may run again; a single further crash quarantines it
@@ -86,7 +87,7 @@
             let to = rng.usize(0..9);
             if from != to {
                 let mut sender = std::mem::take(&mut boxes[from]);
-                let urgency = exchange_reports(now_ms, &mut sender, &mut boxes[to]);
+                let urgency = send_reports(now_ms, &mut sender, &mut boxes[to]);
                 update_count += usize::from(urgency != UpdateUrgency::None);
                 boxes[from] = sender;
             }
@@ -102,7 +103,7 @@
     let mut informed = quarantine_after_crashes(&[1, 2, 3]);
     let mut reconnected = Quarantine::default();
     let now_ms = NOW_MS + 60_000;
-    assert_eq!(exchange_reports(now_ms, &mut informed, &mut reconnected), UpdateUrgency::Urgent);
+    assert_eq!(send_reports(now_ms, &mut informed, &mut reconnected), UpdateUrgency::Urgent);
     assert!(is_quarantined(&reconnected, now_ms));
     let left_ms = reconnected.until_ms(now_ms, REQUEST).unwrap() - now_ms;
     assert_eq!(left_ms, QUARANTINE_MS - 60_000 + 20, "no longer than where it was seen");
@@ -111,15 +112,15 @@
 #[test]
 fn answer_told() {
     let mut answered = quarantine_after_crashes(&[1, 2, 3]);
-    let mut other = quarantine_after_crashes(&[1, 2, 3]);
+    let mut receiver = quarantine_after_crashes(&[1, 2, 3]);
     answered.record_answer(REQUEST, NOW_MS + 100);
-    exchange_reports(NOW_MS + 110, &mut answered, &mut other);
-    assert!(!is_quarantined(&other, NOW_MS + 110));
+    send_reports(NOW_MS + 110, &mut answered, &mut receiver);
+    assert!(!is_quarantined(&receiver, NOW_MS + 110));
     // A third box's reports, which are older than the answer, must not undo it.
-    exchange_reports(NOW_MS + 120, &mut quarantine_after_crashes(&[1, 2, 3]), &mut other);
-    assert!(!is_quarantined(&other, NOW_MS + 120));
-    other.merge_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
-    assert!(!is_quarantined(&other, NOW_MS + 130), "a list tells no times");
+    send_reports(NOW_MS + 120, &mut quarantine_after_crashes(&[1, 2, 3]), &mut receiver);
+    assert!(!is_quarantined(&receiver, NOW_MS + 120));
+    receiver.merge_listed(NOW_MS + 130, REQUEST, &[1, 2, 3]);
+    assert!(!is_quarantined(&receiver, NOW_MS + 130), "a list tells no times");
 }
 
 #[test]
@@ -189,7 +190,7 @@
         UpdateUrgency::Urgent
     );
     assert_eq!(quarantine.record_crash(NOW_MS + 20, REQUEST, 2, NOW_MS + 20), UpdateUrgency::None);
-    let mut other = Quarantine::default();
-    assert_eq!(exchange_reports(NOW_MS + 30, &mut quarantine, &mut other), UpdateUrgency::Urgent);
-    assert_eq!(exchange_reports(NOW_MS + 40, &mut quarantine, &mut other), UpdateUrgency::None);
+    let mut receiver = Quarantine::default();
+    assert_eq!(send_reports(NOW_MS + 30, &mut quarantine, &mut receiver), UpdateUrgency::Urgent);
+    assert_eq!(send_reports(NOW_MS + 40, &mut quarantine, &mut receiver), UpdateUrgency::None);
 }
--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -19,7 +19,7 @@
 /// Number of concurrent requests; each leaves a connection open for later requests.
 const CONCURRENT_REQUESTS: usize = 6;
 
-/// Starts two halls of three boxes, one of which does not watch the platform.
+/// Starts two halls of three boxes; one box of each hall does not watch the platform.
 async fn two_halls() -> Fleet {
     let halls = ["north", "east"].map(|name| HallPlan::new(name, 3, 2, 1));
     start_fleet(&Plan { relays: true, ..Plan::new(halls.to_vec()) }).await
@@ -164,11 +164,11 @@
          x-timeout-ms: 1000\r\ncontent-type: application/json\r\ncontent-length: 100\r\n\r\n{{\"mod"
     );
     client.write_all(partial_request.as_bytes()).await.unwrap();
-    let mut answer = [0; 512];
-    let read = tokio::time::timeout(IN_FORCE_WITHIN, client.read(&mut answer)).await;
-    let answer = String::from_utf8_lossy(&answer[..read.expect("an answer").unwrap()]);
-    assert!(answer.starts_with("HTTP/1.1 504"), "{answer}");
-    assert!(answer.contains("x-coursestile-ran: not run"), "{answer}");
+    let mut response = [0; 512];
+    let read = tokio::time::timeout(IN_FORCE_WITHIN, client.read(&mut response)).await;
+    let response = String::from_utf8_lossy(&response[..read.expect("an answer").unwrap()]);
+    assert!(response.starts_with("HTTP/1.1 504"), "{response}");
+    assert!(response.contains("x-coursestile-ran: not run"), "{response}");
 }
 
 // The connections between boxes go silent while a box stops. If it asks each peer only once to take
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -32,9 +32,9 @@
 #[tokio::test]
 async fn swap_mid_run() {
     let fleet = start_fleet(&Plan::one_hall(2, 2, 0)).await;
-    let long_completion = completion_request(&fleet, 0, KEY, "A long one.", 500);
+    let request = completion_request(&fleet, 0, KEY, "A long one.", 500);
     let long_completion =
-        tokio::spawn(async move { completion_text(long_completion.send().await.unwrap()).await });
+        tokio::spawn(async move { completion_text(request.send().await.unwrap()).await });
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.must_run_operator_tool(&["model", "set", "summary", "v2"]);
     wait_version(&fleet, "v2").await;
