--- a/tests/silence.rs
+++ b/tests/silence.rs
@@ -57,7 +57,7 @@
 }
 
 // The connections to the platform go silent just after all boxes have renewed their watches. If
-// each watch waits for its time-out, twenty seconds and more, no box can tell the others of the
+// each watch waits for its timeout, twenty seconds and more, no box can tell the others of the
 // next change, since none has it.
 #[tokio::test]
 async fn watches_silenced() {
@@ -70,7 +70,7 @@
 }
 
 // The platform goes silent when a change is made, and responds again a second later. The responses
-// to the watches are lost, and the watches must not hang until their time-out.
+// to the watches are lost, and the watches must not hang until their timeout.
 #[tokio::test]
 async fn platform_dark() {
     let fleet = two_halls().await;
@@ -154,7 +154,7 @@
 }
 
 // A client goes silent in the middle of its request. The box must not wait for the rest of the body
-// for ever, past the client's own time-out.
+// for ever, past the client's own timeout.
 #[tokio::test]
 async fn caller_silent() {
     let fleet = start_fleet(&Plan::one_hall(1, 1, 1)).await;
