--- a/standins/src/args.rs
+++ b/standins/src/args.rs
@@ -1,4 +1,4 @@
-//! Command lines of the stand-ins: `--name value` pairs.
+//! Command-line options of the stand-ins: `--name value` pairs.
 
 use std::collections::BTreeMap;
 use std::process::exit;
@@ -12,7 +12,7 @@
 }
 
 impl Args {
-    /// Reads the command line; prints the fault and exits with 2 on a bad one.
+    /// Parses the command line; prints an error and exits with 2 if it is malformed.
     #[must_use]
     pub fn parse() -> Self {
         Self::read().unwrap_or_else(|error| fail(&error.to_string()))
@@ -32,18 +32,19 @@
         Ok(Self { values })
     }
 
-    /// The value of `name`, or `default` when it was not given.
+    /// Value of the option `name`, or `default` if it was not given; exits with 2 if the value
+    /// does not parse.
     #[must_use]
     pub fn get<T: FromStr>(&self, name: &str, default: T) -> T {
         match self.values.get(name) {
             None => default,
             Some(text) => {
-                text.parse().unwrap_or_else(|_| fail(&format!("--{name}: bad value '{text}'")))
+                text.parse().unwrap_or_else(|_| fail(&format!("--{name}: invalid value '{text}'")))
             }
         }
     }
 
-    /// The address to listen on.
+    /// Address to listen on, from `--listen`.
     #[must_use]
     pub fn listen(&self) -> String {
         self.get("listen", "127.0.0.1:0".to_owned())
--- a/standins/src/bin/standin-engine.rs
+++ b/standins/src/bin/standin-engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine.
+//! Stand-in for a model engine; see `coursestile_standins::engine`.
 
 use coursestile_standins::args::Args;
 use coursestile_standins::engine::{EngineConfig, run};
--- a/standins/src/bin/standin-kv.rs
+++ b/standins/src/bin/standin-kv.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's key-value service.
+//! Stand-in for the platform's key-value service; see `coursestile_standins::kv`.
 
 use coursestile_standins::args::Args;
 
--- a/standins/src/bin/standin-service.rs
+++ b/standins/src/bin/standin-service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service.
+//! Stand-in for a worker of a plain service; see `coursestile_standins::service`.
 
 use coursestile_standins::args::Args;
 
--- a/standins/src/bin/standin-store.rs
+++ b/standins/src/bin/standin-store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a context store box.
+//! Stand-in for a context store; see `coursestile_standins::store`.
 
 use coursestile_standins::args::Args;
 
--- a/standins/src/bin/standin-wire.rs
+++ b/standins/src/bin/standin-wire.rs
@@ -1,4 +1,5 @@
-//! Stand-in for the network between two data halls.
+//! Stand-in for a network path, such as that between two data halls; see
+//! `coursestile_standins::wire`. `--pairs` takes `FROM>TO` addresses, separated by commas.
 
 use coursestile_standins::args::Args;
 
--- a/standins/src/clock.rs
+++ b/standins/src/clock.rs
@@ -1,7 +1,8 @@
-//! The clock that the stand-ins show.
+//! Clock of the stand-ins, in Unix milliseconds.
 //!
-//! Follows the wall clock as it stood when it was first asked, and is steady from then on: a
-//! wall clock that was set forward by 61 s between two looks made orders in time look late.
+//! The wall clock is read once, at the first call; from then on the time advances with the
+//! monotonic clock. If the wall clock were read each time, setting it forward (by 61 s in one
+//! case) would make orders that arrived in time look late.
 
 use std::sync::LazyLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,7 +11,7 @@
     (SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default(), Instant::now())
 });
 
-/// Now, in Unix milliseconds.
+/// Current time, in Unix milliseconds.
 #[must_use]
 pub fn now_ms() -> u64 {
     let (since_epoch, at) = *START;
--- a/standins/src/engine/api.rs
+++ b/standins/src/engine/api.rs
@@ -1,8 +1,8 @@
-//! The engine's HTTP interface.
+//! HTTP interface of the engine.
 //!
-//! Completions follow the usual completions protocol, streamed as server-sent
-//! events, with `priority`, `cache_salt` and `weight_version` beside the usual
-//! fields; `system_fingerprint` names the weight version that ran.
+//! Completions follow the common `/v1/completions` protocol, streamed as
+//! server-sent events, with the additional request fields `priority`, `cache_salt`
+//! and `weight_version`. `system_fingerprint` is the weight version that ran.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -211,7 +211,7 @@
     .into_response()
 }
 
-/// Stages a block as it comes; it is used only after a commit.
+/// Reads a block from a store and stages it unchecked; it is not used before a commit.
 #[handler]
 async fn import(Json(transfer): Json<Transfer>, Data(engine): Data<&Arc<Engine>>) -> Response {
     let url = format!("{}/blocks/{}", transfer.store, transfer.block_id);
@@ -245,7 +245,8 @@
     tokens: usize,
 }
 
-/// Uses the first tokens of a staged block; 0 discards it; checking it is the caller's part.
+/// Moves the first `tokens` of a staged block into the cache and discards the rest; the
+/// caller is responsible for checking the block before.
 #[handler]
 fn commit(Json(commit): Json<Commit>, Data(engine): Data<&Arc<Engine>>) -> StatusCode {
     let mut state = engine.state.lock().expect("engine lock");
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -1,18 +1,18 @@
-//! The engine's prefix cache, least recently used first out.
+//! Prefix cache of the engine, with least-recently-used eviction.
 
 use std::collections::BTreeMap;
 
 use serde_json::{Value, json};
 
-/// Tokens in a cache block.
+/// Tokens per cache block.
 pub const BLOCK_TOKENS: usize = 256;
-/// Prompt bytes that make a token.
+/// Prompt bytes per token.
 pub const TOKEN_BYTES: usize = 4;
 
-/// Hash of a block and of everything before it.
+/// Hash of a block and all blocks before it.
 pub type ChainHash = [u8; 32];
 
-/// The chain of block hashes of a prompt: whole blocks only.
+/// Chained hashes of the complete blocks of a prompt.
 pub fn chain(salt: &str, version: &str, prompt: &str) -> Vec<ChainHash> {
     let seed = format!("{salt}\0{version}");
     let mut parent = *blake3::hash(seed.as_bytes()).as_bytes();
@@ -33,7 +33,7 @@
     content: ChainHash,
 }
 
-/// Cached blocks by chain hash.
+/// Cached blocks, by chain hash.
 pub struct PrefixCache {
     slots: BTreeMap<ChainHash, Slot>,
     capacity: usize,
@@ -45,7 +45,7 @@
         Self { slots: BTreeMap::new(), capacity, clock: 0 }
     }
 
-    /// Tokens of the prompt that are cached from its start on.
+    /// Returns the number of tokens of the longest cached prefix, and marks its blocks as used.
     pub fn lookup(&mut self, chain: &[ChainHash]) -> usize {
         self.clock += 1;
         let mut found = 0;
@@ -59,7 +59,7 @@
         found * BLOCK_TOKENS
     }
 
-    /// Whether a cached block holds other content than its key says.
+    /// Whether a cached block of the prefix holds content that does not match its key.
     pub fn corrupt(&self, chain: &[ChainHash]) -> bool {
         let slots = chain.iter().map_while(|hash| Some((hash, self.slots.get(hash)?)));
         slots.into_iter().any(|(hash, slot)| *hash != slot.content)
@@ -69,7 +69,8 @@
         self.insert_content(chain, chain)
     }
 
-    /// Caches `content` under the keys of `chain`; returns the cache events.
+    /// Caches `content` under the keys of `chain`, evicting the least recently used blocks;
+    /// returns the cache events.
     pub fn insert_content(&mut self, chain: &[ChainHash], content: &[ChainHash]) -> Vec<Value> {
         self.clock += 1;
         let mut events = Vec::new();
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -1,9 +1,11 @@
-//! A model engine: continuous batching over a prefix cache of limited size.
+//! Stand-in for a model engine: continuous batching with a prefix cache of
+//! limited size.
 //!
-//! The engine advances in steps. A step prefills up to a chunk of prompt
-//! tokens and generates one token for each run past its prefill, and takes
-//! real time in proportion. A prompt's prefix is cached in blocks, keyed by
-//! cache salt, weight version and every byte before.
+//! The engine advances in steps. A step prefills up to `chunk_tokens` prompt
+//! tokens and generates one token for each run that has completed its prefill.
+//! It takes a fixed time plus a time for each prefilled token. Prompt prefixes
+//! are cached in blocks, keyed by cache salt, weight version and all preceding
+//! bytes.
 
 mod api;
 mod cache;
@@ -22,38 +24,38 @@
 use cache::{ChainHash, PrefixCache};
 use runs::Run;
 
-/// What an engine is started with.
+/// Configuration of an engine.
 #[derive(Clone)]
 pub struct EngineConfig {
     /// Address to listen on.
     pub listen: String,
     /// Model served.
     pub model: String,
-    /// Weight version at the start.
+    /// Weight version that is loaded at the start.
     pub version: String,
-    /// Runs that a batch holds.
+    /// Most runs in a batch.
     pub batch_slots: usize,
     /// Fixed time of a step, in microseconds.
     pub step_us: u64,
     /// Time per prefilled token, in microseconds.
     pub prefill_token_us: u64,
-    /// Prompt tokens prefilled in one step.
+    /// Most prompt tokens that are prefilled in one step.
     pub chunk_tokens: usize,
     /// Size of the prefix cache, in tokens.
     pub cache_tokens: usize,
-    /// Size of kept context, in bytes a token.
+    /// Size of cached context, in bytes per token.
     pub kv_token_bytes: u64,
     /// Time to load weights, in milliseconds.
     pub load_ms: u64,
-    /// Lag of published load and cache events, in milliseconds.
+    /// Delay after which load and cache events become visible, in milliseconds.
     pub lag_ms: u64,
-    /// Checks the fencing token of orders.
+    /// Whether orders with an outdated fencing token are refused.
     pub check_orders: bool,
-    /// Checks the weight version that a request expects.
+    /// Whether requests that expect another weight version are refused.
     pub check_version: bool,
 }
 
-/// Load as published.
+/// Load as reported to callers.
 #[derive(Clone, Default)]
 struct Load {
     running: usize,
@@ -61,14 +63,14 @@
     prefill_tokens: usize,
 }
 
-/// An order that was taken.
+/// An order that was accepted.
 #[derive(Clone, Serialize)]
 struct TakenOrder {
     fence: u64,
     version: Option<String>,
 }
 
-/// A cache event.
+/// A change of the cache, for callers that follow it.
 struct CacheEvent {
     seq: u64,
     at: Instant,
@@ -127,7 +129,7 @@
         Self { config, state: Mutex::new(state), work: Notify::new(), faults, http }
     }
 
-    /// Runs steps for ever.
+    /// Runs steps for ever; waits while there is nothing to do.
     async fn step_forever(&self) {
         loop {
             let begun_at = tokio::time::Instant::now();
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Admits runs and prefills a chunk; `None` when there is nothing to do.
+    /// Admits waiting runs and prefills a chunk; returns the number of prefilled tokens, or
+    /// `None` if there is nothing to do.
     fn prefill_step(&self) -> Option<usize> {
         let mut state = self.state.lock().expect("engine lock");
         self.admit(&mut state);
--- a/standins/src/engine/runs.rs
+++ b/standins/src/engine/runs.rs
@@ -1,4 +1,4 @@
-//! One run of a request in the engine.
+//! Execution of a request in the engine.
 
 use std::sync::Mutex;
 
@@ -17,7 +17,7 @@
     cancelled: bool,
 }
 
-/// A run: its prompt, its progress and the words so far.
+/// A run of a request, with its progress and the words generated so far.
 pub struct Run {
     pub version: String,
     pub priority: i64,
@@ -65,7 +65,7 @@
         self.progress.lock().expect("run lock").prefill_left
     }
 
-    /// Prefills up to `budget` tokens; returns how many.
+    /// Prefills up to `budget` tokens; returns the number of prefilled tokens.
     pub fn prefill(&self, budget: usize) -> usize {
         let mut progress = self.progress.lock().expect("run lock");
         let tokens = progress.prefill_left.min(budget);
@@ -74,7 +74,7 @@
         tokens
     }
 
-    /// True once, after the last prefill step.
+    /// Returns true at the first call after the prefill has completed, and false otherwise.
     pub fn take_prefilled(&self) -> bool {
         let mut progress = self.progress.lock().expect("run lock");
         let first = progress.prefilled && !progress.taken;
@@ -82,7 +82,7 @@
         first
     }
 
-    /// Generates a word when the prefill is over; true when the run has ended.
+    /// Generates a word if the prefill has completed; returns whether the run has ended.
     pub fn decode(&self) -> bool {
         let mut progress = self.progress.lock().expect("run lock");
         if progress.prefilled && !progress.cancelled {
@@ -99,13 +99,14 @@
         self.changed.send_replace(usize::MAX);
     }
 
-    /// Corrupts the answer, as a read of another prompt's context would.
+    /// Corrupts the rest of the answer, as reading the cached context of another prompt would.
     pub fn corrupt(&self) {
         let mut progress = self.progress.lock().expect("run lock");
         progress.generator = Generator::new("corrupt", "context");
     }
 
-    /// Waits for words past `from`; `None` after the end.
+    /// Waits for words from index `from` on; returns those that exist, or `None` if the run
+    /// ends before that index.
     pub async fn words_from(&self, from: usize) -> Option<Vec<String>> {
         let mut changed = self.changed.subscribe();
         loop {
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Whole blocks of the prompt, in tokens.
+    /// Number of tokens in the complete blocks of the prompt.
     pub fn block_tokens(&self) -> usize {
         self.chain.len() * BLOCK_TOKENS
     }
--- a/standins/src/faults.rs
+++ b/standins/src/faults.rs
@@ -1,7 +1,7 @@
-//! Faults by command, the same for every stand-in.
+//! Fault injection, common to all stand-in programs.
 //!
-//! `POST /fault` takes a JSON object; fields that are left out keep their
-//! value. `{"die": true}` ends the process at once.
+//! `POST /fault` takes a JSON object with fields of `FaultState`; fields that are
+//! left out keep their value. `{"die": true}` ends the process immediately.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,51 +17,51 @@
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpSocket;
 
-/// How long a lost answer is held; callers time out long before.
+/// Time for which a lost answer is held back; callers time out long before it ends.
 const LOST_ANSWER: Duration = Duration::from_secs(8);
-/// How often a frozen call looks whether it may go on.
+/// Interval at which a frozen call checks whether it may continue.
 const FREEZE_POLL: Duration = Duration::from_millis(20);
 
-/// Faults in force.
+/// Faults that are set.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-#[allow(clippy::struct_excessive_bools, reason = "each fault is switched by itself")]
+#[allow(clippy::struct_excessive_bools, reason = "each fault is switched independently")]
 #[serde(default)]
 pub struct FaultState {
     /// Delay before each call, in milliseconds.
     pub slow_ms: u64,
-    /// Holds every call until lifted.
+    /// Holds every call until this is reset.
     pub frozen: bool,
     /// Refuses every call with 503.
     pub outage: bool,
-    /// What an outage names as the time to come back, in seconds; 0 names none.
+    /// `Retry-After` of answers during an outage, in seconds; 0 omits the header.
     pub outage_retry_s: u64,
-    /// How many answers to lose after their effect.
+    /// Number of following calls that are carried out but not answered in time.
     pub lose_answers: u64,
-    /// Share of events dropped, in percent.
+    /// Share of cache events that are dropped, in percent.
     pub drop_events_percent: u64,
-    /// Work is slower by this factor; 0 and 1 mean none.
+    /// Factor by which work is slowed down; 0 and 1 mean not at all.
     pub slowdown: u64,
-    /// Breaks streams after this many pieces; 0 means never.
+    /// Breaks streams off after this many events; 0 means never.
     pub break_after_pieces: u64,
-    /// Swaps neighbouring pieces of a stream.
+    /// Reverses the order of stream events that are sent together.
     pub reorder: bool,
-    /// Serves blocks that were not sealed, as a faulty store would.
+    /// Serves blocks that are not sealed, as a faulty store would.
     pub serve_unsealed: bool,
-    /// Serves other bytes than were written.
+    /// Serves blocks with other bytes than were written.
     pub corrupt_reads: bool,
     /// Refuses every order.
     pub refuse_orders: bool,
-    /// How often the open connections of a wire were silenced.
+    /// For TCP relays: increasing this silences the connections that are open.
     pub silences: u64,
-    /// A wire loses what is sent.
+    /// For TCP relays: drops all bytes.
     pub dark: bool,
     /// Ends the process.
     pub die: bool,
-    /// Ends the process when it begins with work that has this in its text.
+    /// Ends the process when it starts a request that contains this text.
     pub die_on: Option<String>,
 }
 
-/// Shared handle on the faults in force.
+/// Shared handle to the faults that are set.
 #[derive(Clone, Default)]
 pub struct Faults {
     state: Arc<Mutex<FaultState>>,
@@ -69,7 +69,7 @@
 }
 
 impl Faults {
-    /// A copy of the faults in force.
+    /// Returns a copy of the faults that are set.
     ///
     /// # Panics
     /// Panics when another thread panicked while it held the lock.
@@ -78,14 +78,14 @@
         self.state.lock().expect("fault lock").clone()
     }
 
-    /// Ends the process if it is to die on work with this text.
+    /// Ends the process if the fault `die_on` is set and `text` contains its value.
     pub fn begin(&self, text: &str) {
         if self.now().die_on.is_some_and(|deadly| text.contains(&deadly)) {
             std::process::exit(1);
         }
     }
 
-    /// Calls of callers refused in an outage.
+    /// Number of completions and service calls refused during outages.
     #[must_use]
     pub fn refused_calls(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
@@ -101,7 +101,7 @@
         Ok(())
     }
 
-    /// Takes one answer to lose, if any is left.
+    /// Returns whether the next answer is to be lost, and counts it.
     fn take_lost_answer(&self) -> bool {
         let mut state = self.state.lock().expect("fault lock");
         let lose = state.lose_answers > 0;
@@ -157,7 +157,7 @@
     response
 }
 
-/// Serves `routes` with the fault page beside them until the process ends.
+/// Serves `routes`, `/fault` and `/refused` until the process ends.
 ///
 /// # Errors
 /// Fails when the address cannot be bound.
@@ -171,7 +171,7 @@
     let address: SocketAddr = listen.parse().map_err(std::io::Error::other)?;
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit that pieces are sent at once.
+    // Accepted connections inherit TCP_NODELAY, so that stream events are sent immediately.
     socket.set_nodelay(true)?;
     socket.bind(address)?;
     let acceptor = TcpAcceptor::from_tokio(socket.listen(1024)?)?;
--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -1,9 +1,9 @@
-//! The platform's key-value service.
+//! Stand-in for the platform's key-value service.
 //!
-//! Speaks the key-value and session calls of Consul's HTTP interface:
-//! compare-and-swap by `?cas=`, leases by sessions and `?acquire=`, watches by
-//! blocking queries (`?index=&wait=`). Every call counts against a rate, a
-//! waiting watch as one.
+//! Implements the key-value and session calls of Consul's HTTP interface:
+//! compare-and-swap with `?cas=`, leases with sessions and `?acquire=`, watches
+//! with blocking queries (`?index=&wait=`). Calls are rate-limited per second,
+//! reads and writes separately; a blocking query counts as one read.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 
 use crate::faults::{Faults, serve};
 
-/// Largest value taken, in bytes.
+/// Largest value that is accepted, in bytes.
 const MAX_VALUE_BYTES: usize = 1 << 20;
 /// Longest wait of a blocking query.
 const MAX_WAIT: Duration = Duration::from_secs(60);
@@ -82,7 +82,7 @@
     }
 }
 
-/// The service's state.
+/// State of the service.
 struct Kv {
     tables: Mutex<Tables>,
     changed: watch::Sender<u64>,
@@ -110,8 +110,8 @@
         Err(poem::Error::from_status(StatusCode::TOO_MANY_REQUESTS))
     }
 
-    /// Names of the keys that begin with `prefix`, and the index of the last write
-    /// to one of them.
+    /// Returns the index of the last write to a key that starts with `prefix`, and the names
+    /// of these keys.
     fn list(&self, prefix: &str) -> (u64, Option<Value>) {
         let tables = self.tables.lock().expect("kv lock");
         let found = tables.entries.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -121,7 +121,8 @@
         (index.unwrap_or(0), index.map(|_| json!(names)))
     }
 
-    /// What is answered for a key, after the index to show and that of the last write.
+    /// Returns the index to report, the index of the last write to the key, and the body of
+    /// the answer. With `names_only`, `key` is a prefix.
     fn look(&self, key: &str, names_only: bool) -> (u64, u64, Option<Value>) {
         if names_only {
             let (index, names) = self.list(key);
@@ -184,7 +185,7 @@
     let until = tokio::time::Instant::now() + wait;
     loop {
         let (index, modify_index, entry) = kv.look(&key, query.keys.is_some());
-        // Index 0 asks for an answer at once.
+        // Index 0 requests an immediate answer.
         let news = query.index.is_none_or(|seen| seen == 0 || modify_index > seen);
         let waited = !news && tokio::time::timeout_at(until, changed.changed()).await.is_err();
         if news || waited {
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,9 +1,10 @@
-//! Small stand-ins for the systems around coursestile.
+//! Small stand-ins for the systems around coursestile, for tests, the demo and
+//! measurements.
 //!
-//! Each stand-in is one process that speaks the published protocol of the
-//! system whose place it takes, and that takes faults by command at `/fault`.
-//! They exist for tests, the demo and measurements, and share no code with
-//! the product.
+//! Each program of this crate speaks the published protocol of the system that it
+//! replaces, and accepts faults at `/fault`. `fleet` starts these programs and the
+//! product's boxes; `site` runs stand-ins for the gateway's platform within the
+//! test process. Nothing here shares code with the product.
 
 pub mod answer;
 pub mod args;
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -1,7 +1,8 @@
-//! A plain service whose calls may not all be repeated.
+//! Stand-in for a worker of a plain service, some of whose calls must not be
+//! repeated.
 //!
-//! Records every run under the caller's `x-call-id`, so that a second run of
-//! the same call is seen at `/runs`.
+//! Counts the runs of each call by its `x-call-id` header, so that `/runs` shows
+//! whether a call ran more than once.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -24,14 +25,14 @@
 }
 
 impl Service {
-    /// Writes a run to the record, which outlives the process.
+    /// Appends a run to the record file, which is read again after a restart.
     fn write_down(&self, call: &str) {
         let Some(path) = &self.record else {
             return;
         };
         let file = File::options().create(true).append(true).open(path);
         let written = file.and_then(|mut file| writeln!(file, "{call}"));
-        written.expect("the record can be written");
+        written.expect("record file is writable");
     }
 }
 
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -1,9 +1,10 @@
-//! A context store box: memory and disk tiers behind a link of limited rate.
+//! Stand-in for a context store: a memory tier and a disk tier behind a link of
+//! limited rate.
 //!
 //! A block is written, then sealed with its length and checksum; only sealed
-//! blocks are listed and served. A pin keeps a block until its deadline. The
-//! bytes on the wire are small; the link is charged for the block's declared
-//! size.
+//! blocks are listed and served. A pin protects a block from being freed until
+//! its deadline. Payloads are small; the time on the link is computed from the
+//! size that the writer declares.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -19,10 +20,10 @@
 use crate::clock::now_ms;
 use crate::faults::{Faults, serve};
 
-/// How much slower the disk tier is than the memory tier.
+/// Factor by which the disk tier is slower than the memory tier.
 const DISK_SLOWDOWN: u64 = 3;
 
-/// What a writer declares of a block.
+/// What the writer of a block declares when sealing it.
 #[derive(Clone, Serialize, Deserialize)]
 struct Seal {
     len_bytes: usize,
@@ -49,7 +50,7 @@
 }
 
 impl Store {
-    /// Holds the link for as long as `size_bytes` take.
+    /// Waits for the link, and occupies it for the time that `size_bytes` take.
     async fn transfer(&self, size_bytes: u64, on_disk: bool) {
         let tier = if on_disk { DISK_SLOWDOWN } else { 1 };
         let slowdown = self.faults.now().slowdown.max(1);
@@ -64,7 +65,8 @@
         blocks.values().map(|block| block.size_bytes).sum()
     }
 
-    /// Whether the block has sunk below the memory tier, by recency.
+    /// Whether a block last used at `used_at_ms` is on the disk tier: more recently used blocks
+    /// fill the memory tier.
     fn on_disk(&self, used_at_ms: u64) -> bool {
         let blocks = self.blocks.lock().expect("block lock");
         let newer = blocks.values().filter(|block| block.used_at_ms > used_at_ms);
@@ -84,6 +86,7 @@
     if store.used_bytes() + size_bytes > store.memory_bytes + store.disk_bytes {
         return StatusCode::INSUFFICIENT_STORAGE;
     }
+    // While the transfer lasts, the block holds only half of its payload.
     let half = body[..body.len() / 2].to_vec();
     let block =
         Block { payload: half, size_bytes, seal: None, pinned_until_ms: 0, used_at_ms: now_ms() };
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -1,9 +1,10 @@
-//! A network between processes: relays connections, and can be cut or silenced.
+//! TCP relay that stands in for a network path, and can be cut or silenced.
 //!
-//! A cut, by the fault `outage`, breaks open connections and takes no new ones.
-//! Each count of the fault `silences` silences the connections that are open:
-//! both ends stay up, and bytes go nowhere. While the fault `dark` holds, bytes go
-//! nowhere either, and a connection that has lost some never passes any again.
+//! The fault `outage` closes open connections, and new ones at once. Increasing
+//! the fault `silences` silences the open connections: both ends stay open, but
+//! all bytes are dropped. While the fault `dark` is set, the bytes of all
+//! connections are dropped; a connection that has lost any stays silent after
+//! `dark` is reset.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,12 +17,13 @@
 
 use crate::faults::{Faults, serve};
 
-/// How often a connection looks whether it is cut.
+/// Interval at which a connection checks for an outage.
 const CUT_POLL: Duration = Duration::from_millis(20);
-/// Bytes relayed at once.
+/// Most bytes that are relayed at a time.
 const BUFFER_BYTES: usize = 16 << 10;
 
-/// Relays from each address to its partner until the process ends.
+/// Relays connections from the first address of each pair to the second until the process
+/// ends; serves the faults at `control`.
 ///
 /// # Errors
 /// Fails when an address cannot be bound.
@@ -42,7 +44,7 @@
     }
 }
 
-/// Whether a connection has gone silent.
+/// State from which a connection knows whether it is silent.
 struct Silence {
     faults: Faults,
     opened_after: u64,
@@ -50,7 +52,7 @@
 }
 
 impl Silence {
-    /// Whether bytes that come now go nowhere.
+    /// Whether bytes that arrive now are to be dropped.
     fn swallows(&self) -> bool {
         let state = self.faults.now();
         if state.dark {
@@ -64,7 +66,7 @@
     let Ok(far) = TcpStream::connect(&to).await else {
         return;
     };
-    // Pieces are passed on at once, as a cable would.
+    // Without TCP_NODELAY the relay would delay small messages.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let opened_after = faults.now().silences;
     let lost_bytes = AtomicBool::new(false);
@@ -80,7 +82,8 @@
     }
 }
 
-/// Passes bytes on until their sender closes; a silent connection hides that too.
+/// Relays bytes in one direction until their sender closes; a silent connection does not
+/// relay the close either.
 async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, silence: Arc<Silence>) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
