--- a/standins/src/engine/api.rs
+++ b/standins/src/engine/api.rs
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 
 use super::cache::{BLOCK_TOKENS, ChainHash, chain};
-use super::{Engine, EngineConfig, Run, TakenOrder};
+use super::{AcceptedOrder, Engine, EngineConfig, Run};
 use crate::faults::{Faults, serve};
 
 fn refuse(status: StatusCode, kind: &str) -> Response {
@@ -50,7 +50,7 @@
     if engine.config.check_version && *expected != state.version {
         return refuse(StatusCode::CONFLICT, "version_mismatch");
     }
-    engine.faults.begin(&request.prompt);
+    engine.faults.crash_if_triggered(&request.prompt);
     let run = Arc::new(Run::new(
         &request.prompt,
         &request.cache_salt,
@@ -58,7 +58,7 @@
         request.max_tokens,
         request.priority,
     ));
-    if state.cache.corrupt(&run.chain) {
+    if state.cache.is_corrupt(&run.chain) {
         run.corrupt();
     }
     state.waiting.push(run.clone());
@@ -66,10 +66,10 @@
     state.started.insert(request.request_id.clone());
     drop(state);
     engine.work.notify_one();
-    SSE::new(pieces(engine.clone(), request.request_id, run, 0)).into_response()
+    SSE::new(stream_events(engine.clone(), request.request_id, run, 0)).into_response()
 }
 
-struct Cursor {
+struct StreamCursor {
     engine: Arc<Engine>,
     id: String,
     run: Arc<Run>,
@@ -78,13 +78,13 @@
     ended: bool,
 }
 
-fn pieces(
+fn stream_events(
     engine: Arc<Engine>,
     id: String,
     run: Arc<Run>,
     from: usize,
 ) -> impl Stream<Item = Event> {
-    let cursor = Cursor { engine, id, run, next: from, sent: 0, ended: false };
+    let cursor = StreamCursor { engine, id, run, next: from, sent: 0, ended: false };
     let batches = stream::unfold(cursor, |mut cursor| async move {
         let batch = cursor.next_batch().await?;
         Some((stream::iter(batch), cursor))
@@ -92,12 +92,12 @@
     futures_util::StreamExt::flatten(batches)
 }
 
-impl Cursor {
+impl StreamCursor {
     async fn next_batch(&mut self) -> Option<Vec<Event>> {
         if self.ended {
             return None;
         }
-        let faults = self.engine.faults.now();
+        let faults = self.engine.faults.current();
         if faults.break_after_pieces > 0 && self.sent >= faults.break_after_pieces {
             return None;
         }
@@ -107,7 +107,7 @@
         };
         let mut events: Vec<Event> = Vec::new();
         for word in words {
-            events.push(Event::message(self.piece(&word).to_string()));
+            events.push(Event::message(self.event_body(&word).to_string()));
             self.next += 1;
             self.sent += 1;
         }
@@ -117,7 +117,7 @@
         Some(events)
     }
 
-    fn piece(&self, word: &str) -> Value {
+    fn event_body(&self, word: &str) -> Value {
         let last = self.next + 1 == self.run.max_tokens;
         json!({
             "id": self.id,
@@ -148,7 +148,7 @@
 ) -> Response {
     let run = engine.state.lock().expect("engine lock").runs.get(&id).cloned();
     match run {
-        Some(run) => SSE::new(pieces(engine.clone(), id, run, query.from)).into_response(),
+        Some(run) => SSE::new(stream_events(engine.clone(), id, run, query.from)).into_response(),
         None => refuse(StatusCode::NOT_FOUND, "unknown_request"),
     }
 }
@@ -255,7 +255,7 @@
     };
     let used = (commit.tokens / BLOCK_TOKENS).min(content.len());
     let events = state.cache.insert_content(&keys, &content[..used]);
-    engine.record(&mut state, events);
+    engine.publish_cache_events(&mut state, events);
     StatusCode::OK
 }
 
@@ -280,9 +280,9 @@
 fn list_events(Query(query): Query<EventsQuery>, Data(engine): Data<&Arc<Engine>>) -> Json<Value> {
     let lag = Duration::from_millis(engine.config.lag_ms);
     let state = engine.state.lock().expect("engine lock");
-    let due =
+    let visible =
         state.events.iter().filter(|event| event.seq > query.after && event.at.elapsed() >= lag);
-    Json(due.map(|event| json!({ "seq": event.seq, "event": event.body })).collect())
+    Json(visible.map(|event| json!({ "seq": event.seq, "event": event.body })).collect())
 }
 
 #[derive(Deserialize)]
@@ -295,7 +295,7 @@
 
 #[handler]
 async fn order(Json(order): Json<Order>, Data(engine): Data<&Arc<Engine>>) -> Response {
-    if engine.faults.now().refuse_orders {
+    if engine.faults.current().refuse_orders {
         return refuse(StatusCode::FORBIDDEN, "deaf");
     }
     {
@@ -308,15 +308,15 @@
             return refuse(StatusCode::CONFLICT, "unexpected_state");
         }
         state.fence = state.fence.max(order.fence);
-        let taken = TakenOrder { fence: order.fence, version: order.version.clone() };
-        state.orders.push(taken);
+        let accepted = AcceptedOrder { fence: order.fence, version: order.version.clone() };
+        state.orders.push(accepted);
         state.leaving = order.leave.unwrap_or(state.leaving);
         state.loading = order.version.is_some();
     }
     let Some(version) = order.version else {
         return StatusCode::OK.into();
     };
-    let slowdown = engine.faults.now().slowdown.max(1);
+    let slowdown = engine.faults.current().slowdown.max(1);
     tokio::time::sleep(Duration::from_millis(engine.config.load_ms * slowdown)).await;
     let mut state = engine.state.lock().expect("engine lock");
     state.version = version;
@@ -326,7 +326,7 @@
 }
 
 #[handler]
-fn runs(Data(engine): Data<&Arc<Engine>>) -> Json<Value> {
+fn list_runs(Data(engine): Data<&Arc<Engine>>) -> Json<Value> {
     let state = engine.state.lock().expect("engine lock");
     Json(json!({
         "started": state.started,
@@ -350,8 +350,8 @@
     let faults = Faults::default();
     let listen = config.listen.clone();
     let engine = Arc::new(Engine::new(config, faults.clone()));
-    let stepper = engine.clone();
-    tokio::spawn(async move { stepper.step_forever().await });
+    let stepping = engine.clone();
+    tokio::spawn(async move { stepping.step_forever().await });
     let routes = Route::new()
         .at("/v1/completions", post(complete))
         .at("/v1/completions/:id", get(resume).delete(cancel))
@@ -362,6 +362,6 @@
         .at("/events", get(list_events))
         .at("/orders", post(order))
         .at("/counts", get(counts))
-        .at("/runs", get(runs));
+        .at("/runs", get(list_runs));
     serve(&listen, Route::new().nest("/", routes.data(engine)), faults).await
 }
--- a/standins/src/engine/cache.rs
+++ b/standins/src/engine/cache.rs
@@ -28,41 +28,41 @@
         .collect()
 }
 
-struct Slot {
-    used: u64,
+struct CachedBlock {
+    last_used: u64,
     content: ChainHash,
 }
 
 /// Cached blocks, by chain hash.
 pub struct PrefixCache {
-    slots: BTreeMap<ChainHash, Slot>,
+    blocks: BTreeMap<ChainHash, CachedBlock>,
     capacity: usize,
-    clock: u64,
+    use_counter: u64,
 }
 
 impl PrefixCache {
     pub fn new(capacity: usize) -> Self {
-        Self { slots: BTreeMap::new(), capacity, clock: 0 }
+        Self { blocks: BTreeMap::new(), capacity, use_counter: 0 }
     }
 
     /// Returns the number of tokens of the longest cached prefix, and marks its blocks as used.
     pub fn lookup(&mut self, chain: &[ChainHash]) -> usize {
-        self.clock += 1;
+        self.use_counter += 1;
         let mut found = 0;
         for hash in chain {
-            let Some(slot) = self.slots.get_mut(hash) else {
+            let Some(block) = self.blocks.get_mut(hash) else {
                 break;
             };
-            slot.used = self.clock;
+            block.last_used = self.use_counter;
             found += 1;
         }
         found * BLOCK_TOKENS
     }
 
     /// Whether a cached block of the prefix holds content that does not match its key.
-    pub fn corrupt(&self, chain: &[ChainHash]) -> bool {
-        let slots = chain.iter().map_while(|hash| Some((hash, self.slots.get(hash)?)));
-        slots.into_iter().any(|(hash, slot)| *hash != slot.content)
+    pub fn is_corrupt(&self, chain: &[ChainHash]) -> bool {
+        let blocks = chain.iter().map_while(|hash| Some((hash, self.blocks.get(hash)?)));
+        blocks.into_iter().any(|(hash, block)| *hash != block.content)
     }
 
     pub fn insert(&mut self, chain: &[ChainHash]) -> Vec<Value> {
@@ -72,28 +72,28 @@
     /// Caches `content` under the keys of `chain`, evicting the least recently used blocks;
     /// returns the cache events.
     pub fn insert_content(&mut self, chain: &[ChainHash], content: &[ChainHash]) -> Vec<Value> {
-        self.clock += 1;
+        self.use_counter += 1;
         let mut events = Vec::new();
         for (hash, content) in chain.iter().zip(content) {
-            let used = self.clock;
-            let slot = Slot { used, content: *content };
-            if self.slots.insert(*hash, slot).is_none() {
+            let used = self.use_counter;
+            let block = CachedBlock { last_used: used, content: *content };
+            if self.blocks.insert(*hash, block).is_none() {
                 events.push(json!({ "type": "stored", "hash": hex(hash) }));
             }
         }
-        while self.slots.len() > self.capacity {
-            let oldest = self.slots.iter().min_by_key(|(_, slot)| slot.used);
+        while self.blocks.len() > self.capacity {
+            let oldest = self.blocks.iter().min_by_key(|(_, block)| block.last_used);
             let Some(hash) = oldest.map(|(hash, _)| *hash) else {
                 break;
             };
-            self.slots.remove(&hash);
+            self.blocks.remove(&hash);
             events.push(json!({ "type": "removed", "hash": hex(&hash) }));
         }
         events
     }
 
     pub fn clear(&mut self) {
-        self.slots.clear();
+        self.blocks.clear();
     }
 }
 
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -65,7 +65,7 @@
 
 /// An order that was accepted.
 #[derive(Clone, Serialize)]
-struct TakenOrder {
+struct AcceptedOrder {
     fence: u64,
     version: Option<String>,
 }
@@ -80,7 +80,7 @@
 struct State {
     version: String,
     fence: u64,
-    orders: Vec<TakenOrder>,
+    orders: Vec<AcceptedOrder>,
     leaving: bool,
     loading: bool,
     waiting: Vec<Arc<Run>>,
@@ -137,11 +137,11 @@
                 self.work.notified().await;
                 continue;
             };
-            let slowdown = self.faults.now().slowdown.max(1);
+            let slowdown = self.faults.current().slowdown.max(1);
             let tokens = u64::try_from(prefilled).unwrap_or(0);
             let step_us = self.config.step_us + tokens * self.config.prefill_token_us;
             tokio::time::sleep_until(begun_at + Duration::from_micros(step_us * slowdown)).await;
-            while self.faults.now().frozen {
+            while self.faults.current().frozen {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
             self.decode_step();
@@ -181,9 +181,9 @@
         let mut state = self.state.lock().expect("engine lock");
         let active = std::mem::take(&mut state.active);
         for run in active {
-            if run.take_prefilled() {
+            if run.take_prefill_completion() {
                 let events = state.cache.insert(&run.chain);
-                self.record(&mut state, events);
+                self.publish_cache_events(&mut state, events);
             }
             if !run.decode() {
                 state.active.push(run);
@@ -191,8 +191,8 @@
         }
     }
 
-    fn record(&self, state: &mut State, events: Vec<Value>) {
-        let drop_percent = self.faults.now().drop_events_percent;
+    fn publish_cache_events(&self, state: &mut State, events: Vec<Value>) {
+        let drop_percent = self.faults.current().drop_events_percent;
         for body in events {
             let seq = state.next_event;
             state.next_event += 1;
--- a/standins/src/engine/runs.rs
+++ b/standins/src/engine/runs.rs
@@ -11,7 +11,7 @@
     prefill_left: usize,
     cached: usize,
     prefilled: bool,
-    taken: bool,
+    completion_taken: bool,
     generator: Generator,
     words: Vec<String>,
     cancelled: bool,
@@ -35,7 +35,7 @@
             prefill_left: prompt_tokens,
             cached: 0,
             prefilled: false,
-            taken: false,
+            completion_taken: false,
             generator: Generator::new(version, prompt),
             words: Vec::new(),
             cancelled: false,
@@ -75,10 +75,10 @@
     }
 
     /// Returns true at the first call after the prefill has completed, and false otherwise.
-    pub fn take_prefilled(&self) -> bool {
+    pub fn take_prefill_completion(&self) -> bool {
         let mut progress = self.progress.lock().expect("run lock");
-        let first = progress.prefilled && !progress.taken;
-        progress.taken |= first;
+        let first = progress.prefilled && !progress.completion_taken;
+        progress.completion_taken |= first;
         first
     }
 
--- a/standins/src/faults.rs
+++ b/standins/src/faults.rs
@@ -18,9 +18,9 @@
 use tokio::net::TcpSocket;
 
 /// Time for which a lost answer is held back; callers time out long before it ends.
-const LOST_ANSWER: Duration = Duration::from_secs(8);
+const LOST_ANSWER_HOLD: Duration = Duration::from_secs(8);
 /// Interval at which a frozen call checks whether it may continue.
-const FREEZE_POLL: Duration = Duration::from_millis(20);
+const FREEZE_POLL_PERIOD: Duration = Duration::from_millis(20);
 
 /// Faults that are set.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -74,13 +74,13 @@
     /// # Panics
     /// Panics when another thread panicked while it held the lock.
     #[must_use]
-    pub fn now(&self) -> FaultState {
+    pub fn current(&self) -> FaultState {
         self.state.lock().expect("fault lock").clone()
     }
 
     /// Ends the process if the fault `die_on` is set and `text` contains its value.
-    pub fn begin(&self, text: &str) {
-        if self.now().die_on.is_some_and(|deadly| text.contains(&deadly)) {
+    pub fn crash_if_triggered(&self, text: &str) {
+        if self.current().die_on.is_some_and(|trigger| text.contains(&trigger)) {
             std::process::exit(1);
         }
     }
@@ -110,7 +110,7 @@
     }
 }
 
-fn outage(retry_s: u64) -> Response {
+fn outage_response(retry_s: u64) -> Response {
     let response = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
     if retry_s == 0 { response.finish() } else { response.header("retry-after", retry_s).finish() }
 }
@@ -118,14 +118,14 @@
 #[handler]
 fn set_fault(Json(change): Json<serde_json::Value>, Data(faults): Data<&Faults>) -> Response {
     match faults.set(&change) {
-        Ok(()) if faults.now().die => std::process::exit(9),
+        Ok(()) if faults.current().die => std::process::exit(9),
         Ok(()) => StatusCode::OK.into(),
         Err(error) => (StatusCode::BAD_REQUEST, error.to_string()).into_response(),
     }
 }
 
 #[handler]
-fn refused(Data(faults): Data<&Faults>) -> Json<u64> {
+fn report_refused(Data(faults): Data<&Faults>) -> Json<u64> {
     Json(faults.refused_calls())
 }
 
@@ -137,21 +137,21 @@
     if matches!(request.uri().path(), "/fault" | "/counts" | "/runs") {
         return endpoint.call(request).await.map(IntoResponse::into_response);
     }
-    while faults.now().frozen {
-        tokio::time::sleep(FREEZE_POLL).await;
+    while faults.current().frozen {
+        tokio::time::sleep(FREEZE_POLL_PERIOD).await;
     }
-    let state = faults.now();
+    let state = faults.current();
     if state.outage {
         let path = request.uri().path();
         if path == "/v1/completions" || path.starts_with("/app/") {
             faults.refused.fetch_add(1, Ordering::Relaxed);
         }
-        return Ok(outage(state.outage_retry_s));
+        return Ok(outage_response(state.outage_retry_s));
     }
     tokio::time::sleep(Duration::from_millis(state.slow_ms)).await;
     let response = endpoint.call(request).await.map(IntoResponse::into_response);
     if faults.take_lost_answer() {
-        tokio::time::sleep(LOST_ANSWER).await;
+        tokio::time::sleep(LOST_ANSWER_HOLD).await;
         return Ok(StatusCode::GATEWAY_TIMEOUT.into());
     }
     response
@@ -162,12 +162,12 @@
 /// # Errors
 /// Fails when the address cannot be bound.
 pub async fn serve(listen: &str, routes: Route, faults: Faults) -> std::io::Result<()> {
-    let layered = faults.clone();
+    let layer_faults = faults.clone();
     let app = routes
         .at("/fault", post(set_fault))
-        .at("/refused", get(refused))
+        .at("/refused", get(report_refused))
         .data(faults)
-        .around(move |endpoint, request| with_faults(layered.clone(), endpoint, request));
+        .around(move |endpoint, request| with_faults(layer_faults.clone(), endpoint, request));
     let address: SocketAddr = listen.parse().map_err(std::io::Error::other)?;
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -39,23 +39,23 @@
 }
 
 #[derive(Default)]
-struct Rate {
+struct RateLimit {
     second: u64,
     used: u64,
     total: u64,
     refused: u64,
 }
 
-impl Rate {
-    fn take(&mut self, second: u64, limit: u64) -> bool {
+impl RateLimit {
+    fn try_take(&mut self, second: u64, limit: u64) -> bool {
         if self.second != second {
             (self.second, self.used) = (second, 0);
         }
         self.total += 1;
         self.used += 1;
-        let taken = self.used <= limit;
-        self.refused += u64::from(!taken);
-        taken
+        let admitted = self.used <= limit;
+        self.refused += u64::from(!admitted);
+        admitted
     }
 }
 
@@ -64,8 +64,8 @@
     index: u64,
     entries: BTreeMap<String, Entry>,
     sessions: BTreeMap<String, Session>,
-    reads: Rate,
-    writes: Rate,
+    reads: RateLimit,
+    writes: RateLimit,
 }
 
 impl Tables {
@@ -91,20 +91,20 @@
     writes_per_s: u64,
 }
 
-enum Call {
+enum CallKind {
     Read,
     Write,
 }
 
 impl Kv {
-    fn admit(&self, call: &Call) -> Result<(), poem::Error> {
+    fn admit(&self, call: &CallKind) -> Result<(), poem::Error> {
         let second = self.started_at.elapsed().as_secs();
         let mut tables = self.tables.lock().expect("kv lock");
-        let taken = match call {
-            Call::Read => tables.reads.take(second, self.reads_per_s),
-            Call::Write => tables.writes.take(second, self.writes_per_s),
+        let admitted = match call {
+            CallKind::Read => tables.reads.try_take(second, self.reads_per_s),
+            CallKind::Write => tables.writes.try_take(second, self.writes_per_s),
         };
-        if taken {
+        if admitted {
             return Ok(());
         }
         Err(poem::Error::from_status(StatusCode::TOO_MANY_REQUESTS))
@@ -123,7 +123,7 @@
 
     /// Returns the index to report, the index of the last write to the key, and the body of
     /// the answer. With `names_only`, `key` is a prefix.
-    fn look(&self, key: &str, names_only: bool) -> (u64, u64, Option<Value>) {
+    fn lookup(&self, key: &str, names_only: bool) -> (u64, u64, Option<Value>) {
         if names_only {
             let (index, names) = self.list(key);
             return (index, index, names);
@@ -135,12 +135,12 @@
     fn read(&self, key: &str) -> (u64, Option<Value>) {
         let mut tables = self.tables.lock().expect("kv lock");
         tables.expire_sessions();
-        let entry = tables.entries.get(key).map(|entry| describe(key, entry));
+        let entry = tables.entries.get(key).map(|entry| entry_body(key, entry));
         (tables.index, entry)
     }
 }
 
-fn describe(key: &str, entry: &Entry) -> Value {
+fn entry_body(key: &str, entry: &Entry) -> Value {
     json!([{
         "Key": key,
         "Value": STANDARD.encode(&entry.value),
@@ -164,9 +164,9 @@
     release: Option<String>,
 }
 
-fn seconds(text: &str) -> Duration {
-    let digits = text.trim_end_matches('s').parse().unwrap_or(10);
-    Duration::from_secs(digits).min(MAX_WAIT)
+fn parse_duration(text: &str) -> Duration {
+    let seconds = text.trim_end_matches('s').parse().unwrap_or(10);
+    Duration::from_secs(seconds).min(MAX_WAIT)
 }
 
 fn modify_index(entry: Option<&Value>) -> u64 {
@@ -179,16 +179,17 @@
     Query(query): Query<ReadQuery>,
     Data(kv): Data<&Arc<Kv>>,
 ) -> poem::Result<Response> {
-    kv.admit(&Call::Read)?;
+    kv.admit(&CallKind::Read)?;
     let mut changed = kv.changed.subscribe();
-    let wait = query.wait.as_deref().map_or(MAX_WAIT, seconds);
+    let wait = query.wait.as_deref().map_or(MAX_WAIT, parse_duration);
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let (index, modify_index, entry) = kv.look(&key, query.keys.is_some());
+        let (index, modify_index, entry) = kv.lookup(&key, query.keys.is_some());
         // Index 0 requests an immediate answer.
-        let news = query.index.is_none_or(|seen| seen == 0 || modify_index > seen);
-        let waited = !news && tokio::time::timeout_at(until, changed.changed()).await.is_err();
-        if news || waited {
+        let has_changed = query.index.is_none_or(|seen| seen == 0 || modify_index > seen);
+        let timed_out =
+            !has_changed && tokio::time::timeout_at(until, changed.changed()).await.is_err();
+        if has_changed || timed_out {
             let status = entry.as_ref().map_or(StatusCode::NOT_FOUND, |_| StatusCode::OK);
             let body = Json(entry.unwrap_or(Value::Null));
             return Ok((status, body).with_header("X-Consul-Index", index.max(1)).into_response());
@@ -203,20 +204,20 @@
     body: Vec<u8>,
     Data(kv): Data<&Arc<Kv>>,
 ) -> poem::Result<Response> {
-    kv.admit(&Call::Write)?;
+    kv.admit(&CallKind::Write)?;
     if body.len() > MAX_VALUE_BYTES {
         return Ok(StatusCode::PAYLOAD_TOO_LARGE.into());
     }
     let mut tables = kv.tables.lock().expect("kv lock");
     tables.expire_sessions();
-    let done = write(&mut tables, &key, &query, body);
+    let written = write(&mut tables, &key, &query, body);
     kv.changed.send_replace(tables.index);
-    Ok(Json(done).into_response())
+    Ok(Json(written).into_response())
 }
 
 #[handler]
 fn delete_key(Path(key): Path<String>, Data(kv): Data<&Arc<Kv>>) -> poem::Result<Json<bool>> {
-    kv.admit(&Call::Write)?;
+    kv.admit(&CallKind::Write)?;
     let mut tables = kv.tables.lock().expect("kv lock");
     tables.index += 1;
     tables.entries.remove(&key);
@@ -263,8 +264,8 @@
     Json(request): Json<SessionRequest>,
     Data(kv): Data<&Arc<Kv>>,
 ) -> poem::Result<Json<Value>> {
-    kv.admit(&Call::Write)?;
-    let ttl = seconds(&request.ttl);
+    kv.admit(&CallKind::Write)?;
+    let ttl = parse_duration(&request.ttl);
     let id = format!("{:016x}", fastrand::u64(..));
     let session = Session { ttl, expires_at: Instant::now() + ttl };
     kv.tables.lock().expect("kv lock").sessions.insert(id.clone(), session);
@@ -273,7 +274,7 @@
 
 #[handler]
 fn renew_session(Path(id): Path<String>, Data(kv): Data<&Arc<Kv>>) -> poem::Result<StatusCode> {
-    kv.admit(&Call::Write)?;
+    kv.admit(&CallKind::Write)?;
     let mut tables = kv.tables.lock().expect("kv lock");
     tables.expire_sessions();
     let Some(session) = tables.sessions.get_mut(&id) else {
--- a/standins/src/service.rs
+++ b/standins/src/service.rs
@@ -26,7 +26,7 @@
 
 impl Service {
     /// Appends a run to the record file, which is read again after a restart.
-    fn write_down(&self, call: &str) {
+    fn append_to_record(&self, call: &str) {
         let Some(path) = &self.record else {
             return;
         };
@@ -51,16 +51,16 @@
     Path(path): Path<String>,
     Data(service): Data<&Arc<Service>>,
 ) -> Json<Value> {
-    service.faults.begin(&path);
+    service.faults.crash_if_triggered(&path);
     let call = request.header("x-call-id").unwrap_or("none").to_owned();
     let runs = {
         let mut runs = service.runs.lock().expect("runs lock");
         let count = runs.entry(call.clone()).or_default();
         *count += 1;
-        service.write_down(&call);
+        service.append_to_record(&call);
         *count
     };
-    let slowdown = service.faults.now().slowdown.max(1);
+    let slowdown = service.faults.current().slowdown.max(1);
     tokio::time::sleep(Duration::from_millis(service.work_ms * slowdown)).await;
     Json(json!({ "call": call, "path": path, "run": runs }))
 }
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -106,7 +106,7 @@
     /// Start of this incarnation, in Unix milliseconds.
     started_at_ms: u64,
     /// Epoch of the event numbers; changes with each incarnation.
-    boot: u64,
+    boot_epoch: u64,
     orders: Vec<Order>,
     completed_loads: Vec<CompletedLoad>,
     accepted_orders: u64,
@@ -133,7 +133,7 @@
     /// The state of an incarnation that has just started.
     fn new_incarnation(version: u64) -> Self {
         let started_at_ms = now_ms();
-        Self { version, started_at_ms, boot: started_at_ms, ..Self::default() }
+        Self { version, started_at_ms, boot_epoch: started_at_ms, ..Self::default() }
     }
 }
 
@@ -209,7 +209,7 @@
         let started_at_ms = now_ms().max(state.started_at_ms + 1);
         *state = State {
             started_at_ms,
-            boot: started_at_ms,
+            boot_epoch: started_at_ms,
             faults,
             orders,
             completed_loads,
@@ -425,7 +425,7 @@
     }
     let state = shared.lock().expect("state");
     let events: Vec<Value> = state.events.iter().skip(since).cloned().collect();
-    Json(json!({ "boot_epoch": state.boot, "next_token": state.events.len(), "lost": false,
+    Json(json!({ "boot_epoch": state.boot_epoch, "next_token": state.events.len(), "lost": false,
         "events": events, "clock_ms": state.clock(), "born": state.reported_start() }))
 }
 
@@ -442,8 +442,10 @@
         .map(|(scope, part, tokens)| json!([scope, part, tokens, MODEL]))
         .chain(state.extra_items.iter().cloned())
         .collect();
-    Ok(Json(json!({ "boot_epoch": state.boot, "next_token": state.events.len(), "held": held,
-        "partial": state.partial, "born": state.reported_start() })))
+    Ok(Json(
+        json!({ "boot_epoch": state.boot_epoch, "next_token": state.events.len(), "held": held,
+        "partial": state.partial, "born": state.reported_start() }),
+    ))
 }
 
 #[derive(Deserialize)]
@@ -456,7 +458,7 @@
 #[handler]
 fn free(Data(shared): Data<&Shared>, Json(free): Json<Free>) -> StatusCode {
     let mut state = shared.lock().expect("state");
-    if free.boot_epoch != state.boot || free.until_ms < now_ms() {
+    if free.boot_epoch != state.boot_epoch || free.until_ms < now_ms() {
         return StatusCode::CONFLICT;
     }
     state.held.retain(|(scope, part, _)| !free.parts.contains(&(scope.clone(), part.clone())));
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -15,7 +15,7 @@
 use poem::{EndpointExt, IntoResponse, Request, Response, Route, get, handler, post};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use tokio::sync::Mutex as Link;
+use tokio::sync::Mutex as AsyncMutex;
 
 use crate::clock::now_ms;
 use crate::faults::{Faults, serve};
@@ -41,7 +41,7 @@
 
 struct Store {
     blocks: Mutex<BTreeMap<String, Block>>,
-    link: Link<()>,
+    link: AsyncMutex<()>,
     link_bytes: Mutex<u64>,
     memory_bytes: u64,
     disk_bytes: u64,
@@ -52,10 +52,10 @@
 impl Store {
     /// Waits for the link, and occupies it for the time that `size_bytes` take.
     async fn transfer(&self, size_bytes: u64, on_disk: bool) {
-        let tier = if on_disk { DISK_SLOWDOWN } else { 1 };
-        let slowdown = self.faults.now().slowdown.max(1);
-        let _held = self.link.lock().await;
-        let busy_ms = size_bytes * tier * slowdown / self.bytes_per_ms;
+        let tier_slowdown = if on_disk { DISK_SLOWDOWN } else { 1 };
+        let slowdown = self.faults.current().slowdown.max(1);
+        let _link = self.link.lock().await;
+        let busy_ms = size_bytes * tier_slowdown * slowdown / self.bytes_per_ms;
         tokio::time::sleep(Duration::from_millis(busy_ms)).await;
         *self.link_bytes.lock().expect("link lock") += size_bytes;
     }
@@ -87,9 +87,14 @@
         return StatusCode::INSUFFICIENT_STORAGE;
     }
     // While the transfer lasts, the block holds only half of its payload.
-    let half = body[..body.len() / 2].to_vec();
-    let block =
-        Block { payload: half, size_bytes, seal: None, pinned_until_ms: 0, used_at_ms: now_ms() };
+    let first_half = body[..body.len() / 2].to_vec();
+    let block = Block {
+        payload: first_half,
+        size_bytes,
+        seal: None,
+        pinned_until_ms: 0,
+        used_at_ms: now_ms(),
+    };
     {
         let mut blocks = store.blocks.lock().expect("block lock");
         if blocks.contains_key(&id) {
@@ -125,7 +130,7 @@
 
 #[handler]
 async fn read_block(Path(id): Path<String>, Data(store): Data<&Arc<Store>>) -> Response {
-    let serve_unsealed = store.faults.now().serve_unsealed;
+    let serve_unsealed = store.faults.current().serve_unsealed;
     let found = {
         let mut blocks = store.blocks.lock().expect("block lock");
         let block = blocks.get_mut(&id).filter(|block| block.seal.is_some() || serve_unsealed);
@@ -141,7 +146,7 @@
     store.transfer(size_bytes, on_disk).await;
     let blocks = store.blocks.lock().expect("block lock");
     match blocks.get(&id) {
-        Some(block) if store.faults.now().corrupt_reads => {
+        Some(block) if store.faults.current().corrupt_reads => {
             let corrupt: Vec<u8> = block.payload.iter().map(|byte| !byte).collect();
             corrupt.into_response()
         }
@@ -223,7 +228,7 @@
     let faults = Faults::default();
     let store = Arc::new(Store {
         blocks: Mutex::default(),
-        link: Link::new(()),
+        link: AsyncMutex::new(()),
         link_bytes: Mutex::default(),
         memory_bytes,
         disk_bytes,
--- a/standins/src/wire.rs
+++ b/standins/src/wire.rs
@@ -18,7 +18,7 @@
 use crate::faults::{Faults, serve};
 
 /// Interval at which a connection checks for an outage.
-const CUT_POLL: Duration = Duration::from_millis(20);
+const OUTAGE_POLL_PERIOD: Duration = Duration::from_millis(20);
 /// Most bytes that are relayed at a time.
 const BUFFER_BYTES: usize = 16 << 10;
 
@@ -38,67 +38,72 @@
 
 async fn accept(listener: TcpListener, to: String, faults: Faults) {
     while let Ok((stream, _)) = listener.accept().await {
-        if !faults.now().outage {
-            tokio::spawn(relay(stream, to.clone(), faults.clone()));
+        if !faults.current().outage {
+            tokio::spawn(relay_connection(stream, to.clone(), faults.clone()));
         }
     }
 }
 
 /// State from which a connection knows whether it is silent.
-struct Silence {
+struct ConnectionState {
     faults: Faults,
-    opened_after: u64,
+    silences_at_open: u64,
     lost_bytes: AtomicBool,
 }
 
-impl Silence {
+impl ConnectionState {
     /// Whether bytes that arrive now are to be dropped.
-    fn swallows(&self) -> bool {
-        let state = self.faults.now();
+    fn drops_bytes(&self) -> bool {
+        let state = self.faults.current();
         if state.dark {
             self.lost_bytes.store(true, Ordering::Relaxed);
         }
-        self.lost_bytes.load(Ordering::Relaxed) || state.silences > self.opened_after
+        self.lost_bytes.load(Ordering::Relaxed) || state.silences > self.silences_at_open
     }
 }
 
-async fn relay(near: TcpStream, to: String, faults: Faults) {
+async fn relay_connection(near: TcpStream, to: String, faults: Faults) {
     let Ok(far) = TcpStream::connect(&to).await else {
         return;
     };
     // Without TCP_NODELAY the relay would delay small messages.
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let opened_after = faults.now().silences;
+    let silences_at_open = faults.current().silences;
     let lost_bytes = AtomicBool::new(false);
-    let silence = Arc::new(Silence { faults: faults.clone(), opened_after, lost_bytes });
-    let (near_reads, near_writes) = near.into_split();
-    let (far_reads, far_writes) = far.into_split();
+    let connection =
+        Arc::new(ConnectionState { faults: faults.clone(), silences_at_open, lost_bytes });
+    let (near_reader, near_writer) = near.into_split();
+    let (far_reader, far_writer) = far.into_split();
     tokio::select! {
         _ = futures_util::future::join(
-            pass(near_reads, far_writes, silence.clone()),
-            pass(far_reads, near_writes, silence),
+            relay_one_way(near_reader, far_writer, connection.clone()),
+            relay_one_way(far_reader, near_writer, connection),
         ) => {}
-        () = cut(faults) => {}
+        () = wait_for_outage(faults) => {}
     }
 }
 
 /// Relays bytes in one direction until their sender closes; a silent connection does not
 /// relay the close either.
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, silence: Arc<Silence>) {
+async fn relay_one_way(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    connection: Arc<ConnectionState>,
+) {
     let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(read @ 1..) = from.read(&mut buffer).await {
-        if !silence.swallows() && to.write_all(&buffer[..read]).await.is_err() {
+        if !connection.drops_bytes() && to.write_all(&buffer[..read]).await.is_err() {
             return;
         }
     }
-    if silence.swallows() {
+    if connection.drops_bytes() {
         std::future::pending::<()>().await;
     }
     let _ = to.shutdown().await;
 }
 
-async fn cut(faults: Faults) {
-    while !faults.now().outage {
-        tokio::time::sleep(CUT_POLL).await;
+async fn wait_for_outage(faults: Faults) {
+    while !faults.current().outage {
+        tokio::time::sleep(OUTAGE_POLL_PERIOD).await;
     }
 }
