--- a/standins/src/engine/api.rs
+++ b/standins/src/engine/api.rs
@@ -245,8 +245,8 @@
     tokens: usize,
 }
 
-/// Moves the first `tokens` of a staged block into the cache and discards the rest; the
-/// caller is responsible for checking the block before.
+/// Moves the first `tokens` of a staged block into the cache and discards the rest; 0 discards
+/// all of it. The caller is responsible for checking the block before.
 #[handler]
 fn commit(Json(commit): Json<Commit>, Data(engine): Data<&Arc<Engine>>) -> StatusCode {
     let mut state = engine.state.lock().expect("engine lock");
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -71,7 +71,7 @@
     /// Sends a signal to the process if it still runs.
     ///
     /// # Panics
-    /// Panics when the system does not tell.
+    /// Panics when the state of the process cannot be read.
     pub fn try_signal(&self, name: &str) {
         // The lock keeps other threads from reaping the process, after which its id could be
         // reused by another process.
@@ -111,7 +111,7 @@
     /// Whether the process runs.
     ///
     /// # Panics
-    /// Panics when the system does not tell.
+    /// Panics when the state of the process cannot be read.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         self.child.lock().expect("child").try_wait().expect("child").is_none()
--- a/standins/src/site/server.rs
+++ b/standins/src/site/server.rs
@@ -308,8 +308,8 @@
         Behavior::Status(status) => format!("{}{body}", head(*status, id, &sealed)),
         Behavior::NotRun => head(503, id, "X-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"),
         Behavior::RetryAfter(time) => {
-            let rest = format!("Retry-After: {}\r\n", time.as_secs_f64());
-            head(503, id, &format!("X-Not-Executed: 1\r\n{rest}Content-Length: 0\r\n\r\n"))
+            let retry_after = format!("Retry-After: {}\r\n", time.as_secs_f64());
+            head(503, id, &format!("X-Not-Executed: 1\r\n{retry_after}Content-Length: 0\r\n\r\n"))
         }
         Behavior::Leaving => {
             format!("{}{body}", head(200, id, &format!("Server-Leaving: 1\r\n{sealed}")))
