--- a/load/src/figures.rs
+++ b/load/src/figures.rs
@@ -2,7 +2,7 @@
 
 use hdrhistogram::Histogram;
 
-/// `part` divided by `whole`, with a divisor of at least 1.
+/// `part` divided by `whole`, where a `whole` of 0 counts as 1.
 #[expect(clippy::cast_precision_loss, reason = "counts stay far below 2^52")]
 pub fn ratio(part: u64, whole: u64) -> f64 {
     part as f64 / whole.max(1) as f64
