--- a/soak/src/proxy.rs
+++ b/soak/src/proxy.rs
@@ -30,7 +30,7 @@
 pub struct Proxy {
     /// Address that the proxy listens on.
     pub address: String,
-    condition: watch::Sender<ProxyState>,
+    state_sender: watch::Sender<ProxyState>,
     acceptor: JoinHandle<()>,
 }
 
@@ -52,25 +52,25 @@
     pub async fn start_at(address: &str, target: &str) -> Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?.to_string();
-        let condition = watch::Sender::<ProxyState>::default();
-        let (state, target) = (condition.subscribe(), target.to_owned());
+        let state_sender = watch::Sender::<ProxyState>::default();
+        let (state, target) = (state_sender.subscribe(), target.to_owned());
         let acceptor = tokio::spawn(async move {
             while let Ok((client, _)) = listener.accept().await {
                 tokio::spawn(forward_connection(client, target.clone(), state.clone()));
             }
         });
-        Ok(Self { address, condition, acceptor })
+        Ok(Self { address, state_sender, acceptor })
     }
 
     /// Sets the state of all current and future connections.
     pub fn set(&self, link: LinkState) {
-        self.condition.send_modify(|condition| condition.link = link);
+        self.state_sender.send_modify(|state| state.link = link);
     }
 
     /// Silences the connections that are open now, for good. Neither end is notified, and new
     /// connections work.
     pub fn silence(&self) {
-        self.condition.send_modify(|condition| condition.silence_count += 1);
+        self.state_sender.send_modify(|state| state.silence_count += 1);
     }
 }
 
@@ -100,14 +100,14 @@
         )
     };
     tokio::pin!(forwarding);
-    let (mut reset, mut silence_count) = (state.clone(), state.clone());
+    let (mut reset_state, mut silence_state) = (state.clone(), state.clone());
     let goes_silent = tokio::select! {
         _ = &mut forwarding => false,
-        _ = reset.wait_for(|condition| condition.link == LinkState::Reset) => false,
-        _ = silence_count.wait_for(|condition| condition.silence_count > count_at_start) => true,
+        _ = reset_state.wait_for(|state| state.link == LinkState::Reset) => false,
+        _ = silence_state.wait_for(|state| state.silence_count > count_at_start) => true,
     };
     // Both sockets stay open without being read until the proxy is dropped.
-    while goes_silent && silence_count.changed().await.is_ok() {}
+    while goes_silent && silence_state.changed().await.is_ok() {}
 }
 
 /// Forwards data in one direction until it ends.
@@ -120,11 +120,8 @@
     let mut buffer = [0; BUFFER_BYTES];
     loop {
         let length = from.read(&mut buffer).await?;
-        let is_open = |condition: &ProxyState| {
-            !matches!(
-                (condition.link, from_client),
-                (LinkState::Silent, _) | (LinkState::OneWay, true)
-            )
+        let is_open = |state: &ProxyState| {
+            !matches!((state.link, from_client), (LinkState::Silent, _) | (LinkState::OneWay, true))
         };
         if state.wait_for(is_open).await.is_err() {
             return Ok(());
