--- a/soak/tests/short.rs
+++ b/soak/tests/short.rs
@@ -11,8 +11,8 @@
     assert_no_violations(Options { seed, seconds: 10, boxes: 3, scenario: Scenario::First }).await;
 }
 
-// Seeds that failed under an earlier version of the plan, so that they now give other steps.
-// Silences are left out, as they were not part of that plan.
+// Each seed stands for an error of the soak test or of its stand-ins. Changes of `plan` change the
+// steps that a seed gives. Silences are left out, because the errors occurred without them.
 #[rstest]
 // Overlapping leaves of one upstream were treated as a single leave by the soak test.
 #[case::overlapping_leaves(100)]
