--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -118,7 +118,7 @@
 /// next gossip message.
 fn known_peers(boxes: u32) -> (Peers, usize) {
     let local_box = LocalBox {
-        number: 0,
+        short_id: 0,
         address: SocketAddr::new(address(0), 7000),
         hall: 0,
         millicores: 120,
@@ -175,7 +175,7 @@
 fn demand(prompt: Option<&Prompt>, seed: u64) -> Demand<'_> {
     Demand {
         service: SERVICE,
-        box_number: 7,
+        box_short_id: 7,
         hall: "hall-0",
         prompt,
         isolated_account: None,
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -118,7 +118,7 @@
     Claims::default().updated(0, (fence.saturating_sub(1), &all), &state.terms, 0)
 }
 
-/// Whether the pause after orders of earlier leaders to `target` (the number of an engine's id
+/// Whether the pause after orders of earlier leaders to `target` (the short id of an engine's id
 /// or of a store's name) is over. The leader must still claim it before it sends an order.
 #[must_use]
 pub fn may_order(state: &State, bounds: &Bounds, now_ms: u64, target: u32) -> bool {
--- a/src/gateway/crashes.rs
+++ b/src/gateway/crashes.rs
@@ -46,7 +46,7 @@
     }
     let mut is_urgent = false;
     for request in requests {
-        if state.quarantine.record_crash(now_ms, *request, upstream.number(), now_ms)
+        if state.quarantine.record_crash(now_ms, *request, upstream.short_id(), now_ms)
             == UpdateUrgency::Urgent
         {
             quarantine::log_quarantined(&state, now_ms, *request);
--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// This box's limits in thousandths, by the numbers of services.
+    /// This box's limits in thousandths, by the short ids of services.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -107,7 +107,7 @@
     }
 
     fn mean_limit(&self, service: u32) -> f64 {
-        let peers = self.peer_limits.iter().filter(|(number, _)| *number == service);
+        let peers = self.peer_limits.iter().filter(|(reported, _)| *reported == service);
         let (sum, count) = peers
             .fold((self.own_limit(service), 1.0), |(sum, count), (_, limit)| {
                 (sum + f64::from(*limit) / THOUSAND, count + 1.0)
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -206,7 +206,7 @@
         let hall_cost = if upstream.entry.hall == demand.hall { 0.0 } else { OTHER_HALL_COST_MS };
         let unhealthy_cost = if upstream.is_unhealthy(now_ms) { UNHEALTHY_COST_MS } else { 0.0 };
         let cost =
-            cost + hall_cost + unhealthy_cost + spread_ms(demand.box_number, upstream.number);
+            cost + hall_cost + unhealthy_cost + spread_ms(demand.box_short_id, upstream.short_id);
         Candidate { cost, upstream, context, expected }
     }
 
@@ -225,9 +225,9 @@
 }
 
 /// A cost below [`SPREAD_MS`] that depends only on the box and the upstream.
-fn spread_ms(box_number: u32, upstream_number: u32) -> f64 {
+fn spread_ms(box_short_id: u32, upstream_short_id: u32) -> f64 {
     // Fibonacci hashing: the upper bits depend on all lower ones.
-    let hash = (box_number ^ upstream_number).wrapping_mul(0x9e37_79b9);
+    let hash = (box_short_id ^ upstream_short_id).wrapping_mul(0x9e37_79b9);
     f64::from(hash) / f64::from(u32::MAX) * SPREAD_MS
 }
 
--- a/src/gateway/decisions/configuration.rs
+++ b/src/gateway/decisions/configuration.rs
@@ -215,11 +215,11 @@
 }
 
 impl Route {
-    /// The service for a request; `number` selects among several by their weights.
+    /// The service for a request; `hash` selects among several by their weights.
     #[must_use]
-    pub fn service(&self, number: u64) -> Option<&str> {
+    pub fn service(&self, hash: u64) -> Option<&str> {
         let total: u64 = self.targets.iter().map(|target| u64::from(target.weight)).sum();
-        let mut left = number.checked_rem(total)?;
+        let mut left = hash.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
             if left < weight {
--- a/src/gateway/decisions/demand.rs
+++ b/src/gateway/decisions/demand.rs
@@ -19,8 +19,8 @@
 /// The requirements of a request for its upstream, and the box that sends it.
 pub struct Demand<'a> {
     pub service: &'a str,
-    /// Number of this box.
-    pub box_number: u32,
+    /// Short id of this box.
+    pub box_short_id: u32,
     /// Data hall of this box.
     pub hall: &'a str,
     /// Prompt; `None` for services without model engines.
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -17,7 +17,7 @@
 pub struct Gossip {
     /// Start of the sender's process; a later start has a higher value.
     pub incarnation: u64,
-    /// Number of the data hall.
+    /// Short id of the data hall.
     pub hall: u32,
     /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
@@ -32,18 +32,18 @@
     pub peers: Vec<IpAddr>,
     /// Load of the sender's requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that the sender fetches from stores: number of the store, tokens.
+    /// Tokens that the sender fetches from stores: short id of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
-    /// Admission limits that the box has found, in thousandths, by the number of the service.
+    /// Admission limits that the box has found, in thousandths, by the short id of the service.
     pub limits: Vec<(u32, u16)>,
-    /// Engines that load weights, by their numbers, with the remaining time in milliseconds.
+    /// Engines that load weights, by their short ids, with the remaining time in milliseconds.
     pub loading_engines: Vec<(u32, u16)>,
-    /// Upstreams whose address now belongs to another incarnation, by their numbers.
+    /// Upstreams whose address now belongs to another incarnation, by their short ids.
     pub superseded: Vec<u32>,
-    /// Upstreams that announced that they are about to leave, by their numbers.
+    /// Upstreams that announced that they are about to leave, by their short ids.
     pub leaving: Vec<u32>,
     /// Upstreams to which the sender sends no requests for a while because they turned it away:
-    /// number of the upstream and remaining time in milliseconds.
+    /// short id of the upstream and remaining time in milliseconds.
     pub backoffs: Vec<(u32, u16)>,
     /// The upstreams' clock at the time of sending, if the sender knows it.
     pub upstream_clock_ms: Option<u64>,
@@ -107,7 +107,7 @@
 /// Load of one box or hall on an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Number of the upstream.
+    /// Short id of the upstream.
     pub upstream: u32,
     pub load: Load,
     /// Time since the sender last received bytes from the upstream, in milliseconds.
@@ -117,7 +117,7 @@
 /// A weight version that was named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedVersionReport {
-    /// Number of the model.
+    /// Short id of the model.
     pub model: u32,
     pub version: u64,
     /// The version named directly before this one; 0 for none.
--- a/src/gateway/decisions/hall_summary.rs
+++ b/src/gateway/decisions/hall_summary.rs
@@ -11,11 +11,11 @@
 /// Summary of all boxes of one hall, sent to the bridges of the other halls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallSummary {
-    /// Number of the data hall.
+    /// Short id of the data hall.
     pub hall: u32,
     /// Load of the hall's requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that the hall fetches from stores: number of the store, tokens.
+    /// Tokens that the hall fetches from stores: short id of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
     /// Revision of the metadata store that each box of the hall has reached.
     pub revisions: Vec<(IpAddr, u64)>,
@@ -26,6 +26,6 @@
 pub struct OtherHallsSummary {
     /// Load of the other halls' requests on upstreams.
     pub loads: Vec<LoadReport>,
-    /// Tokens that the other halls fetch from stores: number of the store, tokens.
+    /// Tokens that the other halls fetch from stores: short id of the store, tokens.
     pub fetches: Vec<(u32, u32)>,
 }
--- a/src/gateway/decisions/incarnation.rs
+++ b/src/gateway/decisions/incarnation.rs
@@ -13,9 +13,9 @@
 }
 
 impl Incarnation {
-    /// Number that identifies the incarnation in messages between boxes.
+    /// Short id of the incarnation, for messages between boxes.
     #[must_use]
-    pub fn number(&self) -> u32 {
+    pub fn short_id(&self) -> u32 {
         match self.started_at_ms {
             Some(started_at_ms) => short_id(&format!("{}/{started_at_ms}", self.id)),
             None => short_id(&self.id),
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -17,7 +17,7 @@
 pub(super) struct HallTotals {
     /// The last summary of each other hall and when it was received. Only bridges receive these.
     by_hall: BTreeMap<u32, (u64, HallSummary)>,
-    /// Total load of all other halls, by the number of the upstream.
+    /// Total load of all other halls, by the short id of the upstream.
     loads: HashMap<u32, Load>,
     fetch_tokens: HashMap<u32, u64>,
     updated_at_ms: u64,
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -49,11 +49,11 @@
 /// What this box reports of itself in every message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalBox {
-    /// Number of the box, derived from its address.
-    pub number: u32,
+    /// Short id of the box, a hash of its address.
+    pub short_id: u32,
     /// Address at which peers reach it.
     pub address: SocketAddr,
-    /// Number of the data hall.
+    /// Short id of the data hall.
     pub hall: u32,
     /// Processor share of the box, in thousandths of a core.
     pub millicores: u32,
--- a/src/gateway/decisions/peers/sums.rs
+++ b/src/gateway/decisions/peers/sums.rs
@@ -13,11 +13,11 @@
 /// Sums over the reports of live peers.
 #[derive(Debug, Default)]
 pub(super) struct Sums {
-    /// Load on upstreams, by the number of the upstream.
+    /// Load on upstreams, by the short id of the upstream.
     loads: HashMap<u32, Load>,
-    /// Tokens fetched from stores, by the number of the store.
+    /// Tokens fetched from stores, by the short id of the store.
     fetch_tokens: HashMap<u32, u64>,
-    /// When any peer last received data from an upstream, by the number of the upstream.
+    /// When any peer last received data from an upstream, by the short id of the upstream.
     received_at_ms: HashMap<u32, u64>,
 }
 
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Load on upstreams, by the number of the upstream.
+    /// Load on upstreams, by the short id of the upstream.
     pub(super) fn loads(&self) -> &HashMap<u32, Load> {
         &self.loads
     }
 
-    /// Tokens fetched from stores, by the number of the store.
+    /// Tokens fetched from stores, by the short id of the store.
     pub(super) fn fetch_tokens(&self) -> &HashMap<u32, u64> {
         &self.fetch_tokens
     }
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Admission limits that all other boxes have found, in thousandths, by the number of the
+    /// Admission limits that all other boxes have found, in thousandths, by the short id of the
     /// service.
     #[must_use]
     pub fn limits(&self, now_ms: u64) -> Vec<(u32, u16)> {
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -73,8 +73,8 @@
     slowdown_at_ms: u64,
     full_until_ms: u64,
     pending_saves: HashMap<PartKey, PendingSave>,
-    /// Hash of the store's name, by which boxes refer to it in messages.
-    number: u32,
+    /// Short id of the store, by which boxes refer to it in messages.
+    short_id: u32,
 }
 
 /// A save that this box ordered and that the store has not reported yet.
@@ -100,13 +100,13 @@
     /// lowest quotient of sample and weight is selected, so that the probability of each store is
     /// proportional to its weight.
     fn rendezvous_sample(&self, key: PartKey) -> f64 {
-        -key.hash_fraction(self.number).ln()
+        -key.hash_fraction(self.short_id).ln()
     }
 
-    /// Number of the store in messages between boxes.
+    /// Short id of the store in messages between boxes.
     #[must_use]
-    pub fn number(&self) -> u32 {
-        self.number
+    pub fn short_id(&self) -> u32 {
+        self.short_id
     }
 
     /// Records a failure, after which the store is avoided for a while.
@@ -201,7 +201,7 @@
             let previous_state =
                 previous.remove(&store.name).filter(|(old, _)| old.address == store.address);
             let mut state = previous_state.map_or_else(StoreState::with_log, |(_, state)| state);
-            state.number = short_id(&store.name);
+            state.short_id = short_id(&store.name);
             self.by_name.insert(store.name.clone(), (store.clone(), state));
         }
     }
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -79,8 +79,8 @@
 pub struct Upstream {
     /// Id in the metadata store.
     pub id: String,
-    /// Hash that identifies its incarnation in messages between boxes.
-    pub number: u32,
+    /// Short id of its incarnation, for messages between boxes.
+    pub short_id: u32,
     /// Its newest registration.
     pub entry: UpstreamEntry,
     /// Load from this box.
@@ -119,7 +119,7 @@
     pub fn new(now_ms: u64, id: &str, entry: UpstreamEntry) -> Self {
         let incarnation = Incarnation { id: id.to_owned(), started_at_ms: entry.started_at_ms };
         Self {
-            number: incarnation.number(),
+            short_id: incarnation.short_id(),
             id: incarnation.id,
             started_at_ms: incarnation.started_at_ms,
             known_since_ms: now_ms,
@@ -224,7 +224,7 @@
     fn complete_start(&mut self, started_at_ms: Option<u64>) {
         if self.started_at_ms.is_none() && started_at_ms.is_some() {
             self.started_at_ms = started_at_ms;
-            self.number = self.incarnation().number();
+            self.short_id = self.incarnation().short_id();
         }
     }
 
@@ -249,9 +249,9 @@
         self.observed_versions.remove(model);
     }
 
-    /// The name of the model with the given number, if the upstream has it.
+    /// The name of the model with the given short id, if the upstream has it.
     #[must_use]
-    pub fn model_by_number(&self, model: u32) -> Option<String> {
+    pub fn model_by_short_id(&self, model: u32) -> Option<String> {
         self.entry.models.iter().map(|(name, _)| name).find(|name| short_id(name) == model).cloned()
     }
 
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -11,8 +11,8 @@
 #[derive(Debug, Default)]
 pub struct Upstreams {
     by_id: BTreeMap<String, Upstream>,
-    /// Ids by the numbers that identify incarnations in messages between boxes.
-    ids_by_number: HashMap<u32, String>,
+    /// Ids of the upstreams by the short ids of their incarnations.
+    ids_by_short_id: HashMap<u32, String>,
     /// Notices of upstreams that are not registered at present.
     unlisted: UnlistedNotices,
 }
@@ -29,7 +29,7 @@
             self.by_id.insert(id.to_owned(), upstream);
             ReportedIncarnation::Current
         };
-        self.index_number(id);
+        self.index_short_id(id);
         reported
     }
 
@@ -43,22 +43,22 @@
     ) -> ReportedIncarnation {
         let Some(known) = self.by_id.get_mut(id) else { return ReportedIncarnation::Current };
         let reported = known.record_answering_incarnation(now_ms, started_at_ms, asked_at_ms);
-        self.index_number(id);
+        self.index_short_id(id);
         reported
     }
 
-    /// Updates the index of numbers; each incarnation of an upstream has its own number.
-    fn index_number(&mut self, id: &str) {
-        let Some(number) = self.get(id).map(|upstream| upstream.number) else { return };
-        if self.ids_by_number.get(&number).is_none_or(|known| known != id) {
-            self.ids_by_number.retain(|_, known| known != id);
-            self.ids_by_number.insert(number, id.to_owned());
+    /// Updates the index of short ids; each incarnation of an upstream has its own.
+    fn index_short_id(&mut self, id: &str) {
+        let Some(short_id) = self.get(id).map(|upstream| upstream.short_id) else { return };
+        if self.ids_by_short_id.get(&short_id).is_none_or(|known| known != id) {
+            self.ids_by_short_id.retain(|_, known| known != id);
+            self.ids_by_short_id.insert(short_id, id.to_owned());
         }
     }
 
-    /// The upstream whose present incarnation has the given number.
-    pub fn get_by_number_mut(&mut self, number: u32) -> Option<&mut Upstream> {
-        self.by_id.get_mut(self.ids_by_number.get(&number)?)
+    /// The upstream whose present incarnation has the given short id.
+    pub fn get_by_short_id_mut(&mut self, short_id: u32) -> Option<&mut Upstream> {
+        self.by_id.get_mut(self.ids_by_short_id.get(&short_id)?)
     }
 
     /// Records that a connection to an upstream was not established in time. If two upstreams in
@@ -98,7 +98,7 @@
         if let Some(upstream) = self.by_id.remove(id) {
             self.unlisted.insert(now_ms, &upstream.incarnation(), upstream.notices());
         }
-        self.ids_by_number.retain(|_, known| known != id);
+        self.ids_by_short_id.retain(|_, known| known != id);
     }
 
     #[must_use]
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -140,7 +140,7 @@
 /// The load that this box puts on each upstream.
 fn own_loads(state: &State, now_ms: u64) -> impl Iterator<Item = LoadReport> {
     state.upstreams.iter().map(move |upstream| LoadReport {
-        upstream: upstream.number,
+        upstream: upstream.short_id,
         load: upstream.own_load,
         receive_age_ms: upstream.receive_age_ms(now_ms),
     })
@@ -192,7 +192,7 @@
 fn fetches(state: &State) -> Vec<(u32, u32)> {
     let stores = state.stores.iter().filter(|(_, store)| store.own_fetch_tokens() > 0);
     let fetches = stores.map(|(_, store)| {
-        (store.number(), u32::try_from(store.own_fetch_tokens()).unwrap_or(u32::MAX))
+        (store.short_id(), u32::try_from(store.own_fetch_tokens()).unwrap_or(u32::MAX))
     });
     fetches.collect()
 }
@@ -200,13 +200,13 @@
 /// Upstreams whose address another incarnation has taken.
 fn superseded(state: &State) -> Vec<u32> {
     let superseded = state.upstreams.iter().filter(|upstream| upstream.is_superseded());
-    superseded.map(|upstream| upstream.number).collect()
+    superseded.map(|upstream| upstream.short_id).collect()
 }
 
 /// Upstreams that have announced that they leave.
 fn leaving(state: &State) -> Vec<u32> {
     let leaving = state.upstreams.iter().filter(|upstream| upstream.notices().leaving);
-    leaving.map(|upstream| upstream.number).collect()
+    leaving.map(|upstream| upstream.short_id).collect()
 }
 
 /// Upstreams that have refused requests of this box and get none for now, with the remaining
@@ -214,7 +214,7 @@
 fn backoffs(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let backoffs = state.upstreams.iter().filter_map(|upstream| {
         let left_ms = upstream.backoff_until_ms(now_ms)? - now_ms;
-        Some((upstream.number, u16::try_from(left_ms).unwrap_or(u16::MAX)))
+        Some((upstream.short_id, u16::try_from(left_ms).unwrap_or(u16::MAX)))
     });
     backoffs.collect()
 }
@@ -224,13 +224,13 @@
 fn loading(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let encoded = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
     let ordered = state.loading_engines.iter().filter_map(|id| state.upstreams.get(id));
-    let ordered = ordered.map(|engine| (engine.number, encoded(LOADING_GOSSIP_MS)));
+    let ordered = ordered.map(|engine| (engine.short_id, encoded(LOADING_GOSSIP_MS)));
     let relayed = state.upstreams.iter().filter(|engine| {
         state.is_bridge()
             && engine.is_loading(now_ms)
             && !state.loading_engines.contains(&engine.id)
     });
-    let relayed = relayed.map(|engine| (engine.number, encoded(engine.loading_left_ms(now_ms))));
+    let relayed = relayed.map(|engine| (engine.short_id, encoded(engine.loading_left_ms(now_ms))));
     ordered.chain(relayed).collect()
 }
 
@@ -343,7 +343,7 @@
     }
     let State { stores, peers, .. } = &mut *state;
     for (_, store) in stores.iter_mut() {
-        store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
+        store.set_peer_fetch_tokens(peers.fetch_tokens(store.short_id()));
     }
 }
 
@@ -361,8 +361,8 @@
 
 /// Marks upstreams as leaving that have announced it to a peer.
 fn apply_leaving(state: &mut State, leaving: &[u32]) {
-    for number in leaving {
-        if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
+    for upstream in leaving {
+        if let Some(upstream) = state.upstreams.get_by_short_id_mut(*upstream) {
             upstream.apply_notices(NoticeState { leaving: true, ..NoticeState::default() });
         }
     }
@@ -370,9 +370,9 @@
 
 /// Notes the upstreams that have refused requests of a peer, and for how long it sends them none.
 fn apply_backoffs(state: &mut State, now_ms: u64, backoffs: &[(u32, u16)]) {
-    let offset_ms = u64::from(state.peers.local().number) % RETURN_SPREAD_MS;
-    for (number, left_ms) in backoffs {
-        if let Some(upstream) = state.upstreams.get_by_number_mut(*number) {
+    let offset_ms = u64::from(state.peers.local().short_id) % RETURN_SPREAD_MS;
+    for (upstream, left_ms) in backoffs {
+        if let Some(upstream) = state.upstreams.get_by_short_id_mut(*upstream) {
             upstream.set_peer_backoff(now_ms + u64::from(*left_ms) + offset_ms);
         }
     }
@@ -381,7 +381,7 @@
 /// Marks upstreams whose address another incarnation has taken.
 fn supersede(state: &mut State, upstreams: &[u32]) {
     for upstream in upstreams {
-        if let Some(upstream) = state.upstreams.get_by_number_mut(*upstream) {
+        if let Some(upstream) = state.upstreams.get_by_short_id_mut(*upstream) {
             upstream.mark_superseded();
         }
     }
@@ -392,13 +392,13 @@
 fn apply_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
     let mut is_new = false;
     for (engine, left_ms) in &gossip.loading_engines {
-        let Some(engine) = state.upstreams.get_by_number_mut(*engine) else { continue };
+        let Some(engine) = state.upstreams.get_by_short_id_mut(*engine) else { continue };
         is_new |= !engine.is_loading(now_ms);
         engine.set_loading_until(now_ms + u64::from(*left_ms));
     }
-    for (number, model, version) in &gossip.engine_versions {
-        if let Some(engine) = state.upstreams.get_by_number_mut(*number)
-            && let Some(name) = engine.model_by_number(*model)
+    for (engine_id, model, version) in &gossip.engine_versions {
+        if let Some(engine) = state.upstreams.get_by_short_id_mut(*engine_id)
+            && let Some(name) = engine.model_by_short_id(*model)
             && *version > engine.weight_version(&name)
         {
             engine.set_loading_until(0);
@@ -406,7 +406,7 @@
             is_new = true;
             if state.is_bridge() {
                 state.observed_versions.push(ObservedVersion {
-                    engine: *number,
+                    engine: *engine_id,
                     model: *model,
                     version: *version,
                     until_ms: now_ms + VERSION_GOSSIP_MS,
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -124,10 +124,10 @@
     }
 
     /// Applies the combined load that all other boxes report for one upstream.
-    pub fn apply_peer_load(&mut self, number: u32) {
-        if let Some(upstream) = self.upstreams.get_by_number_mut(number) {
-            upstream.peer_load = self.peers.load(number);
-            upstream.record_peer_receive(self.peers.received_at_ms(number));
+    pub fn apply_peer_load(&mut self, upstream_id: u32) {
+        if let Some(upstream) = self.upstreams.get_by_short_id_mut(upstream_id) {
+            upstream.peer_load = self.peers.load(upstream_id);
+            upstream.record_peer_receive(self.peers.received_at_ms(upstream_id));
         }
     }
 
@@ -137,11 +137,11 @@
         let Self { peers, upstreams, stores, admission_limits, .. } = self;
         peers.expire(now_ms);
         for upstream in upstreams.iter_mut() {
-            upstream.peer_load = peers.load(upstream.number);
-            upstream.record_peer_receive(peers.received_at_ms(upstream.number));
+            upstream.peer_load = peers.load(upstream.short_id);
+            upstream.record_peer_receive(peers.received_at_ms(upstream.short_id));
         }
         for (_, store) in stores.iter_mut() {
-            store.set_peer_fetch_tokens(peers.fetch_tokens(store.number()));
+            store.set_peer_fetch_tokens(peers.fetch_tokens(store.short_id()));
         }
         admission_limits.set_peer_limits(peers.limits(now_ms));
     }
@@ -176,9 +176,9 @@
 /// A weight version that an engine was seen to reach.
 #[derive(Clone, Debug)]
 pub struct ObservedVersion {
-    /// Number of the engine in gossip.
+    /// Short id of the engine's incarnation.
     pub engine: u32,
-    /// Number of the model in gossip.
+    /// Short id of the model.
     pub model: u32,
     pub version: u64,
     /// When this box stops telling peers about it.
@@ -327,6 +327,6 @@
     )]
     let millicores = (settings.cores * 1000.0) as u32;
     let address = settings.peers;
-    let own_number = short_id(&address.ip().to_string());
-    LocalBox { number: own_number, address, hall: short_id(&settings.hall), millicores }
+    let own_short_id = short_id(&address.ip().to_string());
+    LocalBox { short_id: own_short_id, address, hall: short_id(&settings.hall), millicores }
 }
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -23,7 +23,7 @@
 /// How often the leader compares the stored quarantine with its own, unless it is woken earlier.
 const COMPARE_PERIOD: Duration = Duration::from_secs(2);
 
-/// Quarantined requests as stored, with the numbers of the upstreams that crashed under each.
+/// Quarantined requests as stored, with the short ids of the upstreams that crashed under each.
 pub type StoredQuarantine = BTreeMap<Fingerprint, Vec<u32>>;
 
 /// Until when a request is quarantined; `None` if it is not.
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -396,7 +396,7 @@
     let weights = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
     let demand = Demand {
         service: &request.service,
-        box_number: state.peers.local().number,
+        box_short_id: state.peers.local().short_id,
         hall: &gateway.settings.hall,
         prompt: request.prompt.as_ref(),
         isolated_account: request.isolated_account.as_deref(),
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -43,7 +43,7 @@
 /// An update of what is known of one context store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreUpdate {
-    /// Number that stands for the name of the store.
+    /// Short id of the store.
     pub store: u32,
     /// Change of its contents.
     pub update: CacheUpdate,
@@ -102,9 +102,9 @@
 }
 
 fn apply_updates(state: &mut State, updates: Vec<StoreUpdate>) {
-    for StoreUpdate { store: store_number, update } in updates {
+    for StoreUpdate { store: store_short_id, update } in updates {
         let found =
-            state.stores.iter_mut().find(|(store, _)| short_id(&store.name) == store_number);
+            state.stores.iter_mut().find(|(store, _)| short_id(&store.name) == store_short_id);
         if let Some((_, store_state)) = found {
             store_state.contents.apply_update(update);
         }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -112,7 +112,7 @@
     }
     if end == LoadEnd::Done {
         state.observed_versions.push(ObservedVersion {
-            engine: load.engine.number(),
+            engine: load.engine.short_id(),
             model: short_id(&load.model),
             version: load.version,
             until_ms: now_ms() + VERSION_GOSSIP_MS,
--- a/tests/gateway_bridges.rs
+++ b/tests/gateway_bridges.rs
@@ -43,7 +43,7 @@
 /// upstream.
 fn fleet_box(hall: u32, host: u8, requests: u32) -> Peers {
     let own_address = SocketAddr::new(address(hall, host), 7000);
-    let own = LocalBox { number: 1, address: own_address, hall, millicores: 120 };
+    let own = LocalBox { short_id: 1, address: own_address, hall, millicores: 120 };
     let mut peers = Peers::new(own, &[]);
     for other_hall in 0..HALLS {
         for other_host in 1..=BOXES_PER_HALL {
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -82,7 +82,7 @@
     };
     let demand = Demand {
         service: "llm",
-        box_number: 0,
+        box_short_id: 0,
         hall,
         prompt: Some(&prompt),
         isolated_account: None,
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -204,7 +204,7 @@
     };
     let demand = Demand {
         service: "llm",
-        box_number: u32::try_from(box_index).unwrap(),
+        box_short_id: u32::try_from(box_index).unwrap(),
         hall: "north",
         prompt: Some(&prompt),
         isolated_account: None,
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -52,7 +52,7 @@
 fn demand<'a>(prompt: Option<&'a Prompt>, tried: &'a [Incarnation]) -> Demand<'a> {
     Demand {
         service: "llm",
-        box_number: 0,
+        box_short_id: 0,
         hall: "north",
         prompt,
         isolated_account: None,
@@ -326,8 +326,8 @@
         upstreams.upsert(0, &format!("u-{number}"), entry("north", number, 1));
     }
     let stores = Stores::default();
-    let chosen = |box_number| {
-        let request_demand = Demand { box_number, ..demand(None, &[]) };
+    let chosen = |box_short_id| {
+        let request_demand = Demand { box_short_id, ..demand(None, &[]) };
         choose(0, &upstreams, &stores, None, &request_demand).unwrap().upstream.id
     };
     let chosen_ids: std::collections::BTreeSet<String> = (0..40).map(chosen).collect();
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -13,7 +13,7 @@
 
 fn local_box() -> LocalBox {
     LocalBox {
-        number: 1,
+        short_id: 1,
         address: SocketAddr::from(([10, 0, 1, 100], 7000)),
         hall: HALL,
         millicores: 120,
@@ -55,7 +55,7 @@
 #[test]
 fn peers_ahead() {
     let local_box = LocalBox {
-        number: 1,
+        short_id: 1,
         address: SocketAddr::from(([10, 0, 0, 1], 7000)),
         hall: 1,
         millicores: 250,
--- a/tests/gateway_restarts.rs
+++ b/tests/gateway_restarts.rs
@@ -248,7 +248,7 @@
         && engine.weight_version("m") == 1
         && !engine.is_superseded()
         && engine.contents.total_tokens() == 0
-        && engine.number != old_incarnation.number()
+        && engine.short_id != old_incarnation.short_id()
 }
 
 #[test]
--- a/tests/gateway_sums.rs
+++ b/tests/gateway_sums.rs
@@ -20,7 +20,7 @@
 
 fn peers() -> Peers {
     let address = SocketAddr::from(([10, 0, 1, 100], 7000));
-    Peers::new(LocalBox { number: 1, address, hall: HALL, millicores: 120 }, &[])
+    Peers::new(LocalBox { short_id: 1, address, hall: HALL, millicores: 120 }, &[])
 }
 
 fn address(host: u8) -> IpAddr {
