--- a/src/gateway/decisions/cache_contents.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -1,5 +1,4 @@
-//! The parts of prompts whose context an engine or a store (a holder) is believed to keep in its
-//! cache.
+//! The parts of prompts whose context a cache (an engine or a context store) is believed to have.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,7 +7,7 @@
 use crate::gateway::decisions::cache_reports::{CacheChange, CacheChanges, CacheListing};
 
 /// Hash that identifies a part within a scope, the same in every box. If the hashes of two parts
-/// collide, a box expects one part where only the other is kept, and finds it missing there.
+/// collide, a box expects one part in a cache that has only the other, and finds it missing there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PartKey(u64);
 
@@ -35,10 +34,10 @@
     }
 }
 
-/// Number of changes that a log keeps, enough for some seconds.
+/// Number of changes in a log, enough for some seconds.
 const CHANGE_LOG_CAPACITY: usize = 2048;
 
-/// Update of the contents of one holder, sent to other boxes.
+/// Update of the contents of one cache, sent to other boxes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CacheUpdate {
     /// The contents are unknown at the moment.
@@ -49,38 +48,39 @@
     Delta(Vec<(PartKey, u32)>),
 }
 
-/// Recent changes of the contents, kept for updates to other boxes.
+/// Recent changes of the contents, for updates to other boxes.
 #[derive(Debug, Default)]
 struct ChangeLog {
     changes: VecDeque<(PartKey, u32)>,
-    /// Number of the first change in the log.
-    first_number: u64,
+    /// Position of the first change in the log.
+    first_position: u64,
 }
 
 impl ChangeLog {
-    fn next_number(&self) -> u64 {
-        self.first_number + u64::try_from(self.changes.len()).unwrap_or_default()
+    fn end_position(&self) -> u64 {
+        self.first_position + u64::try_from(self.changes.len()).unwrap_or_default()
     }
 
     fn push(&mut self, part: PartKey, tokens: u32) {
         self.changes.push_back((part, tokens));
         if self.changes.len() > CHANGE_LOG_CAPACITY {
             self.changes.pop_front();
-            self.first_number += 1;
+            self.first_position += 1;
         }
     }
 
-    /// Clears the log and skips a number, so that all other boxes need a complete update.
+    /// Clears the log and skips a position, so that all other boxes need a complete update.
     fn reset(&mut self) {
-        self.first_number = self.next_number() + 1;
+        self.first_position = self.end_position() + 1;
         self.changes.clear();
     }
 }
 
-/// What one engine or store is believed to keep.
+/// The context that one engine or store is believed to have.
 #[derive(Debug, Default)]
 pub struct CacheContents {
     boot_epoch: u64,
+    /// Position in the changes that the cache reports.
     next_position: u64,
     known: bool,
     tokens_by_part: HashMap<PartKey, u32>,
@@ -96,26 +96,26 @@
         Self { log: Some(ChangeLog::default()), ..Self::default() }
     }
 
-    /// The update for a box that has all changes before number `after`, if it needs one, and the
-    /// number from which the next update continues.
+    /// The update for a box that has all changes before position `after` of the log, if it needs
+    /// one, and the position from which the next update continues.
     #[must_use]
     pub fn update_since(&self, after: Option<u64>) -> (Option<CacheUpdate>, u64) {
         let Some(log) = &self.log else {
             return (None, 0);
         };
-        let next = log.next_number();
+        let end = log.end_position();
         let update = match after {
-            Some(after) if after == next => None,
+            Some(after) if after == end => None,
             _ if !self.known => Some(CacheUpdate::Unknown),
-            Some(after) if (log.first_number..next).contains(&after) => {
-                let skip = usize::try_from(after - log.first_number).unwrap_or_default();
+            Some(after) if (log.first_position..end).contains(&after) => {
+                let skip = usize::try_from(after - log.first_position).unwrap_or_default();
                 Some(CacheUpdate::Delta(log.changes.iter().skip(skip).copied().collect()))
             }
             _ => Some(CacheUpdate::Full(
                 self.tokens_by_part.iter().map(|(part, tokens)| (*part, *tokens)).collect(),
             )),
         };
-        (update, next)
+        (update, end)
     }
 
     /// Applies an update from another box.
@@ -140,7 +140,7 @@
         self.set_known(false);
     }
 
-    /// Position from which to ask the holder for further changes.
+    /// Position from which to ask the cache for further changes.
     #[must_use]
     pub fn next_position(&self) -> u64 {
         self.next_position
@@ -152,19 +152,19 @@
         self.known
     }
 
-    /// Tokens of a part that are kept; 0 if there are none.
+    /// Tokens of a part that are cached; 0 if there are none.
     #[must_use]
     pub fn tokens(&self, part: PartKey) -> u32 {
         self.tokens_by_part.get(&part).copied().unwrap_or_default()
     }
 
-    /// Tokens that are kept in total.
+    /// Tokens that are cached in total.
     #[must_use]
     pub fn total_tokens(&self) -> u64 {
         self.total_tokens
     }
 
-    /// Applies changes from the holder. Returns true if some are missing and a listing is needed.
+    /// Applies changes from the cache. Returns true if some are missing and a listing is needed.
     pub fn apply_changes(&mut self, changes: &CacheChanges) -> bool {
         if self.known && self.boot_epoch != changes.boot_epoch {
             self.clear();
@@ -178,18 +178,18 @@
         changes.gap
     }
 
-    /// Replaces the contents by a complete listing from the holder.
+    /// Replaces the contents by a complete listing from the cache.
     pub fn apply_listing(&mut self, listing: &CacheListing) {
         self.clear();
         self.boot_epoch = listing.boot_epoch;
         self.next_position = listing.next_position;
         self.set_known(true);
-        for held in &listing.complete {
-            self.apply_change(held);
+        for change in &listing.complete {
+            self.apply_change(change);
         }
     }
 
-    /// Sets the number of tokens that are kept of a part.
+    /// Sets the number of tokens that are cached of a part.
     pub fn set_tokens(&mut self, part: PartKey, tokens: u32) {
         let before = if tokens == 0 {
             self.tokens_by_part.remove(&part)
@@ -203,7 +203,7 @@
         self.total_tokens -= u64::from(before.unwrap_or_default());
     }
 
-    /// Forgets the contents, as after a restart of the holder.
+    /// Forgets the contents, as after a restart of the cache.
     pub fn clear(&mut self) {
         if let Some(log) = &mut self.log {
             log.reset();
--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -11,19 +11,19 @@
 /// Source of a part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PartSource {
-    /// The engine has the part. Another holder is named as well if there is one, since engines
+    /// The engine has the part. Another cache is named as well if one has it, since engines
     /// process the list of sources in order and stop at the first part without an address.
     Local {
-        /// Address of the other holder, in the form that upstreams accept.
+        /// Address of the other cache, in the form that upstreams accept.
         alternate_address: Option<String>,
     },
     /// The engine computes the part.
     Prefill,
     /// Another engine or a store has the part.
     Remote {
-        /// Address of the holder, in the form that upstreams accept.
+        /// Address of the other engine or the store, in the form that upstreams accept.
         address: String,
-        /// Name of the store, if the holder is a store.
+        /// Name of the store; `None` for an engine.
         store: Option<String>,
         /// Tokens to fetch.
         tokens: u32,
@@ -31,7 +31,7 @@
 }
 
 impl PartSource {
-    /// Address of the holder other than the engine, if there is one.
+    /// Address of the other cache that has the part, if one is named.
     #[must_use]
     pub fn address(self) -> Option<String> {
         match self {
@@ -71,7 +71,7 @@
     pub fetch_ms: f64,
     /// Tokens that the engine has to compute.
     pub prefill_tokens: u32,
-    /// Those among them in shared parts that some holder has.
+    /// Those among them in shared parts that some cache has.
     pub recomputed_tokens: u32,
 }
 
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -2,7 +2,7 @@
 //! version, then selects sources for each engine.
 //!
 //! Cached context is usable only up to the first part that is neither cached by the engine nor
-//! fetched. Each part is fetched from the holder that delivers it first, unless recomputing it is
+//! fetched. Each part is fetched from the cache that delivers it first, unless recomputing it is
 //! cheaper. Parts are fetched from stores only if they are known to be complete.
 
 use crate::gateway::decisions::cache_contents::PartKey;
@@ -30,7 +30,7 @@
 /// Fixed overhead of a transfer.
 const TRANSFER_OVERHEAD_MS: f64 = 5.0;
 
-/// A part of the prompt and the holders of its context.
+/// A part of the prompt and the caches that have its context.
 struct PartLocations<'a> {
     key: PartKey,
     tokens: u32,
@@ -41,7 +41,7 @@
     stores: Vec<&'a (Store, StoreState)>,
     /// Healthy engines with a complete copy.
     engines: Vec<&'a Upstream>,
-    /// Whether some holder has at least some of the part, so that recomputing it is wasted work.
+    /// Whether some cache has at least some of the part, so that recomputing it is wasted work.
     has_copy: bool,
     /// Store that is to save the part.
     save_to: Option<&'a Store>,
@@ -94,7 +94,7 @@
                 tokens: part.tokens,
                 is_common,
                 stores: if reads_from_stores {
-                    stores.complete_holders(now_ms, key, part.tokens).collect()
+                    stores.with_complete_copy(now_ms, key, part.tokens).collect()
                 } else {
                     Vec::new()
                 },
--- a/src/gateway/decisions/stores.rs
+++ b/src/gateway/decisions/stores.rs
@@ -242,7 +242,7 @@
     }
 
     /// The stores that have a complete copy of a part and are not avoided.
-    pub fn complete_holders(
+    pub fn with_complete_copy(
         &self,
         now_ms: u64,
         key: PartKey,
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -1,5 +1,5 @@
-//! Keeps track of which context the engines and context stores hold, from the change events
-//! that each of these holders publishes.
+//! Keeps track of the context that engines and context stores cache, from the change events that
+//! each of these caches publishes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,46 +24,46 @@
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Interval of the checks while it waits.
 const DISCOVERY_POLL: Duration = Duration::from_millis(20);
-/// Pause after a call to a holder has failed: short, since no context is fetched from a store
+/// Pause after a call to a cache has failed: short, since no context is fetched from a store
 /// whose contents are unknown.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Pause after a holder has refused this box as a follower for the first time; it doubles with
+/// Pause after a cache has refused this box as a follower for the first time; it doubles with
 /// each refusal.
 const BUSY_PAUSE: Duration = Duration::from_millis(700);
-/// Maximum pause after refusals: a holder at its limit of followers refuses all others, and
+/// Maximum pause after refusals: a cache at its limit of followers refuses all others, and
 /// each refusal costs it a call.
 const MAX_BUSY_PAUSE: Duration = Duration::from_secs(6);
 
-/// Identifies a holder of context.
+/// Identifies a cache of context: an engine or a context store.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum HolderId {
+enum CacheId {
     /// An engine, by its id.
     Engine(String),
     /// A store, by its name.
     Store(String),
 }
 
-/// Follows every context holder that this box should follow, until the box stops.
+/// Follows every cache that this box should follow, until the box stops.
 pub async fn run(gateway: Arc<Gateway>) {
-    let mut followed: HashMap<(HolderId, SocketAddr), JoinHandle<()>> = HashMap::new();
+    let mut followed: HashMap<(CacheId, SocketAddr), JoinHandle<()>> = HashMap::new();
     let mut changed = gateway.upstreams_changed.subscribe();
     // Otherwise all boxes of a large fleet that start together would list every store and
     // fetch every engine's history: 12 MB over a 10 Mbit/s link. A box that hears of no peer
     // in time assumes that it is the only one.
     let _ = timeout(DISCOVERY_TIMEOUT, wait_for_peers(&gateway)).await;
     while gateway.phase() != BoxPhase::Stopped {
-        let wanted = holders_to_follow(&gateway);
-        followed.retain(|holder_id, task| {
-            let keep = wanted.contains(holder_id);
+        let wanted = caches_to_follow(&gateway);
+        followed.retain(|cache_id, task| {
+            let keep = wanted.contains(cache_id);
             if !keep {
                 task.abort();
-                with_holder(&mut gateway.state(), &holder_id.0, CacheContents::mark_unknown);
+                with_contents(&mut gateway.state(), &cache_id.0, CacheContents::mark_unknown);
             }
             keep
         });
-        for holder_id in wanted {
-            followed.entry(holder_id).or_insert_with_key(|(holder_id, address)| {
-                tokio::spawn(follow(gateway.clone(), holder_id.clone(), *address))
+        for cache_id in wanted {
+            followed.entry(cache_id).or_insert_with_key(|(cache_id, address)| {
+                tokio::spawn(follow(gateway.clone(), cache_id.clone(), *address))
             });
         }
         // Cannot fail: the gateway owns the sender.
@@ -78,8 +78,8 @@
     }
 }
 
-/// The holders that this box should follow, with their addresses.
-fn holders_to_follow(gateway: &Gateway) -> Vec<(HolderId, SocketAddr)> {
+/// The caches that this box should follow, with their addresses.
+fn caches_to_follow(gateway: &Gateway) -> Vec<(CacheId, SocketAddr)> {
     let state = gateway.state();
     let Some(configuration) = &state.configuration else {
         return Vec::new();
@@ -96,22 +96,22 @@
                 .get(&upstream.entry.service)
                 .is_some_and(|service| service.engine.is_some())
     });
-    let engines = engines.map(|engine| (HolderId::Engine(engine.id.clone()), engine.entry.address));
+    let engines = engines.map(|engine| (CacheId::Engine(engine.id.clone()), engine.entry.address));
     let stores =
-        state.stores.iter().map(|(store, _)| (HolderId::Store(store.name.clone()), store.address));
+        state.stores.iter().map(|(store, _)| (CacheId::Store(store.name.clone()), store.address));
     engines.chain(stores).collect()
 }
 
-/// Follows one holder until the task is aborted.
-async fn follow(gateway: Arc<Gateway>, holder_id: HolderId, address: SocketAddr) {
+/// Follows one cache until the task is aborted.
+async fn follow(gateway: Arc<Gateway>, cache_id: CacheId, address: SocketAddr) {
     let mut known = false;
     let mut pause = BUSY_PAUSE;
     loop {
-        match step(&gateway, &holder_id, address, &mut known).await {
+        match step(&gateway, &cache_id, address, &mut known).await {
             Ok(()) => pause = BUSY_PAUSE,
             Err(error) => {
-                debug!(target: "caches", "event=holder_silent holder={holder_id:?} cause=\"{error}\"");
-                if let HolderId::Store(name) = &holder_id
+                debug!(target: "caches", "event=holder_silent holder={cache_id:?} cause=\"{error}\"");
+                if let CacheId::Store(name) = &cache_id
                     && let Some((_, store)) = gateway.state().stores.get_mut(name)
                 {
                     store.record_failure(now_ms());
@@ -130,27 +130,27 @@
     }
 }
 
-/// Waits for the next changes of a holder and applies them; lists its contents first if they
+/// Waits for the next changes of a cache and applies them; lists its contents first if they
 /// are unknown.
 async fn step(
     gateway: &Gateway,
-    holder_id: &HolderId,
+    cache_id: &CacheId,
     address: SocketAddr,
     known: &mut bool,
 ) -> Result<()> {
     // The events of a store do not cover what it held before this box followed it.
-    if !*known && matches!(holder_id, HolderId::Store(_)) {
-        list(gateway, holder_id, address).await?;
+    if !*known && matches!(cache_id, CacheId::Store(_)) {
+        list(gateway, cache_id, address).await?;
         *known = true;
     }
-    let since = with_holder(&mut gateway.state(), holder_id, |holder| holder.next_position());
+    let since = with_contents(&mut gateway.state(), cache_id, |contents| contents.next_position());
     let Some(since) = since else {
         sleep(BUSY_PAUSE).await;
         return Ok(());
     };
     let asked_at_ms = now_ms();
     let changes = gateway.caches.changes(address, since).await?;
-    if let HolderId::Engine(id) = holder_id
+    if let CacheId::Engine(id) = cache_id
         && entries::note_answering_run(gateway, id, changes.started_at_ms, asked_at_ms)
             != ReportedIncarnation::Current
     {
@@ -158,42 +158,43 @@
         return Ok(());
     }
     *known = true;
-    let gap = apply_changes(gateway, holder_id, &changes);
-    if gap && matches!(holder_id, HolderId::Store(_)) {
-        list(gateway, holder_id, address).await?;
+    let gap = apply_changes(gateway, cache_id, &changes);
+    if gap && matches!(cache_id, CacheId::Store(_)) {
+        list(gateway, cache_id, address).await?;
     }
     Ok(())
 }
 
-/// Replaces what is known of a holder by a full listing.
-async fn list(gateway: &Gateway, holder_id: &HolderId, address: SocketAddr) -> Result<()> {
+/// Replaces what is known of a cache by a full listing.
+async fn list(gateway: &Gateway, cache_id: &CacheId, address: SocketAddr) -> Result<()> {
     let listing: CacheListing = gateway.caches.list(address).await?;
-    info!(target: "caches", "event=holder_listed holder={holder_id:?} boot={} parts={} partial={}",
+    info!(target: "caches", "event=holder_listed holder={cache_id:?} boot={} parts={} partial={}",
         listing.boot_epoch, listing.complete.len(), listing.partial.len());
-    with_holder(&mut gateway.state(), holder_id, |holder| holder.apply_listing(&listing));
+    with_contents(&mut gateway.state(), cache_id, |contents| contents.apply_listing(&listing));
     Ok(())
 }
 
-/// Applies changes of a holder; returns whether some are missing in between.
-fn apply_changes(gateway: &Gateway, holder_id: &HolderId, changes: &CacheChanges) -> bool {
+/// Applies changes of a cache; returns whether some are missing in between.
+fn apply_changes(gateway: &Gateway, cache_id: &CacheId, changes: &CacheChanges) -> bool {
     let mut state = gateway.state();
     if let Some(clock_ms) = changes.clock_ms {
         state.update_upstream_clock_offset(now_ms(), clock_ms);
     }
-    with_holder(&mut state, holder_id, |holder| holder.apply_changes(changes)).unwrap_or_default()
+    with_contents(&mut state, cache_id, |contents| contents.apply_changes(changes))
+        .unwrap_or_default()
 }
 
-/// Runs `action` on a holder, if it still exists.
-fn with_holder<T>(
+/// Runs `action` on the known contents of a cache, if it still exists.
+fn with_contents<T>(
     state: &mut State,
-    holder_id: &HolderId,
+    cache_id: &CacheId,
     action: impl FnOnce(&mut CacheContents) -> T,
 ) -> Option<T> {
-    match holder_id {
-        HolderId::Engine(id) => {
+    match cache_id {
+        CacheId::Engine(id) => {
             state.upstreams.get_mut(id).map(|engine| action(&mut engine.contents))
         }
-        HolderId::Store(name) => {
+        CacheId::Store(name) => {
             state.stores.get_mut(name).map(|(_, store)| action(&mut store.contents))
         }
     }
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -1,4 +1,4 @@
-//! Calls to engines and context stores about the context that they hold: its changes, its full
+//! Calls to engines and context stores about the context that they cache: its changes, its full
 //! list, and the order to free parts of it.
 
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use crate::platform::http::{HttpClient, decode, floor_ms};
 
 /// Time for which a call for events waits if there are none; calls that wait 200 ms or more
-/// cost the holder nothing.
+/// cost the cache nothing.
 pub const EVENTS_WAIT_MS: u64 = 1000;
 /// Time in which a call must be answered, in addition to its wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
     Unreadable(IgnoredAny),
 }
 
-/// Number, sign, scope, part, tokens now held, model. The sign adds nothing to the number of
+/// Position, sign, scope, part, tokens now cached, model. The sign adds nothing to the number of
 /// tokens and is ignored.
 type Event = (u64, String, String, String, u32, String);
 /// Scope, part, number of tokens, model.
@@ -52,7 +52,7 @@
     #[serde(default)]
     events: Vec<Item<Event>>,
     clock_ms: Option<f64>,
-    /// Start of the holder's process, in Unix milliseconds.
+    /// Start of the engine's or store's process, in Unix milliseconds.
     born: Option<u64>,
 }
 
@@ -73,7 +73,7 @@
     until_ms: u64,
 }
 
-/// HTTP client for the context that engines and stores hold.
+/// HTTP client for the context that engines and stores cache.
 #[derive(Clone)]
 pub struct CacheClient {
     http: HttpClient,
@@ -89,7 +89,7 @@
     /// Waits for changes after the position `since`.
     ///
     /// # Errors
-    /// Fails when the holder does not answer in time, or not with a valid answer.
+    /// Fails when the cache does not answer in time, or not with a valid answer.
     pub async fn changes(&self, address: SocketAddr, since: u64) -> Result<CacheChanges> {
         let url = format!("http://{address}/coursestile/kv-events?since={since}");
         let timeout = CALL_TIMEOUT + Duration::from_millis(EVENTS_WAIT_MS);
@@ -97,10 +97,10 @@
         read_changes(address, &self.fetch(request).await?)
     }
 
-    /// Lists all context of a holder. Engines stop working while they answer.
+    /// Lists all context of a cache. Engines stop working while they answer.
     ///
     /// # Errors
-    /// Fails when the holder does not answer in time, or not with a valid answer.
+    /// Fails when the cache does not answer in time, or not with a valid answer.
     pub async fn list(&self, address: SocketAddr) -> Result<CacheListing> {
         let url = format!("http://{address}/coursestile/kv-list");
         let body = self.fetch(self.http.get(&url).timeout(CALL_TIMEOUT)).await?;
@@ -110,7 +110,7 @@
     /// Sends a call and returns the body of the answer.
     async fn fetch(&self, request: RequestBuilder) -> Result<Bytes> {
         let answer = self.http.send(request).await?;
-        // A holder serves only a few such calls at the same time.
+        // A cache serves only a few such calls at the same time.
         if answer.status() == StatusCode::TOO_MANY_REQUESTS {
             return Err(Error::Busy(answer.url().to_string()));
         }
@@ -131,7 +131,7 @@
         until_ms: u64,
     ) -> Result<FreeOutcome> {
         let url = format!("http://{address}/coursestile/kv-free");
-        let parts = parts.iter().map(|kept| (kept.scope.as_str(), kept.part_id.as_str()));
+        let parts = parts.iter().map(|part| (part.scope.as_str(), part.part_id.as_str()));
         let body = FreeBody { parts: parts.collect(), boot_epoch: boot, until_ms };
         let request = self.http.post(&url).json(&body).timeout(CALL_TIMEOUT);
         let answer = self.http.send(request).await?;
@@ -143,14 +143,14 @@
     }
 }
 
-/// Decodes the changes that a holder reports.
+/// Decodes the changes that a cache reports.
 ///
 /// # Errors
 /// Fails when the body is invalid. An invalid event does not fail, but counts as a gap.
-pub fn read_changes(holder: SocketAddr, body: &[u8]) -> Result<CacheChanges> {
+pub fn read_changes(cache: SocketAddr, body: &[u8]) -> Result<CacheChanges> {
     let body: EventsBody = decode(body)?;
     let reported = body.events.len();
-    let events = readable(holder, body.events);
+    let events = readable(cache, body.events);
     let all_read = events.len() == reported;
     let changes = events.into_iter().map(|(_, _, scope, part, tokens, _)| CacheChange {
         part: CachedPart { scope, part_id: part },
@@ -161,22 +161,23 @@
         next_position: body.next_token,
         gap: body.lost || !all_read,
         changes: changes.collect(),
-        clock_ms: body.clock_ms.and_then(|clock_ms| read_clock(holder, clock_ms)),
+        clock_ms: body.clock_ms.and_then(|clock_ms| read_clock(cache, clock_ms)),
         started_at_ms: body.born,
     })
 }
 
-/// Decodes a holder's list of all its context.
+/// Decodes a cache's list of all its context.
 ///
 /// # Errors
 /// Fails when the body is invalid. An invalid item does not fail, but is left out.
-pub fn read_listing(holder: SocketAddr, body: &[u8]) -> Result<CacheListing> {
+pub fn read_listing(cache: SocketAddr, body: &[u8]) -> Result<CacheListing> {
     let body: ListBody = decode(body)?;
-    let held = readable(holder, body.held).into_iter().map(|(scope, part, tokens, _)| {
-        CacheChange { part: CachedPart { scope, part_id: part }, tokens }
+    let held = readable(cache, body.held).into_iter().map(|(scope, part, tokens, _)| CacheChange {
+        part: CachedPart { scope, part_id: part },
+        tokens,
     });
     let partial =
-        readable(holder, body.partial).into_iter().map(|(scope, part, complete_tokens, _)| {
+        readable(cache, body.partial).into_iter().map(|(scope, part, complete_tokens, _)| {
             PartialPart { part: CachedPart { scope, part_id: part }, complete_tokens }
         });
     Ok(CacheListing {
@@ -188,7 +189,7 @@
 }
 
 /// The items that could be decoded; the others are logged and counted.
-fn readable<T>(holder: SocketAddr, items: Vec<Item<T>>) -> Vec<T> {
+fn readable<T>(cache: SocketAddr, items: Vec<Item<T>>) -> Vec<T> {
     let item_count = items.len();
     let read: Vec<T> = items
         .into_iter()
@@ -199,17 +200,17 @@
         .collect();
     if read.len() < item_count {
         let count = item_count - read.len();
-        warn!(target: "caches", "event=items_unreadable holder={holder} count={count}");
+        warn!(target: "caches", "event=items_unreadable holder={cache} count={count}");
         metrics::counter!("coursestile_items_unreadable_total").increment(count as u64);
     }
     read
 }
 
 /// Converts a clock reading to whole milliseconds; `None` if it is out of range.
-fn read_clock(holder: SocketAddr, clock_ms: f64) -> Option<u64> {
+fn read_clock(cache: SocketAddr, clock_ms: f64) -> Option<u64> {
     if (0.0..MAX_CLOCK_MS).contains(&clock_ms) {
         return Some(floor_ms(clock_ms));
     }
-    warn!(target: "caches", "event=clock_unreadable holder={holder} clock_ms={clock_ms}");
+    warn!(target: "caches", "event=clock_unreadable holder={cache} clock_ms={clock_ms}");
     None
 }
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -167,11 +167,15 @@
     let mut stores = known_stores();
     let part = key(7);
     stores.get_mut("a").unwrap().1.contents.set_tokens(part, 100);
-    assert_eq!(stores.complete_holders(0, part, 100).count(), 1);
-    assert_eq!(stores.complete_holders(0, part, 101).count(), 0, "the store has 100 of 101 tokens");
+    assert_eq!(stores.with_complete_copy(0, part, 100).count(), 1);
+    assert_eq!(
+        stores.with_complete_copy(0, part, 101).count(),
+        0,
+        "the store has 100 of 101 tokens"
+    );
     // A store that failed may come back empty, so that the part has to be saved again.
     stores.get_mut("a").unwrap().1.contents.mark_unknown();
-    assert_eq!(stores.complete_holders(0, part, 100).count(), 0);
+    assert_eq!(stores.with_complete_copy(0, part, 100).count(), 0);
     let target = stores.store_for_save(0, part, 100, Placement::FastestLink { hall: "north" });
     assert_eq!(target.map(|store| store.name.as_str()), Some("b"));
 }
