--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -15,7 +15,7 @@
 use crate::gateway::crashes;
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::decisions::configuration::RetryPolicy;
-use crate::gateway::decisions::units::whole_ms;
+use crate::gateway::decisions::units::rounded_ms;
 use crate::gateway::decisions::urgency;
 use crate::gateway::heads::{ForwardHead, ResponseHead};
 use crate::gateway::in_flight::InFlight;
@@ -59,7 +59,7 @@
         if last_event_id.is_some() {
             return self.priority;
         }
-        let expected_at_ms = now_ms + whole_ms(choice.expected_first_token_ms);
+        let expected_at_ms = now_ms + rounded_ms(choice.expected_first_token_ms);
         let rank = urgency::rank(self.priority, expected_at_ms, self.objective_at_ms);
         if rank != self.priority {
             info!(target: "serve",
--- a/src/gateway/decisions/units.rs
+++ b/src/gateway/decisions/units.rs
@@ -17,6 +17,6 @@
     reason = "times are neither negative nor above 2^52"
 )]
 #[must_use]
-pub fn whole_ms(time_ms: f64) -> u64 {
+pub fn rounded_ms(time_ms: f64) -> u64 {
     time_ms.max(0.0).round() as u64
 }
--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -18,7 +18,7 @@
 use crate::box_phase::BoxPhase;
 use crate::clock::now_ms;
 use crate::error::{Error, Result};
-use crate::gateway::decisions::units::whole_ms;
+use crate::gateway::decisions::units::rounded_ms;
 use crate::gateway::decisions::view::{CatchUp, Snapshot, VersionedValue, ViewChange};
 use crate::gateway::decisions::weights::UNKNOWN_TIME_MS;
 use crate::gateway::kernel::{Gateway, State};
@@ -264,7 +264,7 @@
 #[must_use]
 pub fn lost_watch_ms(bounds: &Bounds) -> u64 {
     let WatchWait { wait_ms, grace_ms } = regular_wait(bounds);
-    let pauses_ms = 2 * MIN_RETRY_PAUSE_MS + whole_ms(BATCH_PAUSE.as_secs_f64() * 1000.0);
+    let pauses_ms = 2 * MIN_RETRY_PAUSE_MS + rounded_ms(BATCH_PAUSE.as_secs_f64() * 1000.0);
     wait_ms + grace_ms + pauses_ms
 }
 
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -13,7 +13,7 @@
 use coursestile::gateway::decisions::demand::Demand;
 use coursestile::gateway::decisions::prompt::Prompt;
 use coursestile::gateway::decisions::stores::{Placement, Stores};
-use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, whole_ms};
+use coursestile::gateway::decisions::units::{PREFILL_TOKENS_PER_MS, rounded_ms};
 use coursestile::gateway::decisions::upstream::{Load, UpstreamEntry};
 use coursestile::gateway::decisions::upstreams::Upstreams;
 use rstest::rstest;
@@ -142,16 +142,16 @@
         let prefilled_at_ms = prefill_starts_at_ms + f64::from(tokens) / PREFILL_TOKENS_PER_MS;
         self.idle_at_ms[engine] = prefilled_at_ms;
         self.change(now_ms, box_index, engine, LoadChange::Started(tokens));
-        let prefilled_at_whole_ms = whole_ms(prefilled_at_ms);
+        let prefilled_at_rounded_ms = rounded_ms(prefilled_at_ms);
         self.scheduled.push(LoadUpdate {
-            at_ms: prefilled_at_whole_ms,
+            at_ms: prefilled_at_rounded_ms,
             box_index,
             engine,
             change: LoadChange::Prefilled(tokens),
         });
         let change = LoadChange::Ended(tokens);
         self.scheduled.push(LoadUpdate {
-            at_ms: prefilled_at_whole_ms + RUN_MS,
+            at_ms: prefilled_at_rounded_ms + RUN_MS,
             box_index,
             engine,
             change,
@@ -174,7 +174,7 @@
     let (mut late_count, mut all, mut now) = (0, 0, 0.0);
     loop {
         now += -(1.0 - rng.f64()).ln() / (REQUESTS_PER_S * load) * 1000.0;
-        let now_ms = whole_ms(now);
+        let now_ms = rounded_ms(now);
         if now_ms >= DURATION_MS {
             return (late_count, all);
         }
