--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -28,7 +28,7 @@
     pub metadata_store: MetadataStoreStatus,
     /// Whether the box follows the context stores itself.
     pub follows_caches: bool,
-    /// Other boxes that the sender has recently heard from.
+    /// Other boxes from which the sender has recently received gossip.
     pub peers: Vec<IpAddr>,
     /// Load of the sender's requests on upstreams.
     pub loads: Vec<LoadReport>,
--- a/src/gateway/decisions/hall_summary.rs
+++ b/src/gateway/decisions/hall_summary.rs
@@ -1,6 +1,6 @@
 //! Summaries that bridges send to each other and to their own halls, in fleets too large for
-//! every box to hear from every other. A bridge is a box that passes messages on between its hall
-//! and the others.
+//! every box to send gossip to every other. A bridge is a box that passes messages on between its
+//! hall and the others.
 
 use std::net::IpAddr;
 
--- a/src/gateway/decisions/peers/halls.rs
+++ b/src/gateway/decisions/peers/halls.rs
@@ -37,7 +37,7 @@
     /// Removes summaries that are too old.
     pub(super) fn expire(&mut self, now_ms: u64) {
         let count_before = self.by_hall.len();
-        self.by_hall.retain(|_, (heard_at_ms, _)| now_ms < *heard_at_ms + PEER_TIMEOUT_MS);
+        self.by_hall.retain(|_, (received_at_ms, _)| now_ms < *received_at_ms + PEER_TIMEOUT_MS);
         if self.by_hall.len() != count_before {
             self.recalculate(now_ms);
         }
--- a/src/gateway/decisions/peers/mod.rs
+++ b/src/gateway/decisions/peers/mod.rs
@@ -61,7 +61,9 @@
 
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    heard_at_ms: u64,
+    /// When a message from the peer last arrived. A peer that is only known by its address counts
+    /// as silent.
+    last_receive_ms: u64,
     gossip: Gossip,
     ahead_since_ms: Option<u64>,
     /// Until when other peers are preferred, because this one did not answer.
@@ -99,7 +101,7 @@
     /// When the next message to all halls is due, however often the own hall gets one before.
     all_halls_due_at_ms: u64,
     delegate_rotation: usize,
-    first_heard_at_ms: Option<u64>,
+    first_receive_ms: Option<u64>,
     /// Whether this box still has to introduce itself to some peer.
     has_uninformed_peer: bool,
     /// When the next hall summaries are due.
@@ -123,7 +125,7 @@
             rotation: 0,
             all_halls_due_at_ms: 0,
             delegate_rotation: 0,
-            first_heard_at_ms: None,
+            first_receive_ms: None,
             has_uninformed_peer: false,
             summaries_due_at_ms: 0,
             sums: Sums::default(),
@@ -158,8 +160,8 @@
         // A restarted peer knows nothing of this box.
         peer.knows_this_box &= gossip.incarnation == peer.gossip.incarnation;
         self.has_uninformed_peer |= !peer.knows_this_box;
-        peer.heard_at_ms = now_ms;
-        self.first_heard_at_ms.get_or_insert(now_ms);
+        peer.last_receive_ms = now_ms;
+        self.first_receive_ms.get_or_insert(now_ms);
         if is_ahead(gossip.view_digest, own) {
             peer.ahead_since_ms.get_or_insert(now_ms);
         } else {
@@ -185,7 +187,7 @@
         if changes.incarnation != peer.gossip.incarnation {
             return;
         }
-        peer.heard_at_ms = now_ms;
+        peer.last_receive_ms = now_ms;
         if peer.gossip.hall != self.local.hall {
             return;
         }
@@ -202,8 +204,8 @@
     pub fn add_address(&mut self, now_ms: u64, address: IpAddr) {
         let own_address = self.local.address.ip();
         if address != own_address && !self.known.contains_key(&address) {
-            let heard_at_ms = now_ms.saturating_sub(PEER_TIMEOUT_MS);
-            let peer = Peer { heard_at_ms, ..Peer::new(own_address, address) };
+            let last_receive_ms = now_ms.saturating_sub(PEER_TIMEOUT_MS);
+            let peer = Peer { last_receive_ms, ..Peer::new(own_address, address) };
             self.known.insert(address, peer);
             self.has_uninformed_peer = true;
         }
@@ -263,13 +265,11 @@
     }
 
     /// Whether the known peers show the size of the fleet: this box has no seeds, or the first peer
-    /// that it heard from has had time to make it known to the others.
+    /// from which it received gossip has had time to make it known to the others.
     #[must_use]
     pub fn is_fleet_known(&self, now_ms: u64) -> bool {
         self.seeds.is_empty()
-            || self
-                .first_heard_at_ms
-                .is_some_and(|heard_at_ms| now_ms >= heard_at_ms + DISCOVERY_MS)
+            || self.first_receive_ms.is_some_and(|receive_ms| now_ms >= receive_ms + DISCOVERY_MS)
     }
 
     /// Number of live boxes, including this one.
@@ -282,7 +282,7 @@
     fn forget_silent(&mut self, now_ms: u64) {
         let sums = &mut self.sums;
         self.known.retain(|_, peer| {
-            let is_kept = now_ms < peer.heard_at_ms + PEER_RETENTION_MS;
+            let is_kept = now_ms < peer.last_receive_ms + PEER_RETENTION_MS;
             if !is_kept && peer.in_sums {
                 sums.subtract(&peer.gossip);
             }
@@ -308,9 +308,9 @@
 
     /// All boxes from which gossip was received and that are not forgotten, including this one.
     #[must_use]
-    pub fn heard_boxes(&self) -> BTreeSet<IpAddr> {
-        let heard = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
-        heard.map(|(address, _)| *address).chain([self.local.address.ip()]).collect()
+    pub fn gossip_senders(&self) -> BTreeSet<IpAddr> {
+        let senders = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
+        senders.map(|(address, _)| *address).chain([self.local.address.ip()]).collect()
     }
 
     /// All peers that may be running, including those from which nothing was received.
@@ -342,8 +342,8 @@
 
     fn live_peers(&self, now_ms: u64) -> impl Iterator<Item = (&IpAddr, &Peer)> + Clone {
         let silence_limits = self.silence_limits();
-        let heard = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
-        heard.filter(move |(_, peer)| silence_limits.is_live(now_ms, peer))
+        let senders = self.known.iter().filter(|(_, peer)| peer.gossip.incarnation > 0);
+        senders.filter(move |(_, peer)| silence_limits.is_live(now_ms, peer))
     }
 
     fn silence_limits(&self) -> SilenceLimits {
@@ -365,7 +365,8 @@
 impl SilenceLimits {
     fn is_live(&self, now_ms: u64, peer: &Peer) -> bool {
         let is_own_hall = peer.gossip.hall == self.own_hall;
-        now_ms < peer.heard_at_ms + if is_own_hall { PEER_TIMEOUT_MS } else { self.other_hall_ms }
+        now_ms
+            < peer.last_receive_ms + if is_own_hall { PEER_TIMEOUT_MS } else { self.other_hall_ms }
     }
 }
 
--- a/src/gateway/decisions/peers/targets.rs
+++ b/src/gateway/decisions/peers/targets.rs
@@ -3,7 +3,7 @@
 //! In a small fleet each box sends its messages to all others. In a large one it sends them to
 //! its own hall, and an abridged form to a few boxes of other halls in turn. The bridges of each
 //! hall (its highest-ranked boxes) and the leader also send theirs directly to the bridges of
-//! other halls, which pass on what their hall needs. Otherwise news would cross halls only as
+//! other halls, which pass on what their hall needs. Otherwise changes would cross halls only as
 //! fast as the boxes take turns.
 
 use std::collections::BTreeMap;
@@ -46,8 +46,8 @@
 }
 
 impl Peers {
-    /// The audience of the next message when `audience` has news: all boxes if their regular
-    /// message is due, or if this box has not introduced itself to some peer yet.
+    /// The audience of the next message when there is something to send to `audience`: all boxes
+    /// if their regular message is due, or if this box has not introduced itself to some peer yet.
     #[must_use]
     pub fn due_audience(&self, now_ms: u64, audience: Audience) -> Audience {
         if self.has_uninformed_peer || now_ms >= self.all_halls_due_at_ms {
@@ -121,7 +121,7 @@
         {
             let rank = (std::cmp::Reverse(peer.gossip.millicores), *address);
             by_hall.entry(peer.gossip.hall).or_default().push(rank);
-            if peer.gossip.follows_caches && now_ms < peer.heard_at_ms + PEER_TIMEOUT_MS {
+            if peer.gossip.follows_caches && now_ms < peer.last_receive_ms + PEER_TIMEOUT_MS {
                 bridges.push(*address);
             }
         }
--- a/src/gateway/decisions/release.rs
+++ b/src/gateway/decisions/release.rs
@@ -20,24 +20,24 @@
 /// partition.
 const MAX_ABSENCE_MS: u64 = 600_000;
 
-/// The boxes that may still be running, with the time when each was last heard of.
+/// The boxes that may still be running, with the time when each was last known to run or listed.
 #[derive(Debug, Default)]
 pub struct KnownBoxes {
-    last_heard_at_ms: HashMap<IpAddr, u64>,
+    last_seen_at_ms: HashMap<IpAddr, u64>,
 }
 
 impl KnownBoxes {
-    /// Notes boxes that are heard or listed now.
+    /// Notes boxes that are known to run or listed now.
     pub fn note(&mut self, now_ms: u64, boxes: impl IntoIterator<Item = IpAddr>) {
         for address in boxes {
-            self.last_heard_at_ms.insert(address, now_ms);
+            self.last_seen_at_ms.insert(address, now_ms);
         }
-        self.last_heard_at_ms
-            .retain(|_, last_heard_at_ms| now_ms < *last_heard_at_ms + MAX_ABSENCE_MS);
+        self.last_seen_at_ms
+            .retain(|_, last_seen_at_ms| now_ms < *last_seen_at_ms + MAX_ABSENCE_MS);
     }
 
     fn all(&self) -> BTreeSet<IpAddr> {
-        self.last_heard_at_ms.keys().copied().collect()
+        self.last_seen_at_ms.keys().copied().collect()
     }
 }
 
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -48,7 +48,7 @@
     let mut followed: HashMap<(CacheId, SocketAddr), JoinHandle<()>> = HashMap::new();
     let mut changed = gateway.upstreams_changed.subscribe();
     // Otherwise all boxes of a large fleet that start together would list every store and
-    // fetch every engine's history: 12 MB over a 10 Mbit/s link. A box that hears of no peer
+    // fetch every engine's history: 12 MB over a 10 Mbit/s link. A box that learns of no peer
     // in time assumes that it is the only one.
     let _ = timeout(DISCOVERY_TIMEOUT, wait_for_peers(&gateway)).await;
     while gateway.phase() != BoxPhase::Stopped {
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -63,12 +63,13 @@
     pub quarantine: Quarantine,
     /// The other boxes of the fleet.
     pub peers: Peers,
-    /// Whether this box watches the metadata store itself instead of hearing of changes from
+    /// Whether this box watches the metadata store itself instead of receiving changes from
     /// peers.
     pub follows_metadata: bool,
     /// Whether this box watches the stores of kept context itself.
     pub follows_caches: bool,
-    /// When this box had waited long enough after its start to have heard from its peers.
+    /// When this box had waited long enough after its start to have received gossip
+    /// from its peers.
     pub warmed_up_at_ms: Option<u64>,
     /// Whether the fleet is so small that every box watches everything.
     pub small_fleet: bool,
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -104,7 +104,7 @@
         && !state.view.contains_key(&keys::lease(LEASE_NAME))
 }
 
-/// Whether this box cannot reach the engines of a model that other boxes hear from. A leader in
+/// Whether this box cannot reach the engines of a model that other boxes reach. A leader in
 /// this situation can take all of these engines out of service for 14 s although none of its
 /// orders arrives.
 fn is_cut_off_from_engines(state: &State) -> bool {
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -27,13 +27,13 @@
 /// Addresses of the boxes of a fleet.
 pub type Members = BTreeSet<IpAddr>;
 
-/// The list that should replace `listed`, if it has to change. Boxes that were heard from are
-/// added; those that were not are removed only if `all_had_time`, that is, once every running box
+/// The list that should replace `listed`, if it has to change. Boxes from which gossip was
+/// received are added; others are removed only if `all_had_time`, that is, once every running box
 /// has had time to send gossip.
 #[must_use]
-pub fn next_list(listed: &Members, heard: &Members, all_had_time: bool) -> Option<Members> {
+pub fn next_list(listed: &Members, senders: &Members, all_had_time: bool) -> Option<Members> {
     let next: Members =
-        if all_had_time { heard.clone() } else { listed.union(heard).copied().collect() };
+        if all_had_time { senders.clone() } else { listed.union(senders).copied().collect() };
     (next != *listed).then_some(next)
 }
 
@@ -60,7 +60,7 @@
         let written = state.view.get(&key);
         // A list that cannot be decoded, which `apply` has logged, is replaced.
         let listed = written.and_then(|written| read(&written.value).ok()).unwrap_or_default();
-        let next = next_list(&listed, &state.peers.heard_boxes(), all_had_time);
+        let next = next_list(&listed, &state.peers.gossip_senders(), all_had_time);
         (written.map_or(0, |written| written.revision), next)
     };
     let Some(next) = next else { return Ok(()) };
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -1,7 +1,7 @@
 //! Withholds requests that crash upstreams.
 //!
 //! The leader stores the quarantined requests in the metadata store, so that a box that starts
-//! knows them even if no other box is left to tell it.
+//! knows them even if no other box is left to report them.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -53,7 +53,7 @@
     for crash in &gossip.crashes {
         log_quarantined(state, now_ms, crash.request);
     }
-    // In a large fleet, other boxes hear it only from this box.
+    // In a large fleet, other boxes learn of it only from this box.
     gateway.gossip_now.notify_one();
     gateway.quarantine_changed.notify_waiters();
 }
