--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -190,7 +190,7 @@
             higher_priority_ranks: 1,
             objective_ms: 500,
             objective_missed: false,
-            load_limit: 1.1,
+            admission_limit: 1.1,
         },
         objective_at_ms: Some(500),
     }
--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -38,8 +38,8 @@
 /// Increase of the limit per second without any first token: a limit that fell recovers within two
 /// minutes even if no request shows that it may.
 const RECOVERY_PER_S: f64 = 0.01;
-/// Lower and upper bound. Limits start at the upper bound, since a short burst at moderate load is
-/// better queued than refused.
+/// Lower and upper bound of a limit. Limits start at the upper bound, since a short burst at
+/// moderate load is better queued than refused.
 const LIMIT_RANGE: (f64, f64) = (0.3, 1.1);
 /// Occupancy from which on the first tokens of an engine adjust the limit.
 const NEARLY_FULL_PART: f64 = 0.7;
@@ -135,7 +135,7 @@
     /// Whether the latency objective, counted from the client's first attempt, has passed.
     pub objective_missed: bool,
     /// Admission limit of the service.
-    pub load_limit: f64,
+    pub admission_limit: f64,
 }
 
 /// Occupancy of an engine for an admission decision.
@@ -167,7 +167,8 @@
     };
     let memory_part = occupied_part(load.memory_tokens, f64::from(capacity.memory_tokens) * part);
     let slots_part = occupied_part(load.requests, f64::from(capacity.slots) * part.min(1.0));
-    let max_prefill_ms = as_f64(criteria.objective_ms) * PREFILL_WAIT_PART * criteria.load_limit;
+    let max_prefill_ms =
+        as_f64(criteria.objective_ms) * PREFILL_WAIT_PART * criteria.admission_limit;
     let prefill_part =
         occupied_part(load.pending_prefill_tokens, max_prefill_ms * PREFILL_TOKENS_PER_MS);
     match memory_part.max(slots_part).max(prefill_part) {
@@ -184,8 +185,8 @@
     let part = MAX_MEMORY_PART
         - RANK_RESERVE_PART * f64::from(criteria.higher_priority_ranks.min(MAX_RESERVING_RANKS));
     let late_part =
-        if criteria.objective_missed { criteria.load_limit.min(1.0).powi(2) } else { 1.0 };
-    criteria.load_limit * part * late_part
+        if criteria.objective_missed { criteria.admission_limit.min(1.0).powi(2) } else { 1.0 };
+    criteria.admission_limit * part * late_part
 }
 
 /// Delay after which a refused client may retry: at most a third of its remaining time, spread by
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -97,7 +97,7 @@
         self.end_prompt(slowdown);
     }
 
-    /// Reports to the load limits whether the first token came in time.
+    /// Reports to the admission limits whether the first token came in time.
     pub(super) fn record_first_token(&mut self) {
         let Some(objective_at_ms) = self.objective_at_ms.take() else { return };
         let late = now_ms() > objective_at_ms;
@@ -108,8 +108,8 @@
         });
     }
 
-    /// Reports to the load limits that no first token came in time. Nothing is reported before the
-    /// objective has passed: a request that was rejected at once, or whose client left, says
+    /// Reports to the admission limits that no first token came in time. Nothing is reported before
+    /// the objective has passed: a request that was rejected at once, or whose client left, says
     /// nothing about the load.
     fn record_missing_first_token(&mut self) {
         let objective_at_ms = self.objective_at_ms.take();
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -55,7 +55,7 @@
     pub stores: Stores,
     /// Time limits that clients usually send, by route.
     pub route_timeouts: RouteTimeouts,
-    /// Limits on the load of engines, learned per service.
+    /// Admission limits of the services.
     pub admission_limits: AdmissionLimits,
     /// Retry budgets, by service.
     pub retry_budget: RetryBudget,
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -422,7 +422,7 @@
                 .higher_priority_ranks(&request.service, request.route.priority),
             objective_ms: request.route.latency_objective_ms,
             objective_missed: now_ms >= request.outgoing.objective_at_ms,
-            load_limit: state.admission_limits.limit_of(&request.service),
+            admission_limit: state.admission_limits.limit_of(&request.service),
         },
         objective_at_ms: Some(request.outgoing.objective_at_ms),
     };
--- a/tests/gateway_admission.rs
+++ b/tests/gateway_admission.rs
@@ -12,7 +12,7 @@
     higher_priority_ranks: 0,
     objective_ms: 500,
     objective_missed: false,
-    load_limit: 1.0,
+    admission_limit: 1.0,
 };
 
 fn has_room(load: Load, capacity: Capacity, criteria: AdmissionCriteria) -> bool {
@@ -68,7 +68,7 @@
 /// otherwise stay free.
 #[test]
 fn late_last() {
-    let in_time = AdmissionCriteria { load_limit: 0.6, ..HIGHEST_PRIORITY };
+    let in_time = AdmissionCriteria { admission_limit: 0.6, ..HIGHEST_PRIORITY };
     let late = AdmissionCriteria { objective_missed: true, ..in_time };
     assert!(has_room(load_with_memory(9_000), CAPACITY, late));
     assert!(!has_room(load_with_memory(12_000), CAPACITY, late));
@@ -116,7 +116,7 @@
         assert!(has_room(
             load_with_memory(0),
             CAPACITY,
-            AdmissionCriteria { load_limit: limit, ..HIGHEST_PRIORITY }
+            AdmissionCriteria { admission_limit: limit, ..HIGHEST_PRIORITY }
         ));
     }
 }
--- a/tests/gateway_commons.rs
+++ b/tests/gateway_commons.rs
@@ -97,7 +97,7 @@
             higher_priority_ranks: 0,
             objective_ms: 500,
             objective_missed: false,
-            load_limit: 1.1,
+            admission_limit: 1.1,
         },
         objective_at_ms: None,
     };
--- a/tests/gateway_crowds.rs
+++ b/tests/gateway_crowds.rs
@@ -219,7 +219,7 @@
             higher_priority_ranks: 0,
             objective_ms: OBJECTIVE_MS,
             objective_missed: false,
-            load_limit: 1.1,
+            admission_limit: 1.1,
         },
         objective_at_ms: Some(now_ms + OBJECTIVE_MS),
     };
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -67,7 +67,7 @@
             higher_priority_ranks: 0,
             objective_ms: 500,
             objective_missed: false,
-            load_limit: 1.0,
+            admission_limit: 1.0,
         },
         objective_at_ms: None,
     }
