--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -22,8 +22,8 @@
 use crate::gateway::kernel::Gateway;
 use crate::platform::exchange;
 
-/// Longest time for transfers of kept context to an engine, from the choice of their sources.
-const MAX_TRANSFER_MS: u64 = 2000;
+/// Longest time for transfers of cached context to an engine, from the choice of their sources.
+const TRANSFER_TIMEOUT_MS: u64 = 2000;
 /// Responses up to this size are read whole before they are forwarded, so that the request can
 /// still be retried.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
@@ -46,7 +46,7 @@
     pub priority: u8,
     /// Whether the request may run more than once.
     pub retry_policy: RetryPolicy,
-    /// When the request is given up.
+    /// Deadline of the request.
     pub deadline_ms: u64,
     /// When the response, or its first event, is due.
     pub objective_at_ms: u64,
@@ -95,7 +95,7 @@
     /// it has other weights
     OtherVersion,
     /// it refused with status {0}
-    Refused(u16),
+    Rejected(u16),
 }
 
 /// What was read of a response body before forwarding it.
@@ -220,7 +220,7 @@
         let cause = not_run_cause(parts.status, &response_head, &in_flight.upstream.id);
         match cause {
             NotRunCause::OtherIncarnation => in_flight.record_superseded(),
-            NotRunCause::Refused(_) => in_flight.record_rejection(),
+            NotRunCause::Rejected(_) => in_flight.record_rejection(),
             NotRunCause::OtherVersion => {}
         }
         return AttemptOutcome::NotRun { cause };
@@ -255,7 +255,7 @@
     upstream_id: &str,
 ) -> NotRunCause {
     if status != StatusCode::MISDIRECTED_REQUEST {
-        return NotRunCause::Refused(status.as_u16());
+        return NotRunCause::Rejected(status.as_u16());
     }
     match &response_head.upstream_id {
         Some(id) if id != upstream_id => NotRunCause::OtherIncarnation,
@@ -275,9 +275,9 @@
     }
 }
 
-/// When transfers are given up, on the upstreams' clock. Counted from the choice of their sources,
+/// When transfers are aborted, by the upstreams' clock. Counted from the choice of their sources,
 /// because this process may be stalled between that and sending the request.
 fn transfers_until_ms(gateway: &Gateway, chosen_at_ms: u64) -> Option<u64> {
     let offset_ms = gateway.state().upstream_clock_offset_ms?;
-    chosen_at_ms.checked_add_signed(offset_ms).map(|clock_ms| clock_ms + MAX_TRANSFER_MS)
+    chosen_at_ms.checked_add_signed(offset_ms).map(|clock_ms| clock_ms + TRANSFER_TIMEOUT_MS)
 }
--- a/src/gateway/decisions/gossip_message.rs
+++ b/src/gateway/decisions/gossip_message.rs
@@ -42,8 +42,8 @@
     pub superseded: Vec<u32>,
     /// Upstreams that announced that they are about to leave, by their short ids.
     pub leaving: Vec<u32>,
-    /// Upstreams to which the sender sends no requests for a while because they turned it away:
-    /// short id of the upstream and remaining time in milliseconds.
+    /// Upstreams to which the sender sends no requests for a while because they rejected its
+    /// requests: short id of the upstream and remaining time in milliseconds.
     pub backoffs: Vec<(u32, u16)>,
     /// The upstreams' clock at the time of sending, if the sender knows it.
     pub upstream_clock_ms: Option<u64>,
--- a/src/gateway/decisions/rollout.rs
+++ b/src/gateway/decisions/rollout.rs
@@ -52,7 +52,7 @@
     pub failed_orders: u32,
     /// Number of running requests.
     pub requests: u32,
-    /// Whether it has recently failed, been silent or turned requests away.
+    /// Whether it has recently failed, been silent or rejected requests.
     pub unhealthy: bool,
 }
 
@@ -79,9 +79,9 @@
     let remaining = max_loading.saturating_sub(loading);
     // Limits how many unhealthy engines are taken out of service: if only this box cannot reach
     // them, other boxes still use them.
-    let out_of_use = candidates.iter().filter(|engine| engine.is_loading).count();
-    let max_out_of_use = (candidates.len() / ENGINES_PER_URGENT_LOAD).max(1);
-    let mut unhealthy_allowed = max_out_of_use.saturating_sub(out_of_use);
+    let out_of_service = candidates.iter().filter(|engine| engine.is_loading).count();
+    let max_out_of_service_with_unhealthy = (candidates.len() / ENGINES_PER_URGENT_LOAD).max(1);
+    let mut unhealthy_allowed = max_out_of_service_with_unhealthy.saturating_sub(out_of_service);
     behind.retain(|engine| {
         let is_next = !engine.unhealthy || unhealthy_allowed > 0;
         unhealthy_allowed = unhealthy_allowed.saturating_sub(1);
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -26,7 +26,7 @@
 const TRANSFER_PART: f64 = 0.5;
 /// Engines do not start a transfer that would have to wait longer than this, so transfers that are
 /// expected to take longer are not planned.
-const MAX_TRANSFER_MS: f64 = 1000.0;
+const MAX_PLANNED_TRANSFER_MS: f64 = 1000.0;
 /// Fixed overhead of a transfer.
 const TRANSFER_OVERHEAD_MS: f64 = 5.0;
 
@@ -210,7 +210,7 @@
         let prefill_ms = f64::from(tokens) / PREFILL_TOKENS_PER_MS;
         let allowed_ms = as_f64(objective_ms) * TRANSFER_PART;
         self.transfer_ms
-            < MAX_TRANSFER_MS.min(allowed_ms.max(prefill_ms * (1.0 + RECOMPUTE_WEIGHT)))
+            < MAX_PLANNED_TRANSFER_MS.min(allowed_ms.max(prefill_ms * (1.0 + RECOMPUTE_WEIGHT)))
     }
 }
 
--- a/src/gateway/decisions/upstream/health.rs
+++ b/src/gateway/decisions/upstream/health.rs
@@ -13,7 +13,7 @@
 const CONCURRENT_TIMEOUTS_MS: u64 = 1500;
 /// Longest time for which an upstream is avoided after a failure.
 const MAX_AVOID_MS: u64 = 4000;
-/// Backoff after the first request that an upstream rejected.
+/// Back-off after the first request that an upstream rejected.
 const FIRST_REJECTION_BACKOFF_MS: u64 = 200;
 /// Longest such backoff; it doubles with each consecutive rejection.
 const MAX_REJECTION_BACKOFF_MS: u64 = 3200;
--- a/src/gateway/heads.rs
+++ b/src/gateway/heads.rs
@@ -45,10 +45,10 @@
     pub account: Option<&'a str>,
     /// Scheduling priority at the engine; lower values run first.
     pub priority: u8,
-    /// Where the engine gets kept context from, and saves it to.
+    /// Where the engine fetches cached context from, and saves it to.
     pub context: Option<&'a ContextPlan>,
-    /// When transfers are given up, on the upstreams' clock. Without it nothing is fetched.
+    /// When transfers are aborted, by the upstreams' clock. Without it nothing is fetched.
     pub transfers_until_ms: Option<u64>,
-    /// The last event that the client has got, if a stream is resumed.
+    /// The last event that the client has received, if a stream is resumed.
     pub last_event_id: Option<&'a str>,
 }
--- a/src/gateway/refuse.rs
+++ b/src/gateway/refuse.rs
@@ -26,15 +26,15 @@
             let spread_ms = u64::from(short_id(&request.outgoing.request_id)) % RETRY_AFTER_MS;
             refuse_until(request, Reason::UpstreamsFull, until_ms + spread_ms)
         }
-        None if has_upstreams => give_up(request, Reason::UpstreamsFull),
-        None => give_up(request, Reason::NoUpstream),
+        None if has_upstreams => refuse(request, Reason::UpstreamsFull),
+        None => refuse(request, Reason::NoUpstream),
     }
 }
 
 /// The response if no upstream may get the request before `until_ms`.
 pub fn refuse_until(request: &AdmittedRequest, reason: Reason, until_ms: u64) -> ClientResponse {
     if request.may_have_run {
-        return give_up(request, Reason::UpstreamFailed);
+        return refuse(request, Reason::UpstreamFailed);
     }
     let request_id = &request.outgoing.request_id;
     log_refusal(request, reason);
@@ -51,8 +51,8 @@
     response::refusal(reason, Some(request_id), Some(after_ms))
 }
 
-/// The final response to a request that was not served.
-pub fn give_up(request: &AdmittedRequest, reason: Reason) -> ClientResponse {
+/// The response to a request that is not served: a refusal, or a failure if it may have run.
+pub fn refuse(request: &AdmittedRequest, reason: Reason) -> ClientResponse {
     // 503 promises that the request has not run, so it is not used if an attempt may have run.
     let reason = match (request.may_have_run, reason.status()) {
         (true, StatusCode::SERVICE_UNAVAILABLE) => Reason::UpstreamFailed,
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -27,7 +27,7 @@
     write_refusal(request_id, None, reason, config_version, held_ms);
 }
 
-/// Logs a request that is refused or given up.
+/// Logs a request that is refused or has failed.
 pub fn log_refusal(request: &AdmittedRequest, reason: Reason) {
     let request_id = Some(request.outgoing.request_id.as_str());
     let held_ms = now_ms() - request.arrived_at_ms;
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -22,7 +22,7 @@
 use crate::gateway::decisions::weights::NamedVersions;
 use crate::gateway::kernel::{Gateway, State};
 use crate::gateway::refuse::{
-    RETRY_AFTER_MS, give_up, no_upstream_found, refuse_immediately, refuse_until,
+    RETRY_AFTER_MS, no_upstream_found, refuse, refuse_immediately, refuse_until,
 };
 use crate::gateway::request_log::{
     log_answered, log_attempt_end, log_attempt_start, log_early_refusal,
@@ -38,7 +38,7 @@
 /// Connections to an upstream that a box may always open, whatever its share of the upstream's
 /// limit: one for a request and one for the reachability probe.
 const MIN_CONNECTIONS: u32 = 2;
-/// Attempts that may reach no upstream before the request is given up. Each may take the connect
+/// Attempts that may reach no upstream before the request is refused. Each may take the connect
 /// timeout of 300 ms.
 const MAX_UNDELIVERED: u32 = 4;
 /// No retry is made with less time than this before the deadline; it is a few round trips.
@@ -153,7 +153,7 @@
             if cause == NotRunCause::OtherIncarnation {
                 return handle_misdirected(gateway, request, choice);
             }
-            retry_or_give_up(gateway, request, choice, Reason::UpstreamsFull)
+            retry_or_refuse(gateway, request, choice, Reason::UpstreamsFull)
         }
         AttemptOutcome::NotSent { cause } => {
             log_attempt_end(request, choice, "not_sent", &cause);
@@ -175,7 +175,7 @@
 ) -> Option<ClientResponse> {
     request.undelivered_attempts += 1;
     if request.undelivered_attempts >= MAX_UNDELIVERED || now_ms() >= request.outgoing.deadline_ms {
-        return Some(give_up(request, Reason::NoUpstream));
+        return Some(refuse(request, Reason::NoUpstream));
     }
     request.tried.push(choice.upstream.clone());
     if count_untried(gateway, request) == 0 {
@@ -192,7 +192,7 @@
     choice: &Choice,
 ) -> Option<ClientResponse> {
     if !spend_retry_budget(gateway, request, now_ms()) {
-        return Some(give_up(request, Reason::UpstreamsFull));
+        return Some(refuse(request, Reason::UpstreamsFull));
     }
     handle_undelivered(gateway, request, choice)
 }
@@ -206,7 +206,7 @@
 ) -> Option<ClientResponse> {
     request.may_have_run = true;
     log_attempt_end(request, choice, "unknown", cause);
-    retry_or_give_up(gateway, request, choice, Reason::UpstreamFailed)
+    retry_or_refuse(gateway, request, choice, Reason::UpstreamFailed)
 }
 
 /// Records an attempt that was abandoned for another upstream.
@@ -219,18 +219,18 @@
 fn handle_timeout(request: &mut AdmittedRequest, choice: &Choice) -> ClientResponse {
     request.may_have_run = true;
     log_attempt_end(request, choice, "time_over", "");
-    give_up(request, Reason::UpstreamSilent)
+    refuse(request, Reason::UpstreamSilent)
 }
 
 /// Returns `None` if the request may be sent to another upstream, otherwise the final response.
-fn retry_or_give_up(
+fn retry_or_refuse(
     gateway: &Gateway,
     request: &mut AdmittedRequest,
     choice: &Choice,
     reason: Reason,
 ) -> Option<ClientResponse> {
     request.record_attempt(&choice.upstream);
-    (!take_retry(gateway, request)).then(|| give_up(request, reason))
+    (!take_retry(gateway, request)).then(|| refuse(request, reason))
 }
 
 /// Number of upstreams of the service that the request has not been sent to.
@@ -366,7 +366,7 @@
         if let Some(choice) = choose_upstream(&mut gateway.state(), gateway, request) {
             return Some(choice);
         }
-        if all_rest_past(gateway, request, until) {
+        if all_back_off_past(gateway, request, until) {
             return None;
         }
         if timeout_at(until, woken).await.is_err() {
@@ -375,8 +375,8 @@
     }
 }
 
-/// Whether all untried upstreams have asked for no requests until after `until`.
-fn all_rest_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
+/// Whether all untried upstreams have asked for back-offs that end after `until`.
+fn all_back_off_past(gateway: &Gateway, request: &AdmittedRequest, until: Instant) -> bool {
     let state = gateway.state();
     let backoff_until_ms =
         state.upstreams.all_backoff_until_ms(now_ms(), &request.service, &request.tried);
