--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -132,10 +132,10 @@
     from_ms.is_some_and(|from_ms| now_ms >= from_ms)
 }
 
-/// Whether some engines are still within the pause after orders of earlier leaders, that is,
+/// Whether some targets are still within the pause after orders of earlier leaders, that is,
 /// whether the leader has changed in quick succession.
 #[must_use]
-pub fn has_waiting(state: &State, bounds: &Bounds, now_ms: u64) -> bool {
+pub fn has_paused_targets(state: &State, bounds: &Bounds, now_ms: u64) -> bool {
     let record = state.claim_record.as_ref();
     record.is_some_and(|record| {
         record.claims.has_paused_targets(
--- a/src/gateway/decisions/incarnation.rs
+++ b/src/gateway/decisions/incarnation.rs
@@ -1,10 +1,10 @@
-//! Incarnations of an upstream: its runs from one start to the next. An upstream can restart
+//! Incarnations of an upstream: each start of its process begins a new one. An upstream can restart
 //! under the same id and then has lost all its state. Only the start time tells the two
 //! incarnations apart.
 
 use crate::names::short_id;
 
-/// One run of an upstream.
+/// An upstream from one start of its process to the next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
     pub id: String,
--- a/src/gateway/decisions/notice.rs
+++ b/src/gateway/decisions/notice.rs
@@ -1,8 +1,8 @@
 //! Notices that an upstream sends along with its answers: that it is about to leave, or that it
 //! asks for a back-off, that is, for no requests during some time.
 //!
-//! A notice holds for one incarnation of the upstream, whatever the upstream's item in the
-//! metadata store says: the item is out of date while the store is, and may expire and come back.
+//! A notice holds for one incarnation of the upstream, whatever the upstream's entry in the
+//! metadata store says: the entry is out of date while the store is, and may expire and come back.
 
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 
 /// Upper limit of the back-off that an upstream can ask for.
 const MAX_BACKOFF_MS: u64 = 600_000;
-/// Time for which the notices of an upstream that is not listed are kept.
+/// Time for which the notices of an upstream that is not listed are remembered.
 const RETENTION_MS: u64 = 600_000;
 
 /// A notice that came with one answer.
@@ -54,7 +54,8 @@
     }
 }
 
-/// Effects of notices from upstreams that are not listed, kept in case they are listed again.
+/// Effects of notices from upstreams that are not listed in the metadata store, in case they are
+/// listed again.
 #[derive(Debug, Default)]
 pub struct UnlistedNotices {
     by_id: HashMap<String, RetainedNotices>,
@@ -68,7 +69,7 @@
 }
 
 impl UnlistedNotices {
-    /// Keeps notices of an incarnation that is not listed, together with those kept before.
+    /// Remembers notices of an incarnation that is not listed, together with earlier ones.
     pub fn insert(&mut self, now_ms: u64, upstream: &Incarnation, mut notices: NoticeState) {
         self.by_id.retain(|_, retained| now_ms < retained.expires_at_ms);
         notices.merge(self.remove(upstream));
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Removes and returns the notices kept for an incarnation that is listed again.
+    /// Removes and returns the notices remembered for an incarnation that is listed again.
     pub fn remove(&mut self, upstream: &Incarnation) -> NoticeState {
         let retained = self.by_id.remove(&upstream.id);
         let same_incarnation = retained.filter(|retained| {
--- a/src/gateway/decisions/upstream/mod.rs
+++ b/src/gateway/decisions/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! An upstream: its registration, incarnation, load and health.
+//! An upstream: its entry in the metadata store, its incarnation, load and health.
 //!
 //! Health is judged by answers to requests, without probes: an upstream that fails is avoided for a
 //! while, and one that has requests in progress and sends nothing gets no more of them.
@@ -19,7 +19,7 @@
 /// Time for which an upstream is avoided after its first failure.
 const FIRST_AVOID_MS: u64 = 500;
 
-/// The registration of an upstream in the metadata store.
+/// The entry of an upstream in the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpstreamEntry {
     /// Service that it belongs to.
@@ -81,7 +81,7 @@
     pub id: String,
     /// Short id of its incarnation, for messages between boxes.
     pub short_id: u32,
-    /// Its newest registration.
+    /// Its newest entry in the metadata store.
     pub entry: UpstreamEntry,
     /// Load from this box.
     pub own_load: Load,
@@ -114,7 +114,7 @@
 }
 
 impl Upstream {
-    /// An upstream of which only the registration is known.
+    /// An upstream of which only the entry is known.
     #[must_use]
     pub fn new(now_ms: u64, id: &str, entry: UpstreamEntry) -> Self {
         let incarnation = Incarnation { id: id.to_owned(), started_at_ms: entry.started_at_ms };
@@ -156,7 +156,7 @@
         self.notices.merge(notices);
     }
 
-    /// Whether its registration or its answers announced that it is about to leave.
+    /// Whether its entry or its answers announced that it is about to leave.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.entry.leaving || self.notices.leaving
@@ -231,9 +231,9 @@
     /// Version of a model's weights; 0 if the upstream does not have the model.
     #[must_use]
     pub fn weight_version(&self, model: &str) -> u64 {
-        let registered = self.entry.models.iter().find(|(name, _)| name == model);
-        let registered = registered.map_or(0, |(_, version)| *version);
-        registered.max(self.observed_versions.get(model).copied().unwrap_or_default())
+        let entry_version = self.entry.models.iter().find(|(name, _)| name == model);
+        let entry_version = entry_version.map_or(0, |(_, version)| *version);
+        entry_version.max(self.observed_versions.get(model).copied().unwrap_or_default())
     }
 
     /// Records a weight version seen in an answer.
--- a/src/gateway/decisions/upstreams.rs
+++ b/src/gateway/decisions/upstreams.rs
@@ -13,7 +13,7 @@
     by_id: BTreeMap<String, Upstream>,
     /// Ids of the upstreams by the short ids of their incarnations.
     ids_by_short_id: HashMap<u32, String>,
-    /// Notices of upstreams that are not registered at present.
+    /// Notices of upstreams that have no entry at present.
     unlisted: UnlistedNotices,
 }
 
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -54,7 +54,7 @@
 
 /// Compares the start time reported with the answer to a call made at `asked_at_ms` with the
 /// known one. This may show a restart of the upstream before its entry does.
-pub fn note_answering_run(
+pub fn note_answering_incarnation(
     gateway: &Gateway,
     id: &str,
     started_at_ms: Option<u64>,
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -151,10 +151,11 @@
     let asked_at_ms = now_ms();
     let changes = gateway.caches.changes(address, since).await?;
     if let CacheId::Engine(id) = cache_id
-        && entries::note_answering_run(gateway, id, changes.started_at_ms, asked_at_ms)
+        && entries::note_answering_incarnation(gateway, id, changes.started_at_ms, asked_at_ms)
             != ReportedIncarnation::Current
     {
-        // The engine has restarted: `since` was a position in the events of the previous run.
+        // The engine has restarted: `since` was a position in the events of its previous
+        // incarnation.
         return Ok(());
     }
     *known = true;
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -34,10 +34,10 @@
 use crate::quarantine::Quarantine;
 use crate::sync::locked;
 
-/// Heartbeats for which the metadata store must have been unavailable before an upstream's item
-/// can have expired. An item expires after three missed heartbeats, the first of which may have
+/// Heartbeats for which the metadata store must have been unavailable before an upstream's entry
+/// can have expired. An entry expires after three missed heartbeats, the first of which may have
 /// been due at any time in the first period.
-const LAPSE_HEARTBEATS: u64 = 2;
+const EXPIRY_HEARTBEATS: u64 = 2;
 
 /// Allowance for the time that the store takes to answer a new watch, and for slow boxes.
 const RESPONSE_MS: u64 = 100;
@@ -316,7 +316,7 @@
 /// alone does not mean that the store is down.
 fn min_outage_ms(bounds: &Bounds) -> u64 {
     let lost_watch_ms = follow_metadata::lost_watch_ms(bounds) + RESPONSE_MS;
-    (LAPSE_HEARTBEATS * bounds.heartbeat_ms).max(lost_watch_ms)
+    (EXPIRY_HEARTBEATS * bounds.heartbeat_ms).max(lost_watch_ms)
 }
 
 /// The identity that this box announces to its peers.
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -30,8 +30,10 @@
 #[must_use]
 pub fn is_silent(gateway: &Gateway, upstream: &Incarnation) -> bool {
     let state = gateway.state();
-    let since_ms =
-        state.upstreams.get_incarnation(upstream).and_then(|run| run.silent_since_ms(now_ms()));
+    let since_ms = state
+        .upstreams
+        .get_incarnation(upstream)
+        .and_then(|upstream| upstream.silent_since_ms(now_ms()));
     drop(state);
     if let Some(since_ms) = since_ms {
         gateway.connections.close_all_idle(since_ms);
@@ -60,7 +62,7 @@
     }
 }
 
-/// Another upstream, neither failing nor silent nor full, for a request that already runs at
+/// Another upstream, neither unhealthy nor full, for a request that already runs at
 /// `current`; takes a retry from the budget.
 pub fn find_alternative(
     gateway: &Gateway,
@@ -77,11 +79,11 @@
     }
     let mut state = gateway.state();
     let choice = choose_upstream(&mut state, gateway, &request)?;
-    let doubtful = state
+    let unhealthy = state
         .upstreams
         .get_incarnation(&choice.upstream)
         .is_none_or(|upstream| upstream.is_unhealthy(now_ms));
     drop(state);
     let full = choice.occupancy == Occupancy::Full;
-    (!doubtful && !full && spend_retry_budget(gateway, &request, now_ms)).then_some(choice)
+    (!unhealthy && !full && spend_retry_budget(gateway, &request, now_ms)).then_some(choice)
 }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -44,7 +44,7 @@
 const RETRY_PAUSE_MS: u64 = 500;
 /// How long one gossip message marks an engine as loading.
 pub const LOADING_GOSSIP_MS: u64 = 700;
-/// How long peers are told of a weight version after it was seen.
+/// How long a weight version is reported to peers after it was seen.
 pub const VERSION_GOSSIP_MS: u64 = 4000;
 
 /// How a load ended. The texts are logged.
@@ -55,7 +55,7 @@
     /// this box is not the leader any more
     LeadershipLost,
     /// the engine turned the order away
-    TurnedAway,
+    Rejected,
     /// the engine does not have the version in time
     TooSlow,
     /// the engine does not answer
@@ -98,7 +98,7 @@
             state.failed_orders.remove(&load.engine.id);
         }
         LoadEnd::LeadershipLost | LoadEnd::NotClaimed => {}
-        LoadEnd::TurnedAway | LoadEnd::TooSlow | LoadEnd::Failed => {
+        LoadEnd::Rejected | LoadEnd::TooSlow | LoadEnd::Failed => {
             let failed = state.failed_orders.entry(load.engine.id.clone()).or_default();
             failed.count += 1;
             failed.retry_at_ms = now_ms() + RETRY_PAUSE_MS;
@@ -134,7 +134,7 @@
     let Some(_permit) = acquire_permit(gateway, load).await else {
         return Ok(LoadEnd::LeadershipLost);
     };
-    // The target may have changed while the engine was draining.
+    // A newer version may have been named while the engine was draining.
     if let Some(named) = gateway.state().weights.get(&load.model) {
         load.version = named.newest();
     }
@@ -190,7 +190,7 @@
 fn takeover_drain_ms(gateway: &Gateway, now_ms: u64) -> Option<u64> {
     let state = gateway.state();
     let held = state.leadership?;
-    let is_quick_succession = claims::has_waiting(&state, &gateway.settings.bounds, now_ms);
+    let is_quick_succession = claims::has_paused_targets(&state, &gateway.settings.bounds, now_ms);
     is_quick_succession.then(|| now_ms.saturating_sub(held.taken_at_ms))
 }
 
@@ -209,10 +209,10 @@
     socket: &UdpSocket,
     load: &mut WeightLoad,
 ) -> Result<LoadEnd> {
-    let give_up_at_ms = now_ms() + ORDER_TIMEOUT_MS;
+    let deadline_ms = now_ms() + ORDER_TIMEOUT_MS;
     let mut report = fetch_report(gateway, load).await?;
     // The engine may still be carrying out an earlier order whose response was lost.
-    while report.busy && !has_version(&report, load) && now_ms() < give_up_at_ms {
+    while report.busy && !has_version(&report, load) && now_ms() < deadline_ms {
         mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOADING_GOSSIP_MS);
         sleep(POLL_PERIOD).await;
         report = fetch_report(gateway, load).await?;
@@ -227,7 +227,7 @@
     // to the engine.
     mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOAD_MS + LOADING_GOSSIP_MS);
     sleep(Duration::from_millis(LOAD_MS)).await;
-    while now_ms() < give_up_at_ms {
+    while now_ms() < deadline_ms {
         mark_loading(&mut gateway.state(), &load.engine.id, now_ms() + LOADING_GOSSIP_MS);
         let report = fetch_report(gateway, load).await?;
         if has_version(&report, load) {
@@ -235,7 +235,7 @@
         }
         if !report.busy {
             // The engine has carried out another order, or none.
-            return Ok(LoadEnd::TurnedAway);
+            return Ok(LoadEnd::Rejected);
         }
         sleep(POLL_PERIOD).await;
     }
@@ -266,8 +266,8 @@
     if let Some(until_ms) = gateway.state().load_permits.get_mut(&load.engine.id) {
         *until_ms = now_ms() + PERMIT_MS;
     }
-    let turned_away = matches!(ordered, OrderOutcome::Fenced | OrderOutcome::WrongEngine);
-    Ok(turned_away.then_some(LoadEnd::TurnedAway))
+    let is_rejected = matches!(ordered, OrderOutcome::Fenced | OrderOutcome::WrongEngine);
+    Ok(is_rejected.then_some(LoadEnd::Rejected))
 }
 
 /// Fetches the engine's report. If the engine has restarted, `load` is moved to the new
@@ -276,7 +276,7 @@
     let asked_at_ms = now_ms();
     let report = gateway.engines.report(load.address).await?;
     let id = &load.engine.id;
-    if entries::note_answering_run(gateway, id, report.started_at_ms, asked_at_ms)
+    if entries::note_answering_incarnation(gateway, id, report.started_at_ms, asked_at_ms)
         == ReportedIncarnation::Restarted
     {
         load.engine.started_at_ms = report.started_at_ms;
