--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -48,7 +48,7 @@
     pub view: MetadataView,
     /// The configuration in force; `None` until the first one arrives.
     pub configuration: Option<Arc<Configuration>>,
-    /// Target weight versions set by operators, by model.
+    /// Weight versions that operators have named, by model.
     pub weights: HashMap<String, NamedVersions>,
     /// Upstreams of all services, by id.
     pub upstreams: Upstreams,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -9,12 +9,12 @@
 //! upstreams publish about themselves, and `members` where other boxes are.
 //!
 //! Request path: `listener`, `check`, `serve`, `refuse`, `attempt`, `in_flight`, `silence`,
-//! `outdated_weights` and `relay`; `crashes` and `quarantine` withhold requests that crash
+//! `overdue_weights` and `relay`; `crashes` and `quarantine` withhold requests that crash
 //! upstreams, `reachability` probes upstreams, and `request_log` writes the log lines.
 //!
-//! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `store_cleanup` do what a single box
-//! does for the whole fleet; `leader_calls` makes calls on behalf of a leader that cannot reach the
-//! metadata store itself.
+//! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `store_cleanup` do what a single
+//! box does for the whole fleet; `leader_calls` makes calls on behalf of a leader that cannot reach
+//! the metadata store itself.
 
 pub mod attempt;
 pub mod catch_up;
@@ -39,7 +39,7 @@
 pub mod listener;
 pub mod members;
 pub mod metadata;
-pub mod outdated_weights;
+pub mod overdue_weights;
 pub mod quarantine;
 pub mod reachability;
 pub mod refuse;
--- a/src/gateway/outdated_weights.rs
+++ b/src/gateway/overdue_weights.rs
@@ -1,6 +1,6 @@
-//! Keeps requests away from engines whose weights should have been replaced by now. No request is
-//! sent to them, and a request that still waits at an engine when its weights become too old is
-//! withdrawn before it begins to run.
+//! Keeps requests away from engines with overdue weights, which should have been replaced by now.
+//! No request is sent to them, and a request that still waits at an engine when its weights become
+//! overdue is withdrawn before it begins to run.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 const CONTACT_MS: u64 = 1500;
 /// How long before the deadline a request is withdrawn: a few round trips, even on a busy box.
 const WITHDRAW_MARGIN_MS: u64 = 150;
-/// Longest time between checks, since a new target version may be set meanwhile.
+/// Longest time between checks, since a newer version may be named meanwhile.
 const RECHECK_MS: u64 = 1000;
 
-/// Whether the deadline for outdated weights is enforced, even if no other engine is left. It is
+/// Whether the deadline for replacing weights is enforced, even if no other engine is left. It is
 /// not while the metadata store is unavailable, since nobody can have the weights replaced then,
-/// nor on a box that has just started and may not know since when they are outdated: refusing all
-/// work would help nobody.
+/// nor on a box that has just started and may not know since when they are behind the newest
+/// version: refusing all work would help nobody.
 #[must_use]
 pub fn enforces_weight_deadline(state: &State, now_ms: u64) -> bool {
     !state.follows_metadata || state.view.store_available_for(now_ms, CONTACT_MS)
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -85,7 +85,7 @@
         choice.load.memory_tokens);
 }
 
-/// How long ago the first version newer than the chosen engine's became the target, as far as this
+/// How long ago the first version newer than the chosen engine's was named, as far as this
 /// box knows; 0 if there is none.
 fn behind_ms(state: &State, request: &AdmittedRequest, choice: &Choice) -> u64 {
     let named = request.prompt.as_ref().and_then(|prompt| state.weights.get(&prompt.model));
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -28,7 +28,7 @@
     log_answered, log_attempt_end, log_attempt_start, log_early_refusal,
 };
 use crate::gateway::response::{self, ClientResponse, Reason};
-use crate::gateway::{crashes, outdated_weights, quarantine, relay, silence};
+use crate::gateway::{crashes, overdue_weights, quarantine, relay, silence};
 use crate::names::short_id;
 use crate::platform::exchange;
 
@@ -121,7 +121,7 @@
                 next = Some(alternative);
                 continue;
             }
-            () = outdated_weights::wait_for_withdrawal(gateway, &request, &choice) => {
+            () = overdue_weights::wait_for_withdrawal(gateway, &request, &choice) => {
                 AttemptOutcome::Unknown { cause: "the engine's weights are too old".to_owned() }
             }
             () = quarantine::wait_until_quarantined(gateway, request.outgoing.fingerprint) => {
@@ -402,7 +402,7 @@
         isolated_account: request.isolated_account.as_deref(),
         weights,
         weights_apply_ms: gateway.settings.bounds.weights_apply_ms,
-        excludes_overdue: outdated_weights::enforces_weight_deadline(state, now_ms),
+        excludes_overdue: overdue_weights::enforces_weight_deadline(state, now_ms),
         placement: if state.peers.is_small_fleet() {
             Placement::FastestLink { hall: &gateway.settings.hall }
         } else {
