--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -103,7 +103,7 @@
 }
 
 /// Re-evaluates whether this box follows the metadata store, and whether it follows the context
-/// held by engines and context stores.
+/// that engines and context stores cache.
 fn update_role(gateway: &Gateway, state: &mut State, now_ms: u64) {
     let follows = state.peers.is_follower(now_ms);
     let caches = state.peers.is_cache_follower(now_ms);
@@ -144,7 +144,7 @@
     }
 }
 
-/// Longest time, in seconds, for which any engine has lacked a newer weights version, as far
+/// Longest time, in seconds, for which any engine has lacked a newer weight version, as far
 /// as this box knows.
 fn longest_lag_s(state: &State, now_ms: u64) -> f64 {
     let since_ms = state.weights.iter().flat_map(|(model, named)| {
@@ -159,9 +159,9 @@
 /// Applies a peer's answer to a catch-up query, unless this box already knows more.
 pub fn apply_catch_up(gateway: &Gateway, catch_up: CatchUp) {
     let mut state = gateway.state();
-    let (at_revision, whole) = match &catch_up {
+    let (at_revision, is_full) = match &catch_up {
         CatchUp::Full(snapshot) => (snapshot.at_revision, true),
-        CatchUp::Delta { changed: written, .. } => (written.at_revision, false),
+        CatchUp::Delta { changed, .. } => (changed.at_revision, false),
     };
     if at_revision < state.view.last_change_revision() {
         return;
@@ -170,7 +170,7 @@
     let named = named_at(gateway, &state, now_ms);
     let changes = state.view.apply_catch_up(now_ms, catch_up, is_covered);
     info!(target: "follow",
-        "event=caught_up at_revision={at_revision} whole={whole} changes={}", changes.len());
+        "event=caught_up at_revision={at_revision} whole={is_full} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
 }
 
@@ -204,7 +204,7 @@
         state.view.mark_synced(now_ms);
     }
     let (at_revision, items) = (snapshot.at_revision, snapshot.items.len());
-    let changes = state.view.apply_snapshot(now_ms, snapshot, is_covered, lapses);
+    let changes = state.view.apply_snapshot(now_ms, snapshot, is_covered, is_ephemeral);
     info!(target: "follow",
         "event=listed at_revision={at_revision} items={items} changes={}", changes.len());
     apply(gateway, &mut state, now_ms, named, changes);
@@ -213,11 +213,12 @@
 
 /// Waits for changes and applies them.
 async fn watch(gateway: &Gateway) -> Result<CallEnd> {
-    let (after, answers) = {
+    let (after, is_available) = {
         let state = gateway.state();
         (state.view.at_revision(), state.view.is_store_available())
     };
-    let wait = if answers { regular_wait(&gateway.settings.bounds) } else { WAIT_AFTER_FAILURE };
+    let wait =
+        if is_available { regular_wait(&gateway.settings.bounds) } else { WAIT_AFTER_FAILURE };
     let watched = tokio::select! {
         watched = gateway.metadata.watch("", after, with_jitter(wait)) => watched?,
         () = gateway.refresh_metadata.notified() => return Ok(CallEnd::Interrupted),
@@ -240,8 +241,8 @@
                 applied.extend(state.view.put(key, VersionedValue { revision, value }));
             }
             Change::Removed { key, revision } if is_covered(&key) => {
-                let lapses = lapses(&key);
-                applied.extend(state.view.remove(now_ms, &key, revision, lapses));
+                let is_ephemeral = is_ephemeral(&key);
+                applied.extend(state.view.remove(now_ms, &key, revision, is_ephemeral));
             }
             Change::Put(_) | Change::Removed { .. } => {}
         }
@@ -279,7 +280,7 @@
 }
 
 /// Whether the item disappears by itself when its writer stops renewing it.
-fn lapses(key: &str) -> bool {
+fn is_ephemeral(key: &str) -> bool {
     matches!(keys::kind(key), KeyKind::Upstream { .. })
 }
 
@@ -308,7 +309,7 @@
     }
 }
 
-/// When the operators named the weights versions among some changes.
+/// When operators named the weight versions that a listing or a watch shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum NamedAt {
     /// Just now, as far as this box can know.
@@ -317,7 +318,7 @@
     After(u64),
 }
 
-/// When weights versions that this box learns of now were named. If its view was last complete
+/// When weight versions that this box learns of now were named. If its view was last complete
 /// longer ago than a lost watch accounts for, they were named at some time since then.
 fn named_at(gateway: &Gateway, state: &State, now_ms: u64) -> NamedAt {
     let complete_at_ms = state.view.synced_at_ms();
@@ -331,7 +332,7 @@
     }
 }
 
-/// Applies changes of the view to the rest of the state.
+/// Applies changes of the view to the other parts of the state.
 fn apply(
     gateway: &Gateway,
     state: &mut State,
@@ -355,7 +356,7 @@
                 upstreams_changed |= apply_configuration(state, value);
             }
             (KeyKind::Weights { model }, Some(value)) => {
-                apply_weights_version(state, now_ms, named, model, value);
+                apply_named_version(state, now_ms, named, model, value);
             }
             (KeyKind::Upstream { id }, Some(value)) => {
                 upstreams_changed |= entries::apply(gateway, state, now_ms, id, value);
@@ -406,14 +407,8 @@
     true
 }
 
-/// Notes a weights version that operators have named for a model.
-fn apply_weights_version(
-    state: &mut State,
-    now_ms: u64,
-    named: NamedAt,
-    model: &str,
-    value: &[u8],
-) {
+/// Notes a weight version that operators have named for a model.
+fn apply_named_version(state: &mut State, now_ms: u64, named: NamedAt, model: &str, value: &[u8]) {
     match keys::read_weights(model, value) {
         Ok(version) => {
             let known = state.weights.entry(model.to_owned()).or_default();
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -30,8 +30,8 @@
 const MAX_DATAGRAM_BYTES: usize = 8192;
 /// Minimum interval between two rounds of gossip; changes in between are sent together.
 const MIN_PERIOD: Duration = Duration::from_millis(20);
-/// Boxes return to an upstream that has refused requests at different times within this window: if
-/// it still refuses requests, the first box to return finds out and informs the others.
+/// Boxes return to an upstream that has rejected requests at different times within this window: if
+/// it still rejects requests, the first box to return finds out and informs the others.
 const RETURN_SPREAD_MS: u64 = 500;
 /// Pause after a socket error, so that a persistent error does not cause a busy loop.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(10);
@@ -95,8 +95,8 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     let audience = state.peers.due_audience(now_ms, audience);
-    let reach = reach(&state);
-    let targets = state.peers.next_targets(now_ms, audience, reach);
+    let scope = gossip_scope(&state);
+    let targets = state.peers.next_targets(now_ms, audience, scope);
     if audience == Audience::OwnHall {
         let changes = compose_changes(&state, now_ms, incarnation, sent_loads);
         return vec![(Datagram::LoadChanges(changes), targets.full)];
@@ -104,21 +104,21 @@
     let mut composed = Vec::new();
     if !targets.bridges.is_empty() {
         let fetches = fetches(&state);
-        let news = state.peers.hall_summary(now_ms, own_loads(&state, now_ms), &fetches);
-        composed.push((Datagram::HallSummary(news), targets.bridges));
+        let summary = state.peers.hall_summary(now_ms, own_loads(&state, now_ms), &fetches);
+        composed.push((Datagram::HallSummary(summary), targets.bridges));
         let others = state.peers.other_halls_summary(now_ms);
         composed.push((Datagram::OtherHallsSummary(others), targets.own_hall));
     }
     let gossip = compose_gossip(gateway, &mut state, now_ms, incarnation);
     sent_loads.clone_from(&gossip.loads);
-    let brief = Datagram::Gossip(Box::new(gossip.abridged()));
+    let abridged = Datagram::Gossip(Box::new(gossip.abridged()));
     composed.push((Datagram::Gossip(Box::new(gossip)), targets.full));
-    composed.push((brief, targets.abridged));
+    composed.push((abridged, targets.abridged));
     composed
 }
 
 /// Whether the gossip of this box goes to the bridges of other halls, too.
-fn reach(state: &State) -> GossipScope {
+fn gossip_scope(state: &State) -> GossipScope {
     let reaches_other_halls = state.is_bridge() || state.leadership.is_some();
     if reaches_other_halls { GossipScope::AllBridges } else { GossipScope::OwnHall }
 }
@@ -173,16 +173,16 @@
         loads: reported_loads(own_loads(state, now_ms)),
         fetches: fetches(state),
         limits: state.admission_limits.own_limits(),
-        loading_engines: loading(state, now_ms),
+        loading_engines: loading_engines(state, now_ms),
         superseded: superseded(state),
         leaving: leaving(state),
         backoffs: backoffs(state, now_ms),
         upstream_clock_ms: state
             .upstream_clock_offset_ms
             .and_then(|ahead_ms| now_ms.checked_add_signed(ahead_ms)),
-        engine_versions: versions(state, now_ms),
-        named_versions: named(state, now_ms, gateway.settings.bounds.weights_apply_ms),
-        leader_terms: terms(state, now_ms, handover_pause_ms(&gateway.settings.bounds)),
+        engine_versions: engine_versions(state, now_ms),
+        named_versions: named_versions(state, now_ms, gateway.settings.bounds.weights_apply_ms),
+        leader_terms: leader_terms(state, now_ms, handover_pause_ms(&gateway.settings.bounds)),
         crashes: state.quarantine.crashes_to_announce(now_ms),
         answers: state.quarantine.answers_to_announce(now_ms),
     }
@@ -209,7 +209,7 @@
     leaving.map(|upstream| upstream.short_id).collect()
 }
 
-/// Upstreams that have refused requests of this box and get none for now, with the remaining
+/// Upstreams that have rejected requests of this box and get none for now, with the remaining
 /// time.
 fn backoffs(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let backoffs = state.upstreams.iter().filter_map(|upstream| {
@@ -221,7 +221,7 @@
 
 /// Engines that load weights, with the remaining time: those that this box has ordered to, and
 /// on a bridge also those that it has learned of by gossip.
-fn loading(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
+fn loading_engines(state: &State, now_ms: u64) -> Vec<(u32, u16)> {
     let encoded = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
     let ordered = state.loading_engines.iter().filter_map(|id| state.upstreams.get(id));
     let ordered = ordered.map(|engine| (engine.short_id, encoded(LOADING_GOSSIP_MS)));
@@ -234,34 +234,34 @@
     ordered.chain(relayed).collect()
 }
 
-/// Weights versions that engines were recently seen to reach.
-fn versions(state: &mut State, now_ms: u64) -> Vec<(u32, u32, u64)> {
-    state.observed_versions.retain(|reached| reached.until_ms > now_ms);
+/// Weight versions that engines were recently seen to reach.
+fn engine_versions(state: &mut State, now_ms: u64) -> Vec<(u32, u32, u64)> {
+    state.observed_versions.retain(|observed| observed.until_ms > now_ms);
     state
         .observed_versions
         .iter()
-        .map(|reached| (reached.engine, reached.model, reached.version))
+        .map(|observed| (observed.engine, observed.model, observed.version))
         .collect()
 }
 
-/// The weights versions that operators named within twice the time in which engines must apply
+/// The weight versions that operators named within twice the time in which engines must apply
 /// them: an engine that lacks an older one is long overdue, whenever that was named.
-fn named(state: &State, now_ms: u64, apply_ms: u64) -> Vec<NamedVersionReport> {
+fn named_versions(state: &State, now_ms: u64, apply_ms: u64) -> Vec<NamedVersionReport> {
     let since_ms = now_ms.saturating_sub(2 * apply_ms);
     let models = state.weights.iter().flat_map(|(model, named)| {
         let model = short_id(model);
-        named.named_after(since_ms).map(move |naming| NamedVersionReport {
+        named.named_after(since_ms).map(move |named_version| NamedVersionReport {
             model,
-            version: naming.version,
-            previous: naming.previous,
-            age_ms: age_ms(now_ms, naming.named_at_ms),
+            version: named_version.version,
+            previous: named_version.previous,
+            age_ms: age_ms(now_ms, named_version.named_at_ms),
         })
     });
     models.collect()
 }
 
 /// Recent changes of leader, each as a revision of the metadata store and its age.
-fn terms(state: &State, now_ms: u64, pause_ms: u64) -> Vec<(u64, u32)> {
+fn leader_terms(state: &State, now_ms: u64, pause_ms: u64) -> Vec<(u64, u32)> {
     let terms = state.terms.recent(now_ms, pause_ms);
     terms.map(|(revision, at_ms)| (revision, age_ms(now_ms, at_ms))).collect()
 }
@@ -285,11 +285,11 @@
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Gossip(gossip)) => apply_gossip(&gateway, from.ip(), *gossip),
             Ok(Datagram::LoadChanges(changes)) => apply_load_changes(&gateway, from.ip(), &changes),
-            Ok(Datagram::HallSummary(news)) => {
-                gateway.state().peers.receive_hall_summary(now_ms(), news);
+            Ok(Datagram::HallSummary(summary)) => {
+                gateway.state().peers.receive_hall_summary(now_ms(), summary);
             }
-            Ok(Datagram::OtherHallsSummary(news)) => {
-                gateway.state().peers.receive_other_halls(now_ms(), &news);
+            Ok(Datagram::OtherHallsSummary(summary)) => {
+                gateway.state().peers.receive_other_halls(now_ms(), &summary);
             }
             Ok(Datagram::DelegatedCall(request)) => {
                 tokio::spawn(execute_for_peer(gateway.clone(), socket.clone(), request, from));
@@ -309,11 +309,11 @@
     let mut state = gateway.state();
     let now_ms = now_ms();
     let own = state.view.digest();
-    if apply_weights(&mut state, now_ms, &gossip) && state.is_bridge() {
+    if apply_engine_reports(&mut state, now_ms, &gossip) && state.is_bridge() {
         // The hall of this bridge learns of it from the bridge only.
         gateway.gossip_now.notify_one();
     }
-    apply_namings(&mut state, now_ms, &gossip);
+    apply_named_versions(&mut state, now_ms, &gossip);
     for (revision, age_ms) in &gossip.leader_terms {
         state.terms.merge(*revision, now_ms.saturating_sub(u64::from(*age_ms)));
     }
@@ -368,7 +368,7 @@
     }
 }
 
-/// Notes the upstreams that have refused requests of a peer, and for how long it sends them none.
+/// Notes the upstreams that have rejected requests of a peer, and for how long it sends them none.
 fn apply_backoffs(state: &mut State, now_ms: u64, backoffs: &[(u32, u16)]) {
     let offset_ms = u64::from(state.peers.local().short_id) % RETURN_SPREAD_MS;
     for (upstream, left_ms) in backoffs {
@@ -387,9 +387,9 @@
     }
 }
 
-/// Applies the leader's news of which engines load weights and which versions they have;
-/// returns whether any of it is new.
-fn apply_weights(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
+/// Applies what the leader has reported of engines: which of them load weights, and which versions
+/// they have. Returns whether any of it is new.
+fn apply_engine_reports(state: &mut State, now_ms: u64, gossip: &Gossip) -> bool {
     let mut is_new = false;
     for (engine, left_ms) in &gossip.loading_engines {
         let Some(engine) = state.upstreams.get_by_short_id_mut(*engine) else { continue };
@@ -417,18 +417,18 @@
     is_new
 }
 
-/// Applies when operators named weights versions.
-fn apply_namings(state: &mut State, now_ms: u64, gossip: &Gossip) {
+/// Applies the times at which operators named weight versions, as a peer reports them.
+fn apply_named_versions(state: &mut State, now_ms: u64, gossip: &Gossip) {
     for reported in &gossip.named_versions {
         let mut known = state.weights.iter_mut();
         if let Some((_, named)) = known.find(|(model, _)| short_id(model) == reported.model) {
             let at_ms = now_ms.saturating_sub(u64::from(reported.age_ms));
-            let naming = NamedVersion {
+            let named_version = NamedVersion {
                 version: reported.version,
                 previous: reported.previous,
                 named_at_ms: at_ms,
             };
-            named.merge(naming);
+            named.merge(named_version);
         }
     }
 }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -1,4 +1,4 @@
-//! Tasks of the leader: it has engines load the weights versions that operators have named,
+//! Tasks of the leader: it has engines load the weight versions that operators have named,
 //! frees unused context in the context stores, and prunes claims.
 
 use std::sync::Arc;
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -24,7 +24,7 @@
 const DEFAULT_DEPARTURE_APPLY_MS: u64 = 2000;
 /// Default interval of the upstreams' heartbeats.
 const DEFAULT_HEARTBEAT_MS: u64 = 1200;
-/// Default time in which all engines must have a new weights version.
+/// Default time in which all engines must have a new weight version.
 const DEFAULT_WEIGHTS_APPLY_MS: u64 = 10_000;
 
 /// Upper limit for durations: a day.
@@ -74,7 +74,7 @@
     pub departure_apply_ms: u64,
     /// Interval at which upstreams renew their entries in the metadata store.
     pub heartbeat_ms: u64,
-    /// Time in which all engines must have a new weights version.
+    /// Time in which all engines must have a new weight version.
     pub weights_apply_ms: u64,
 }
 
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -29,9 +29,9 @@
 const ABORTED_AFTER_MS: u64 = 5000;
 /// Maximum number of parts freed by one call.
 const FREE_BATCH: usize = 256;
-/// Number of named weights versions that are remembered: more than can follow each other within
-/// one roll-out.
-const REMEMBERED_NAMINGS: usize = 16;
+/// Number of releases that are remembered, one for each named weight version: more than can follow
+/// each other within one roll-out.
+const MAX_RELEASES: usize = 16;
 /// Time within which an order to free parts must arrive.
 const FREE_ORDER_TIMEOUT_MS: u64 = 800;
 
@@ -39,14 +39,15 @@
 #[derive(Default)]
 pub struct StoreCleanup {
     boxes: KnownBoxes,
-    namings: Vec<ContextRelease>,
+    /// One for each newly named version, oldest first.
+    releases: Vec<ContextRelease>,
     /// When all engines of a model were first seen with its newest weights, by model.
     all_newest_since_ms: HashMap<String, u64>,
-    /// Oldest weights version whose context may still be read, by model.
+    /// Oldest weight version whose context may still be read, by model.
     oldest_readable: HashMap<String, u64>,
     partial_checked_at_ms: u64,
     /// Incomplete parts, by store, each with its length and since when it has this length.
-    partial: HashMap<(String, PartKey), (u32, u64)>,
+    partial_parts: HashMap<(String, PartKey), (u32, u64)>,
 }
 
 impl StoreCleanup {
@@ -82,7 +83,7 @@
     fn update_oldest_readable(&mut self, gateway: &Gateway, now_ms: u64) -> bool {
         let mut has_risen = false;
         let state = gateway.state();
-        self.note_namings(&state, now_ms);
+        self.note_named_versions(&state, now_ms);
         let mut oldest_readable = self.released(now_ms);
         oldest_readable.extend(self.loaded_by_all(&state, now_ms));
         for (model, version) in oldest_readable {
@@ -93,30 +94,30 @@
         has_risen
     }
 
-    /// Remembers newly named weights versions, and notes which boxes have learned of them.
-    fn note_namings(&mut self, state: &State, now_ms: u64) {
+    /// Remembers newly named weight versions, and notes which boxes have learned of them.
+    fn note_named_versions(&mut self, state: &State, now_ms: u64) {
         self.boxes.note(now_ms, state.peers.addresses());
         for (model, named) in &state.weights {
             let version = named.newest();
             let is_known =
-                |naming: &ContextRelease| naming.model == *model && naming.version >= version;
+                |release: &ContextRelease| release.model == *model && release.version >= version;
             let written = state.view.get(&keys::weights(model));
             if let Some(written) = written
-                && !self.namings.iter().any(is_known)
+                && !self.releases.iter().any(is_known)
             {
-                self.namings.push(ContextRelease::new(
+                self.releases.push(ContextRelease::new(
                     model,
                     version,
                     written.revision,
                     &self.boxes,
                 ));
-                let first = self.namings.len().saturating_sub(REMEMBERED_NAMINGS);
-                self.namings.drain(..first);
+                let first = self.releases.len().saturating_sub(MAX_RELEASES);
+                self.releases.drain(..first);
             }
         }
-        for naming in &mut self.namings {
-            let revision = naming.revision;
-            naming.note_informed(now_ms, |address| {
+        for release in &mut self.releases {
+            let revision = release.revision;
+            release.note_informed(now_ms, |address| {
                 state.peers.has_reached_revision(address, revision)
             });
         }
@@ -124,8 +125,8 @@
 
     /// Models with the oldest version whose context boxes may still read from stores.
     fn released(&self, now_ms: u64) -> Vec<(String, u64)> {
-        let released = self.namings.iter().filter(|naming| naming.is_safe(now_ms));
-        released.map(|naming| (naming.model.clone(), naming.version)).collect()
+        let released = self.releases.iter().filter(|release| release.is_safe(now_ms));
+        released.map(|release| (release.model.clone(), release.version)).collect()
     }
 
     /// Models all of whose engines have had the newest version for longer than any transfer
@@ -154,23 +155,23 @@
         store: &str,
         listing: &CacheListing,
     ) -> Vec<CachedPart> {
-        let is_outdated = |kept: &CachedPart| {
-            let version = scope_version(&kept.scope);
-            let oldest = scope_model(&kept.scope).and_then(|model| self.oldest_readable.get(model));
+        let is_outdated = |part: &CachedPart| {
+            let version = scope_version(&part.scope);
+            let oldest = scope_model(&part.scope).and_then(|model| self.oldest_readable.get(model));
             oldest.is_some_and(|oldest| version.is_some_and(|version| version < *oldest))
         };
         let mut parts: Vec<CachedPart> = listing
             .complete
             .iter()
-            .map(|held| &held.part)
-            .filter(|kept| is_outdated(kept))
+            .map(|change| &change.part)
+            .filter(|part| is_outdated(part))
             .cloned()
             .collect();
         let mut listed = HashSet::new();
         for partial in &listing.partial {
             let key = (store.to_owned(), PartKey::new(&partial.part.scope, &partial.part.part_id));
             listed.insert(key.clone());
-            let known = self.partial.entry(key).or_insert((partial.complete_tokens, now_ms));
+            let known = self.partial_parts.entry(key).or_insert((partial.complete_tokens, now_ms));
             if known.0 != partial.complete_tokens {
                 *known = (partial.complete_tokens, now_ms);
             }
@@ -178,7 +179,7 @@
                 parts.push(partial.part.clone());
             }
         }
-        self.partial.retain(|key, _| key.0 != store || listed.contains(key));
+        self.partial_parts.retain(|key, _| key.0 != store || listed.contains(key));
         parts
     }
 }
@@ -231,8 +232,8 @@
             Ok(FreeOutcome::Freed) => {
                 info!(target: "leader", "event=parts_freed store={name} count={}", batch.len());
                 if let Some((_, store)) = gateway.state().stores.get_mut(name) {
-                    for kept in batch {
-                        store.contents.set_tokens(PartKey::new(&kept.scope, &kept.part_id), 0);
+                    for part in batch {
+                        store.contents.set_tokens(PartKey::new(&part.scope, &part.part_id), 0);
                     }
                 }
             }
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -1,4 +1,4 @@
-//! Decodes the operators' configuration document and the named weights versions.
+//! Decodes the operators' configuration document and the named weight versions.
 //!
 //! Unknown fields are ignored.
 
@@ -149,7 +149,7 @@
     Ok(configuration.indexed())
 }
 
-/// Decodes a named weights version.
+/// Decodes a named weight version.
 pub(super) fn weights(bytes: &[u8]) -> serde_json::Result<u64> {
     serde_json::from_slice::<WeightsDocument>(bytes).map(|document| document.version)
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -28,9 +28,9 @@
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
 /// Priority from 0 to 9; 0 is served first.
 pub const PRIORITY: HeaderName = HeaderName::from_static("priority");
-/// Weights version with which the request must run.
+/// Weight version with which the request must run.
 pub const WEIGHT_VERSION: HeaderName = HeaderName::from_static("expect-version");
-/// Weights version with which the request was run.
+/// Weight version with which the request was run.
 pub const RAN_VERSION: HeaderName = HeaderName::from_static("versions");
 /// Name under which cached context is looked up.
 pub const CONTEXT_SCOPE: HeaderName = HeaderName::from_static("cache-salt");
--- a/src/platform/keys.rs
+++ b/src/platform/keys.rs
@@ -11,7 +11,7 @@
 pub const UPSTREAM_PREFIX: &str = "servers/";
 /// Key of the configuration.
 const CONFIGURATION: &str = "op/config";
-/// Prefix of the keys that name the weights version of a model.
+/// Prefix of the keys that name the weight version of a model.
 const WEIGHTS_PREFIX: &str = "op/version/";
 /// Prefix of the keys that the gateway writes.
 pub const OWN_PREFIX: &str = "coursestile/";
@@ -21,7 +21,7 @@
 pub enum KeyKind<'a> {
     /// The configuration.
     Configuration,
-    /// The weights version that operators have named for a model.
+    /// The weight version that operators have named for a model.
     Weights {
         /// Name of the model.
         model: &'a str,
@@ -89,7 +89,7 @@
     format!("{OWN_PREFIX}claims")
 }
 
-/// The key that names the weights version of a model.
+/// The key that names the weight version of a model.
 #[must_use]
 pub fn weights(model: &str) -> String {
     format!("{WEIGHTS_PREFIX}{model}")
@@ -103,7 +103,7 @@
     document::configuration(bytes).map_err(|error| decode_error(CONFIGURATION, &error))
 }
 
-/// Decodes a named weights version.
+/// Decodes a named weight version.
 ///
 /// # Errors
 /// Fails with the key and the position of the error.
