--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -36,7 +36,7 @@
     pub route: Route,
     /// Version of the configuration under which it was admitted.
     pub config_version: u64,
-    /// Account whose kept context is not shared with other accounts.
+    /// Account whose cached context is not shared with other accounts.
     pub isolated_account: Option<String>,
     pub arrived_at_ms: u64,
     /// Upstreams that it has been sent to.
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -17,10 +17,10 @@
     quarantine, reachability, store_updates,
 };
 
-/// Time for which a stopping box still accepts requests: the load balancer checks it every
-/// second and stops sending after two refusals; clients are told by each answer.
+/// Time for which a stopping box still accepts requests: the load balancer checks it every second
+/// and stops sending after two refusals; each answer tells its client to close the connection.
 const LEAVE_MS: u64 = 2500;
-/// Part of the time to stop that is kept as a reserve.
+/// Margin before the end of the time in which the box must stop.
 const STOP_MARGIN_MS: u64 = 400;
 /// Interval at which a stopping box checks whether its requests have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
@@ -81,9 +81,10 @@
     while gateway.state().requests_in_flight > 0 && now_ms() < stop_at_ms {
         sleep(STOP_POLL).await;
     }
-    let serving = gateway.state().requests_in_flight;
-    if serving > 0 {
-        warn!(target: "daemon", "event=requests_cut count={serving} reason=time_to_stop_is_over");
+    let requests_in_flight = gateway.state().requests_in_flight;
+    if requests_in_flight > 0 {
+        warn!(target: "daemon",
+            "event=requests_cut count={requests_in_flight} reason=time_to_stop_is_over");
     }
     // Lets the last answers reach the clients.
     sleep(STOP_POLL).await;
--- a/src/gateway/decisions/choose.rs
+++ b/src/gateway/decisions/choose.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
     pub upstream: Incarnation,
-    /// Cached context that the engine is told to use; `None` for services without
+    /// Cached context that the request tells the engine to use; `None` for services without
     /// model engines.
     pub context: Option<ContextPlan>,
     /// Expected time to the first token.
--- a/src/gateway/decisions/context.rs
+++ b/src/gateway/decisions/context.rs
@@ -1,5 +1,5 @@
-//! What an engine is told about cached context: the source of each prompt part, and the store to
-//! which it is saved.
+//! What a request tells an engine about cached context: the source of each prompt part, and the
+//! store to which it is saved.
 
 use crate::gateway::decisions::cache_contents::PartKey;
 
--- a/src/gateway/decisions/sources.rs
+++ b/src/gateway/decisions/sources.rs
@@ -123,7 +123,7 @@
         longest.stores.first().map(|(store, _)| store.hall.as_str())
     }
 
-    /// The sources and saves that `upstream` would be told.
+    /// The sources and saves that a request to `upstream` would name.
     #[must_use]
     pub fn plan(&self, engine: &EngineSpec, upstream: &Upstream) -> ContextPlan {
         let objective_ms = self.objective_ms;
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -1,4 +1,4 @@
-//! Applies what upstreams report about themselves in their entries in the metadata store and in
+//! Applies what upstreams report about themselves, in their entries in the metadata store and in
 //! their answers. Connections to an upstream that has gone or restarted are discarded.
 
 use log::{info, warn};
@@ -52,7 +52,7 @@
     gateway.connections.close_idle_to(id);
 }
 
-/// Compares the start time reported with the answer to a call made at `asked_at_ms` with the
+/// Compares the start time that came with the answer to a call made at `asked_at_ms` with the
 /// known one. This may show a restart of the upstream before its entry does.
 pub fn note_answering_incarnation(
     gateway: &Gateway,
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -1,5 +1,5 @@
-//! Keeps track of the context that engines and context stores cache, from the change events that
-//! each of these caches publishes.
+//! Follows the contents of caches, that is, of engines and context stores, by the change events
+//! that each of them publishes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/gateway/heads.rs
+++ b/src/gateway/heads.rs
@@ -32,7 +32,7 @@
     pub ran_version: Option<u64>,
     /// Whether the body is encoded, which means that it is not the upstream's own.
     pub encoded: bool,
-    /// What the upstream asks of this box for later requests.
+    /// Whether the upstream is about to leave, or asks for a back-off.
     pub notice: Notice,
 }
 
--- a/src/gateway/in_flight.rs
+++ b/src/gateway/in_flight.rs
@@ -15,12 +15,12 @@
 use crate::gateway::kernel::Gateway;
 use crate::gateway::silence;
 
-/// Time to the first token that is spent on neither reading the prompt nor fetching context, with
+/// Time to the first token that is spent on neither the prefill nor fetching context, with
 /// some margin.
 const FIRST_TOKEN_OVERHEAD_MS: f64 = 60.0;
 /// An upstream that rejects a request within this time did not queue it. It is a few round trips.
 const IMMEDIATE_REJECTION_MS: u64 = 100;
-/// Prompts of this length occupy an engine for about 20 ms or more. Other boxes are told of them
+/// Prompts of this length occupy an engine for about 20 ms or more. Other boxes learn of them
 /// at once, not only with the next periodic gossip.
 const LONG_PROMPT_TOKENS: u32 = 1000;
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Records that the prompt has been read, and how long fetching context took. A prompt that
+    /// Records that the prefill has ended, and how long fetching context took. A prompt that
     /// had to wait for the engine says nothing about the stores.
     pub fn record_first_bytes(&mut self) {
         let late_ms = as_f64(now_ms() - self.begun_at_ms)
@@ -94,7 +94,7 @@
         let slowdown = (self.engine_wait_negligible && self.fetch_ms > 0.0)
             .then(|| 1.0 + late_ms.max(0.0) / self.fetch_ms);
         self.record_first_token();
-        self.end_prompt(slowdown);
+        self.end_prefill(slowdown);
     }
 
     /// Reports to the admission limits whether the first token came in time.
@@ -118,18 +118,18 @@
         }
     }
 
-    fn report_first_token(&self, end: FirstTokenOutcome) {
+    fn report_first_token(&self, outcome: FirstTokenOutcome) {
         let mut state = self.gateway.state();
         let service = state
             .upstreams
             .get_incarnation(&self.upstream)
             .map(|upstream| upstream.entry.service.clone());
         if let Some(service) = service {
-            state.admission_limits.record_first_token(&service, end);
+            state.admission_limits.record_first_token(&service, outcome);
         }
     }
 
-    fn end_prompt(&mut self, slowdown: Option<f64>) {
+    fn end_prefill(&mut self, slowdown: Option<f64>) {
         let tokens = std::mem::take(&mut self.pending_prefill_tokens);
         let mut state = self.gateway.state();
         if let Some(upstream) = state.upstreams.get_incarnation_mut(&self.upstream) {
@@ -184,13 +184,13 @@
         }
     }
 
-    /// Applies what the upstream asks of this box, and gossips it.
+    /// Applies a notice of the upstream, and gossips it.
     pub fn apply_notice(&self, notice: Notice) {
         let now_ms = now_ms();
         info!(target: "serve", "event=upstream_says upstream={} leaving={} rest_ms={}",
             self.upstream.id, notice.leaving, notice.backoff_ms.unwrap_or_default());
-        let asked = NoticeState::from_notice(now_ms, notice);
-        self.gateway.state().upstreams.apply_notices(now_ms, &self.upstream, asked);
+        let notices = NoticeState::from_notice(now_ms, notice);
+        self.gateway.state().upstreams.apply_notices(now_ms, &self.upstream, notices);
         self.gateway.gossip_now.notify_one();
     }
 
@@ -243,7 +243,7 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.record_missing_first_token();
-        self.end_prompt(None);
+        self.end_prefill(None);
         if let Some(upstream) = self.gateway.state().upstreams.get_incarnation_mut(&self.upstream) {
             upstream.record_request_end(self.memory_tokens);
         }
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -53,37 +53,37 @@
     /// Upstreams of all services, by id.
     pub upstreams: Upstreams,
     pub stores: Stores,
-    /// Time limits that clients usually send, by route.
+    /// The longest recent timeout of each route.
     pub route_timeouts: RouteTimeouts,
     /// Admission limits of the services.
     pub admission_limits: AdmissionLimits,
     /// Retry budgets, by service.
     pub retry_budget: RetryBudget,
-    /// Requests that crashed upstreams.
+    /// Requests that crash upstreams.
     pub quarantine: Quarantine,
     /// The other boxes of the fleet.
     pub peers: Peers,
     /// Whether this box watches the metadata store itself instead of receiving changes from
     /// peers.
     pub follows_metadata: bool,
-    /// Whether this box watches the stores of kept context itself.
+    /// Whether this box watches the context stores itself.
     pub follows_caches: bool,
     /// When this box had waited long enough after its start to have received gossip
     /// from its peers.
     pub warmed_up_at_ms: Option<u64>,
     /// Whether the fleet is so small that every box watches everything.
     pub small_fleet: bool,
-    /// How far the upstreams' clock is ahead of the local one; `None` until a message has told it.
+    /// How far the upstreams' clock is ahead of the local one; `None` until a message has shown it.
     pub upstream_clock_offset_ms: Option<i64>,
     /// Client requests in flight, including those whose response body is still being sent.
     pub requests_in_flight: usize,
-    /// The leader lease, while this box holds it.
+    /// The term of this box as the leader, while it lasts.
     pub leadership: Option<Leadership>,
-    /// When the leases of earlier leaders were seen to end.
+    /// When the terms of earlier leaders were seen to end.
     pub terms: LeaderTerms,
     /// Claims that leaders have written, while this box leads.
     pub claim_record: Option<ClaimRecord>,
-    /// Orders of this box that engines have not answered yet.
+    /// Number of orders of this box that engines have not answered yet.
     pub orders_in_flight: usize,
     /// Engines whose weights this box is replacing; they get no new requests.
     pub loading_engines: HashSet<String>,
@@ -99,18 +99,19 @@
     /// Whether this box holds the leader lease with fencing token `fence`.
     #[must_use]
     pub fn leads(&self, now_ms: u64, fence: u64) -> bool {
-        self.leadership.is_some_and(|held| held.fence == fence && now_ms < held.until_ms)
+        self.leadership
+            .is_some_and(|leadership| leadership.fence == fence && now_ms < leadership.until_ms)
     }
 
-    /// Gives up leadership locally: no order is given from now on.
+    /// Ends the leadership locally: no order is given from now on.
     pub fn stop_leading(&mut self) {
         self.claim_record = None;
-        if let Some(held) = &mut self.leadership {
-            held.until_ms = 0;
+        if let Some(leadership) = &mut self.leadership {
+            leadership.until_ms = 0;
         }
     }
 
-    /// Forgets what the stores of kept context hold.
+    /// Forgets what the context stores contain.
     pub fn forget_store_contents(&mut self) {
         for (_, store) in self.stores.iter_mut() {
             store.contents.mark_unknown();
@@ -118,7 +119,7 @@
     }
 
     /// Whether this box relays gossip between its hall and others. In a large fleet the boxes that
-    /// watch the stores of kept context do, which are the strongest of each hall.
+    /// watch the context stores do, which are the strongest of each hall.
     #[must_use]
     pub fn is_bridge(&self) -> bool {
         self.follows_caches && !self.small_fleet
@@ -133,7 +134,7 @@
     }
 
     /// Applies the reports of all other boxes. Load reported by boxes that have fallen silent
-    /// lapses; and an upstream may be new to this box although peers have reported on it before.
+    /// expires; and an upstream may be new to this box although peers have reported on it before.
     pub fn apply_peer_reports(&mut self, now_ms: u64) {
         let Self { peers, upstreams, stores, admission_limits, .. } = self;
         peers.expire(now_ms);
@@ -182,7 +183,7 @@
     /// Short id of the model.
     pub model: u32,
     pub version: u64,
-    /// When this box stops telling peers about it.
+    /// When this box stops reporting it to peers.
     pub until_ms: u64,
 }
 
@@ -190,7 +191,7 @@
 pub struct Gateway {
     pub settings: Settings,
     pub metadata: MetadataClient,
-    /// Client for calls to engines and stores about kept context.
+    /// Client for calls to engines and stores about cached context.
     pub caches: CacheClient,
     /// Client for reports of engines and orders to them.
     pub engines: EngineClient,
@@ -246,7 +247,7 @@
             admission_limits: AdmissionLimits::default(),
             retry_budget: RetryBudget::new(retry_config, now_ms()),
             quarantine: Quarantine::default(),
-            peers: Peers::new(own(&settings), &settings.seeds),
+            peers: Peers::new(local_box(&settings), &settings.seeds),
             follows_metadata: true,
             follows_caches: true,
             warmed_up_at_ms: None,
@@ -305,9 +306,9 @@
 
     /// Waits until `phase` or a later one is reached.
     pub async fn wait_for_phase(&self, phase: BoxPhase) {
-        let mut seen = self.phase.subscribe();
+        let mut phases = self.phase.subscribe();
         // The sender lives as long as the gateway, so this cannot fail.
-        let _ = seen.wait_for(|now| *now >= phase).await;
+        let _ = phases.wait_for(|current| *current >= phase).await;
     }
 }
 
@@ -320,7 +321,7 @@
 }
 
 /// The identity that this box announces to its peers.
-fn own(settings: &Settings) -> LocalBox {
+fn local_box(settings: &Settings) -> LocalBox {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
@@ -328,6 +329,10 @@
     )]
     let millicores = (settings.cores * 1000.0) as u32;
     let address = settings.peers;
-    let own_short_id = short_id(&address.ip().to_string());
-    LocalBox { short_id: own_short_id, address, hall: short_id(&settings.hall), millicores }
+    LocalBox {
+        short_id: short_id(&address.ip().to_string()),
+        address,
+        hall: short_id(&settings.hall),
+        millicores,
+    }
 }
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -70,7 +70,12 @@
 }
 
 /// Remaining time in which an engine that has `version` must get newer weights.
-fn left_ms(gateway: &Gateway, named: Option<&NamedVersions>, now_ms: u64, version: u64) -> u64 {
+fn time_left_ms(
+    gateway: &Gateway,
+    named: Option<&NamedVersions>,
+    now_ms: u64,
+    version: u64,
+) -> u64 {
     let bound_ms = gateway.settings.bounds.weights_apply_ms;
     let behind_since_ms = named.and_then(|named| named.behind_since_ms(version));
     let Some(behind_since_ms) = behind_since_ms else { return bound_ms };
@@ -124,7 +129,7 @@
             RolloutCandidate {
                 id: engine.id.clone(),
                 version: engine.weight_version(model),
-                time_left_ms: left_ms(gateway, named, now_ms, engine.weight_version(model)),
+                time_left_ms: time_left_ms(gateway, named, now_ms, engine.weight_version(model)),
                 is_loading: state.loading_engines.contains(&engine.id),
                 may_be_ordered: now_ms >= failed.retry_at_ms
                     && claims::may_order(state, bounds, now_ms, short_id(&engine.id)),
--- a/src/gateway/metadata.rs
+++ b/src/gateway/metadata.rs
@@ -1,4 +1,4 @@
-//! Types of the metadata store's contents and answers.
+//! Types for the contents and the answers of the metadata store.
 
 /// An item of the metadata store.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,17 +4,30 @@
 //! `decisions` holds the policies, as pure functions of state and time; all other modules perform
 //! I/O and apply them.
 //!
-//! State of the fleet: `follow` and `follow_caches` watch the metadata store and the stores of
-//! kept context, `gossip` and `catch_up` exchange state with other boxes, `entries` reads what
-//! upstreams publish about themselves, and `members` where other boxes are.
+//! State of the fleet:
+//! - `follow_metadata` watches the metadata store; `metadata` has the types of its contents.
+//! - `follow_caches` watches the cached context of engines and context stores; `store_updates`
+//!   publishes that of the stores to other boxes.
+//! - `gossip` and `catch_up` exchange state with other boxes.
+//! - `entries` applies what upstreams report about themselves, and `members` the addresses at
+//!   which other boxes may run.
 //!
-//! Request path: `listener`, `check`, `serve`, `refuse`, `attempt`, `in_flight`, `silence`,
-//! `overdue_weights` and `relay`; `crashes` and `quarantine` withhold requests that crash
-//! upstreams, `reachability` probes upstreams, and `request_log` writes the log lines.
+//! Path of a request:
+//! - `listener` accepts connections, `check` validates a request, and `serve` makes the attempts.
+//! - `attempt` sends a request to one upstream over one of the `connections`, `in_flight` accounts
+//!   for it there, and `relay` forwards the response; `heads`, `events` and `response` have its
+//!   parts.
+//! - `silence` and `overdue_weights` end attempts that should be made elsewhere.
+//! - `refuse` composes refusals, and `request_log` writes log lines.
+//! - `crashes` and `quarantine` withhold requests that crash upstreams, and `reachability` probes
+//!   upstreams.
 //!
 //! Leader: `leadership`, `claims`, `leader`, `weight_loads` and `store_cleanup` do what a single
 //! box does for the whole fleet; `leader_calls` makes calls on behalf of a leader that cannot reach
 //! the metadata store itself.
+//!
+//! Process: `daemon` starts and stops the tasks, which share the state in `kernel`; `settings`
+//! reads the settings file, and `invariants` checks invariants.
 
 pub mod attempt;
 pub mod catch_up;
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -83,7 +83,7 @@
     let now_ms = now_ms();
     let (revision, stored, current) = {
         let state = gateway.state();
-        if state.leadership.is_none_or(|held| now_ms >= held.until_ms) {
+        if state.leadership.is_none_or(|leadership| now_ms >= leadership.until_ms) {
             return Ok(());
         }
         let written = state.view.get(&key);
--- a/src/gateway/relay/moves.rs
+++ b/src/gateway/relay/moves.rs
@@ -21,12 +21,12 @@
 /// about to load weights.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(600);
 /// A stream is moved off an engine that is about to load weights only if another engine is
-/// expected to resume it within this time. Resuming reads the prompt again, and other requests
-/// wait there meanwhile.
+/// expected to resume it within this time. Resuming repeats the prefill of the prompt, and other
+/// requests wait there meanwhile.
 const QUICK_MOVE_MS: f64 = 100.0;
 /// How often it is checked whether a stream should be moved; short compared to a load of weights.
 const MOVE_CHECK_PERIOD: Duration = Duration::from_millis(50);
-/// Pause previous another upstream is looked for again, in which the load of upstreams changes.
+/// Pause before another upstream is looked for again, in which the load of upstreams changes.
 const MOVE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// How an attempt to move a stream ended. The texts are logged.
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -31,7 +31,7 @@
 const PUBLISH_PERIOD: Duration = Duration::from_millis(100);
 /// Number of periods without changes that pass before an empty message is sent as keep-alive.
 const SKIPPED_EMPTY_MESSAGES: u32 = 4;
-/// Silence after which a subscription is given up: twice the interval between keep-alives.
+/// Silence after which a subscription is ended: twice the interval between keep-alives.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum time to establish a connection, or to send a message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -189,9 +189,9 @@
 /// quickly.
 fn takeover_drain_ms(gateway: &Gateway, now_ms: u64) -> Option<u64> {
     let state = gateway.state();
-    let held = state.leadership?;
+    let leadership = state.leadership?;
     let is_quick_succession = claims::has_paused_targets(&state, &gateway.settings.bounds, now_ms);
-    is_quick_succession.then(|| now_ms.saturating_sub(held.taken_at_ms))
+    is_quick_succession.then(|| now_ms.saturating_sub(leadership.taken_at_ms))
 }
 
 /// Whether the engine still runs requests, and this box still leads.
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -43,7 +43,7 @@
     service: Option<String>,
     #[serde(default)]
     split: Vec<DocumentTarget>,
-    #[serde(default = "one")]
+    #[serde(default = "default_max_attempts")]
     max_attempts: u32,
     #[serde(default)]
     public: bool,
@@ -125,7 +125,7 @@
     version: u64,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
