--- a/src/gateway/catch_up.rs
+++ b/src/gateway/catch_up.rs
@@ -138,7 +138,7 @@
     }
 }
 
-/// The result of an exchange that was limited by a time-out.
+/// The result of an exchange that was limited by a timeout.
 fn in_time<T>(
     result: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
 ) -> Result<T> {
--- a/src/gateway/check.rs
+++ b/src/gateway/check.rs
@@ -41,7 +41,7 @@
     pub arrived_at_ms: u64,
     /// Upstreams that it has been sent to.
     pub tried: Vec<Incarnation>,
-    /// Attempts that count towards the route's limit: the intended upstream may have got them.
+    /// Attempts that count towards the route's limit: the intended upstream may have received them.
     pub attempts_made: u32,
     /// Attempts that reached no upstream, or another incarnation than the intended one.
     pub undelivered_attempts: u32,
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -69,7 +69,7 @@
     if !state.view.is_loaded() {
         return;
     }
-    let leader = state.view.get(&keys::lease(LEASE_NAME)).map(|written| written.revision);
+    let leader = state.view.get(&keys::lease(LEASE_NAME)).map(|item| item.revision);
     let at_revision = state.view.at_revision();
     state.terms.note_leader(now_ms, leader, at_revision);
 }
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -138,7 +138,7 @@
     address: SocketAddr,
     known: &mut bool,
 ) -> Result<()> {
-    // The events of a store do not cover what it held before this box followed it.
+    // The events of a store do not cover what it contained before this box followed it.
     if !*known && matches!(cache_id, CacheId::Store(_)) {
         list(gateway, cache_id, address).await?;
         *known = true;
--- a/src/gateway/gossip.rs
+++ b/src/gateway/gossip.rs
@@ -225,13 +225,13 @@
     let encoded = |left_ms: u64| u16::try_from(left_ms).unwrap_or(u16::MAX);
     let ordered = state.loading_engines.iter().filter_map(|id| state.upstreams.get(id));
     let ordered = ordered.map(|engine| (engine.short_id, encoded(LOADING_GOSSIP_MS)));
-    let relayed = state.upstreams.iter().filter(|engine| {
+    let learned = state.upstreams.iter().filter(|engine| {
         state.is_bridge()
             && engine.is_loading(now_ms)
             && !state.loading_engines.contains(&engine.id)
     });
-    let relayed = relayed.map(|engine| (engine.short_id, encoded(engine.loading_left_ms(now_ms))));
-    ordered.chain(relayed).collect()
+    let learned = learned.map(|engine| (engine.short_id, encoded(engine.loading_left_ms(now_ms))));
+    ordered.chain(learned).collect()
 }
 
 /// Weight versions that engines were recently seen to reach.
--- a/src/gateway/kernel.rs
+++ b/src/gateway/kernel.rs
@@ -63,15 +63,15 @@
     pub quarantine: Quarantine,
     /// The other boxes of the fleet.
     pub peers: Peers,
-    /// Whether this box watches the metadata store itself instead of receiving changes from
+    /// Whether this box follows the metadata store itself instead of receiving changes from
     /// peers.
     pub follows_metadata: bool,
-    /// Whether this box watches the context stores itself.
+    /// Whether this box follows the context stores itself.
     pub follows_caches: bool,
-    /// When this box had waited long enough after its start to have received gossip
-    /// from its peers.
+    /// When this box had waited long enough after its start to have received gossip from its
+    /// peers.
     pub warmed_up_at_ms: Option<u64>,
-    /// Whether the fleet is so small that every box watches everything.
+    /// Whether the fleet is so small that every box follows everything.
     pub small_fleet: bool,
     /// How far the upstreams' clock is ahead of the local one; `None` until a message has shown it.
     pub upstream_clock_offset_ms: Option<i64>,
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Whether this box relays gossip between its hall and others. In a large fleet the boxes that
-    /// watch the context stores do, which are the strongest of each hall.
+    /// Whether this box passes gossip on between its hall and others. In a large fleet the boxes
+    /// that follow the context stores do, which are the strongest of each hall.
     #[must_use]
     pub fn is_bridge(&self) -> bool {
         self.follows_caches && !self.small_fleet
@@ -199,7 +199,7 @@
     pub connections: Connections,
     /// Wakes requests that wait for an upstream.
     pub capacity_changed: Notify,
-    /// Makes the task that watches the metadata store read it again.
+    /// Interrupts the current watch of the metadata store, so that it is read again.
     pub refresh_metadata: Notify,
     /// Wakes the task that fetches missing items from a peer that is ahead.
     pub catch_up_now: Notify,
@@ -329,10 +329,6 @@
     )]
     let millicores = (settings.cores * 1000.0) as u32;
     let address = settings.peers;
-    LocalBox {
-        short_id: short_id(&address.ip().to_string()),
-        address,
-        hall: short_id(&settings.hall),
-        millicores,
-    }
+    let box_short_id = short_id(&address.ip().to_string());
+    LocalBox { short_id: box_short_id, address, hall: short_id(&settings.hall), millicores }
 }
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -82,7 +82,7 @@
     }
 }
 
-/// Gives up the leadership for good and ends the lease, so that another box need not wait
+/// Ends the leadership of this box for good, and its lease, so that another box need not wait
 /// until it expires.
 pub async fn resign(gateway: &Gateway) {
     gateway.resigned.send_replace(true);
@@ -178,6 +178,6 @@
 /// Sleeps until the next renewal is due; returns false if this box resigns meanwhile.
 async fn wait_for_renewal(gateway: &Gateway, period: Duration) -> bool {
     let mut resigned = gateway.resigned.subscribe();
-    // Only a time-out is an error here: the gateway owns the sender, so it is never dropped.
+    // Only a timeout is an error here: the gateway owns the sender, so it is never dropped.
     timeout(period, resigned.wait_for(|resigned| *resigned)).await.is_err()
 }
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -57,11 +57,11 @@
         if state.leadership.is_none_or(|leadership| now_ms() >= leadership.until_ms) {
             return Ok(());
         }
-        let written = state.view.get(&key);
+        let item = state.view.get(&key);
         // A list that cannot be decoded, which `apply` has logged, is replaced.
-        let listed = written.and_then(|written| read(&written.value).ok()).unwrap_or_default();
+        let listed = item.and_then(|item| read(&item.value).ok()).unwrap_or_default();
         let next = next_list(&listed, &state.peers.gossip_senders(), all_had_time);
-        (written.map_or(0, |written| written.revision), next)
+        (item.map_or(0, |item| item.revision), next)
     };
     let Some(next) = next else { return Ok(()) };
     let value = postcard::to_stdvec(&next).map_err(|error| codec_error(&error))?;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -5,8 +5,8 @@
 //! I/O and apply them.
 //!
 //! State of the fleet:
-//! - `follow_metadata` watches the metadata store; `metadata` has the types of its contents.
-//! - `follow_caches` watches the cached context of engines and context stores; `store_updates`
+//! - `follow_metadata` follows the metadata store; `metadata` has the types of its contents.
+//! - `follow_caches` follows the cached context of engines and context stores; `store_updates`
 //!   publishes that of the stores to other boxes.
 //! - `gossip` and `catch_up` exchange state with other boxes.
 //! - `entries` applies what upstreams report about themselves, and `members` the addresses at
--- a/src/gateway/quarantine.rs
+++ b/src/gateway/quarantine.rs
@@ -86,11 +86,11 @@
         if state.leadership.is_none_or(|leadership| now_ms >= leadership.until_ms) {
             return Ok(());
         }
-        let written = state.view.get(&key);
+        let item = state.view.get(&key);
         // A value that cannot be read, which `restore` has logged, is overwritten.
-        let stored = written.and_then(|written| read(&written.value).ok());
+        let stored = item.and_then(|item| read(&item.value).ok());
         let current: StoredQuarantine = state.quarantine.quarantined(now_ms).collect();
-        (written.map_or(0, |written| written.revision), stored, current)
+        (item.map_or(0, |item| item.revision), stored, current)
     };
     let is_written =
         if revision == 0 { current.is_empty() } else { stored.as_ref() == Some(&current) };
--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -32,12 +32,16 @@
     gateway: Arc<Gateway>,
     request: AdmittedRequest,
     choice: Choice,
+    /// The response of the present upstream; `None` if no upstream is left.
     response: Option<UpstreamResponse>,
+    /// The start of an event that is not complete yet.
     buffer: BytesMut,
     last_event_id: Option<String>,
     /// Bytes that were read before forwarding began, and are still to be sent.
     pending: Bytes,
-    passed_bytes: usize,
+    /// Bytes that were forwarded so far.
+    forwarded_bytes: usize,
+    /// Whether any data was received from an upstream.
     begun: bool,
     /// What was read from the upstream while another was being asked to resume.
     read_ahead: Option<ReadOutcome>,
@@ -63,7 +67,7 @@
         buffer: BytesMut::new(),
         last_event_id: None,
         pending,
-        passed_bytes: 0,
+        forwarded_bytes: 0,
         begun: false,
         read_ahead: None,
         may_move_at: Some(Instant::now()),
@@ -98,7 +102,7 @@
     async fn next(&mut self) -> Option<Result<Bytes, BodyAborted>> {
         if !self.pending.is_empty() {
             let pending = std::mem::take(&mut self.pending);
-            self.passed_bytes += pending.len();
+            self.forwarded_bytes += pending.len();
             return Some(Ok(pending));
         }
         loop {
@@ -111,7 +115,8 @@
             let may_move_at = self.may_move_at.filter(|_| resumable);
             let has_event = self.last_event_id.is_some();
             let next = tokio::select! {
-                // Polled in order: data comes first, since dropping the read would lose `read_ahead`.
+                // Polled in order: data comes first, since dropping the read would lose
+                // `read_ahead`.
                 biased;
                 next = timeout_at(deadline, read(self.read_ahead.take(), &mut response.body)) => next,
                 reason = moves::wait_for_reason(&response.in_flight, has_event, may_move_at) => Ok(reason),
@@ -130,7 +135,7 @@
                     }
                     let bytes = self.complete_events(bytes);
                     if !bytes.is_empty() {
-                        self.passed_bytes += bytes.len();
+                        self.forwarded_bytes += bytes.len();
                         return Some(Ok(bytes));
                     }
                 }
@@ -140,7 +145,7 @@
                         response.finish();
                     }
                     crashes::record_answered(&self.gateway, self.request.outgoing.fingerprint);
-                    log_answered(&self.request, &self.choice, status, self.passed_bytes);
+                    log_answered(&self.request, &self.choice, status, self.forwarded_bytes);
                     return None;
                 }
                 ReadOutcome::End => {
@@ -256,7 +261,7 @@
     fn log_broken(&self, cause: &str) {
         info!(target: "relay",
             "event=stream_broken request={} upstream={} cause=\"{cause}\" passed_bytes={} held_ms={}",
-            self.request.outgoing.request_id, self.choice.upstream.id, self.passed_bytes,
+            self.request.outgoing.request_id, self.choice.upstream.id, self.forwarded_bytes,
             now_ms() - self.request.arrived_at_ms);
     }
 }
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -1,10 +1,10 @@
 //! Frees space in the context stores: parts computed with weights that no engine has any more,
-//! and parts that were only written in part.
+//! and parts that were only partly written.
 //!
 //! A part is freed only when no transfer that may involve it can still be running: when no box
 //! reads it any more (`decisions::release`), or when every engine has had newer weights for
 //! longer than any transfer takes. The second condition is needed as well, for parts that
-//! engines with the old weights have saved after the first one held.
+//! engines with the old weights have saved after the first one was met.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -101,16 +101,11 @@
             let version = named.newest();
             let is_known =
                 |release: &ContextRelease| release.model == *model && release.version >= version;
-            let written = state.view.get(&keys::weights(model));
-            if let Some(written) = written
+            let item = state.view.get(&keys::weights(model));
+            if let Some(item) = item
                 && !self.releases.iter().any(is_known)
             {
-                self.releases.push(ContextRelease::new(
-                    model,
-                    version,
-                    written.revision,
-                    &self.boxes,
-                ));
+                self.releases.push(ContextRelease::new(model, version, item.revision, &self.boxes));
                 let first = self.releases.len().saturating_sub(MAX_RELEASES);
                 self.releases.drain(..first);
             }
--- a/src/gateway/store_updates.rs
+++ b/src/gateway/store_updates.rs
@@ -162,7 +162,7 @@
     postcard::to_stdvec(value).map_err(|error| Error::Message(error.to_string()))
 }
 
-/// The result of an exchange with `peer` that was limited by a time-out.
+/// The result of an exchange with `peer` that was limited by a timeout.
 fn in_time<T>(
     result: std::result::Result<std::io::Result<T>, tokio::time::error::Elapsed>,
     peer: SocketAddr,
--- a/src/platform/document.rs
+++ b/src/platform/document.rs
@@ -10,7 +10,7 @@
     Account, ClientLimits, Configuration, EngineSpec, RetryPolicy, Route, Service, Store, Target,
 };
 
-/// Time-out of requests on a route without one.
+/// Timeout of requests on a route without one.
 const DEFAULT_TIMEOUT_MS: u64 = 30_000;
 /// Latency objective of a route without one.
 const DEFAULT_LATENCY_OBJECTIVE_MS: u64 = 1000;
@@ -43,7 +43,7 @@
     service: Option<String>,
     #[serde(default)]
     split: Vec<DocumentTarget>,
-    #[serde(default = "default_max_attempts")]
+    #[serde(default = "one")]
     max_attempts: u32,
     #[serde(default)]
     public: bool,
@@ -125,7 +125,7 @@
     version: u64,
 }
 
-fn default_max_attempts() -> u32 {
+fn one() -> u32 {
     1
 }
 
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -31,7 +31,7 @@
 /// Which servers a client calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Servers {
-    /// A single server: a time-out on one connection makes all of them suspect.
+    /// A single server: a timeout on one connection makes all of them suspect.
     Single,
     /// Many servers that are independent of each other.
     Many,
--- a/src/platform/metadata.rs
+++ b/src/platform/metadata.rs
@@ -1,6 +1,6 @@
 //! Client of the platform's metadata store: items, watches, transactions, leases.
 //!
-//! Every call has a time-out. A call without an answer may have been executed, or may still be
+//! Every call has a timeout. A call without an answer may have been executed, or may still be
 //! executed later; its connection is closed, since the store sends nothing more on it.
 
 use std::time::Duration;
@@ -17,9 +17,9 @@
 };
 use crate::platform::http::HttpClient;
 
-/// Time-out of most calls: 250 times the usual 4 ms.
+/// Timeout of most calls: 250 times the usual 4 ms.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time-out of the renewal of a lease: short, so that there is time for another attempt.
+/// Timeout of the renewal of a lease: short, so that there is time for another attempt.
 const RENEW_TIMEOUT: Duration = Duration::from_millis(400);
 /// Lease id of items that are written without a lease.
 const NO_LEASE: u64 = 0;
