--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -64,7 +64,8 @@
         if rank != self.priority {
             info!(target: "serve",
                 "event=ranked_late request={} upstream={} rank={rank} before={} late_ms={}",
-                self.request_id, choice.upstream.id, self.priority, expected_at_ms - self.objective_at_ms);
+                self.request_id, choice.upstream.id, self.priority,
+                expected_at_ms - self.objective_at_ms);
         }
         rank
     }
--- a/src/gateway/claims.rs
+++ b/src/gateway/claims.rs
@@ -84,7 +84,8 @@
         return false;
     }
     let (claims, revision) = read_claims(state, leadership.fence);
-    info!(target: "leadership", "event=claims_known fence={} engines={}", leadership.fence, claims.len());
+    info!(target: "leadership",
+        "event=claims_known fence={} engines={}", leadership.fence, claims.len());
     let ordered_at_ms = BTreeMap::new();
     let fence = leadership.fence;
     state.claim_record =
--- a/src/gateway/decisions/candidates.rs
+++ b/src/gateway/decisions/candidates.rs
@@ -11,7 +11,7 @@
 use crate::gateway::decisions::upstream::Upstream;
 
 /// Upstreams drawn from the box's own hall.
-const LOCAL_SAMPLE: usize = 2;
+const OWN_HALL_SAMPLE: usize = 2;
 /// Upstreams drawn from other halls.
 const OTHER_HALL_SAMPLE: usize = 1;
 /// Upstreams drawn from the hall that stores the prompt's context.
@@ -46,7 +46,7 @@
 
     /// Upstreams in `hall`.
     pub fn from_hall(&mut self, hall: &str) -> Vec<&'a Upstream> {
-        self.sample(LOCAL_SAMPLE, |upstream| upstream.entry.hall == hall)
+        self.sample(OWN_HALL_SAMPLE, |upstream| upstream.entry.hall == hall)
     }
 
     /// Upstreams outside `hall`: in the hall that stores the prompt's context if that is known,
--- a/src/gateway/entries.rs
+++ b/src/gateway/entries.rs
@@ -67,7 +67,8 @@
         asked_at_ms,
     );
     if report == ReportedIncarnation::Restarted {
-        info!(target: "entries", "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
+        info!(target: "entries",
+            "event=upstream_restarted upstream={id} started_at_ms={} told_by=itself",
             format_start(started_at_ms));
         gateway.connections.close_idle_to(id);
         gateway.capacity_changed.notify_waiters();
--- a/src/gateway/follow_caches.rs
+++ b/src/gateway/follow_caches.rs
@@ -110,7 +110,8 @@
         match step(&gateway, &cache_id, address, &mut known).await {
             Ok(()) => pause = BUSY_PAUSE,
             Err(error) => {
-                debug!(target: "caches", "event=holder_silent holder={cache_id:?} cause=\"{error}\"");
+                debug!(target: "caches",
+                    "event=holder_silent holder={cache_id:?} cause=\"{error}\"");
                 if let CacheId::Store(name) = &cache_id
                     && let Some((_, store)) = gateway.state().stores.get_mut(name)
                 {
--- a/src/gateway/follow_metadata.rs
+++ b/src/gateway/follow_metadata.rs
@@ -321,9 +321,9 @@
 /// When weight versions that this box learns of now were named. If its view was last complete
 /// longer ago than a lost watch accounts for, they were named at some time since then.
 fn named_at(gateway: &Gateway, state: &State, now_ms: u64) -> NamedAt {
-    let complete_at_ms = state.view.synced_at_ms();
+    let synced_at_ms = state.view.synced_at_ms();
     let lost_watch_ms = lost_watch_ms(&gateway.settings.bounds);
-    match complete_at_ms {
+    match synced_at_ms {
         Some(at_ms) if now_ms > at_ms + lost_watch_ms => NamedAt::After(at_ms),
         Some(_) => NamedAt::Now,
         // This box learns from peers only, or has just started.
@@ -417,7 +417,8 @@
                 NamedAt::After(after_ms) => known.add_named_after(after_ms, version),
             };
             if is_new {
-                info!(target: "follow", "event=weights_named model={model} version={version} named={named:?}");
+                info!(target: "follow",
+                    "event=weights_named model={model} version={version} named={named:?}");
             }
         }
         Err(error) => warn!(target: "follow", "event=weights_unreadable cause=\"{error}\""),
--- a/src/gateway/leader.rs
+++ b/src/gateway/leader.rs
@@ -76,10 +76,10 @@
     now_ms: u64,
     version: u64,
 ) -> u64 {
-    let bound_ms = gateway.settings.bounds.weights_apply_ms;
+    let apply_ms = gateway.settings.bounds.weights_apply_ms;
     let behind_since_ms = named.and_then(|named| named.behind_since_ms(version));
-    let Some(behind_since_ms) = behind_since_ms else { return bound_ms };
-    (behind_since_ms + bound_ms).saturating_sub(now_ms + RESERVE_MS)
+    let Some(behind_since_ms) = behind_since_ms else { return apply_ms };
+    (behind_since_ms + apply_ms).saturating_sub(now_ms + RESERVE_MS)
 }
 
 /// Selects the engines that are to load now, and marks them as loading.
@@ -88,10 +88,10 @@
     let now_ms = now_ms();
     let State { failed_orders, upstreams, .. } = &mut *state;
     failed_orders.retain(|id, _| upstreams.get(id).is_some());
-    let named: Vec<(String, u64)> =
+    let newest_versions: Vec<(String, u64)> =
         state.weights.iter().map(|(model, named)| (model.clone(), named.newest())).collect();
     let mut loads = Vec::new();
-    for (model, version) in named {
+    for (model, version) in newest_versions {
         let candidates = candidates(gateway, &state, now_ms, &model);
         for id in rollout::next_engines(&candidates, version) {
             let Some(engine) = state.upstreams.get(&id) else { continue };
--- a/src/gateway/leadership.rs
+++ b/src/gateway/leadership.rs
@@ -164,7 +164,8 @@
         }
     }
     gateway.state().stop_leading();
-    info!(target: "leadership", "event=leadership_ended fence={} until_ms={}", leadership.fence, leadership.until_ms);
+    info!(target: "leadership",
+        "event=leadership_ended fence={} until_ms={}", leadership.fence, leadership.until_ms);
     if gateway.state().orders_in_flight > 0 {
         // The next leader counts its pause from the end of the lease, and these orders arrive
         // before that.
--- a/src/gateway/overdue_weights.rs
+++ b/src/gateway/overdue_weights.rs
@@ -11,8 +11,9 @@
 use crate::gateway::decisions::choose::Choice;
 use crate::gateway::kernel::{Gateway, State};
 
-/// A box is held to the deadline once the metadata store has answered it for this long. It is
-/// allowed 3 s after it has regained contact, and a request may begin up to 1.5 s after it was sent.
+/// A box is held to the deadline once the metadata store has answered it for this long: it is
+/// allowed 3 s after it has regained contact, and a request may begin up to 1.5 s after it was
+/// sent.
 const CONTACT_MS: u64 = 1500;
 /// How long before the deadline a request is withdrawn: a few round trips, even on a busy box.
 const WITHDRAW_MARGIN_MS: u64 = 150;
--- a/src/gateway/relay/mod.rs
+++ b/src/gateway/relay/mod.rs
@@ -260,7 +260,8 @@
 
     fn log_broken(&self, cause: &str) {
         info!(target: "relay",
-            "event=stream_broken request={} upstream={} cause=\"{cause}\" passed_bytes={} held_ms={}",
+            "event=stream_broken request={} upstream={} cause=\"{cause}\" \
+             passed_bytes={} held_ms={}",
             self.request.outgoing.request_id, self.choice.upstream.id, self.forwarded_bytes,
             now_ms() - self.request.arrived_at_ms);
     }
--- a/src/gateway/relay/moves.rs
+++ b/src/gateway/relay/moves.rs
@@ -39,7 +39,7 @@
     /// too slow
     TooSlow,
     /// the first went on
-    FirstWentOn,
+    PreviousContinued,
 }
 
 impl Relay {
@@ -61,7 +61,7 @@
         let (resumed, read) = race_with_silent(&mut silent.body, attempt).await;
         let end = match (&resumed, &read) {
             (Some(_), _) => MoveEnd::Moved,
-            (None, Some(ReadOutcome::Data(_) | ReadOutcome::End)) => MoveEnd::FirstWentOn,
+            (None, Some(ReadOutcome::Data(_) | ReadOutcome::End)) => MoveEnd::PreviousContinued,
             (None, _) => MoveEnd::NotAnswered,
         };
         self.log_move(&previous.id, &choice, end);
--- a/src/gateway/request_log.rs
+++ b/src/gateway/request_log.rs
@@ -64,9 +64,10 @@
     };
     let context = choice.context.as_ref();
     info!(target: "serve",
-        "event=routed request={} fingerprint={} route={} configuration={} upstream={} attempt={} left_ms={} \
-         version={} behind_ms={behind_ms} read_tokens={} reread_tokens={} expected_ms={:.0} context={} part={} \
-         load_requests={} load_unread={} load_memory={} limit={limit:.2}",
+        "event=routed request={} fingerprint={} route={} configuration={} upstream={} \
+         attempt={} left_ms={} version={} behind_ms={behind_ms} read_tokens={} \
+         reread_tokens={} expected_ms={:.0} context={} part={} load_requests={} \
+         load_unread={} load_memory={} limit={limit:.2}",
         request.outgoing.request_id,
         request.outgoing.fingerprint,
         request.route.name,
@@ -79,7 +80,11 @@
         context.map_or(0, |plan| plan.recomputed_tokens),
         choice.expected_first_token_ms,
         context.map_or_else(|| "-".to_owned(), ContextPlan::summary),
-        request.prompt.as_ref().and_then(|prompt| prompt.shared_parts().last()).map_or("-", |part| &part.id),
+        request
+            .prompt
+            .as_ref()
+            .and_then(|prompt| prompt.shared_parts().last())
+            .map_or("-", |part| &part.id),
         choice.load.requests,
         choice.load.pending_prefill_tokens,
         choice.load.memory_tokens);
@@ -113,5 +118,6 @@
     metrics::histogram!("coursestile_request_seconds").record(seconds_since(request.arrived_at_ms));
     info!(target: "serve",
         "event=answered request={} upstream={} status={} bytes={bytes} held_ms={}",
-        request.outgoing.request_id, choice.upstream.id, status.as_u16(), now_ms() - request.arrived_at_ms);
+        request.outgoing.request_id, choice.upstream.id, status.as_u16(),
+        now_ms() - request.arrived_at_ms);
 }
--- a/src/gateway/store_cleanup.rs
+++ b/src/gateway/store_cleanup.rs
@@ -73,7 +73,8 @@
                     free(gateway, socket, store, &listing, parts).await;
                 }
                 Err(error) => {
-                    info!(target: "leader", "event=store_not_listed store={name} cause=\"{error}\"");
+                    info!(target: "leader",
+                        "event=store_not_listed store={name} cause=\"{error}\"");
                 }
             }
         }
@@ -248,7 +249,8 @@
     match claims::claim(gateway, socket, store.fence, target).await {
         Ok(claimed) => claimed,
         Err(error) => {
-            info!(target: "leader", "event=store_not_claimed store={} cause=\"{error}\"", store.name);
+            info!(target: "leader",
+                "event=store_not_claimed store={} cause=\"{error}\"", store.name);
             false
         }
     }
--- a/src/gateway/weight_loads.rs
+++ b/src/gateway/weight_loads.rs
@@ -87,7 +87,8 @@
     let end = match drain_and_order(&gateway, &socket, &mut load).await {
         Ok(end) => end,
         Err(error) => {
-            info!(target: "leader", "event=order_failed upstream={} cause=\"{error}\"", load.engine.id);
+            info!(target: "leader",
+                "event=order_failed upstream={} cause=\"{error}\"", load.engine.id);
             LoadEnd::Failed
         }
     };
--- a/src/platform/caches.rs
+++ b/src/platform/caches.rs
@@ -117,8 +117,8 @@
         self.http.bytes(self.http.success(answer)?).await
     }
 
-    /// Frees parts of a store, unless it has restarted since `boot`, or the call arrives after
-    /// `until_ms` by the upstreams' clock.
+    /// Frees parts of a store, unless its incarnation is no longer the one with `boot_epoch`, or
+    /// the call arrives after `until_ms` by the upstreams' clock.
     ///
     /// # Errors
     /// Fails when the store does not answer in time, or not with a valid answer; the parts may
@@ -127,12 +127,12 @@
         &self,
         address: SocketAddr,
         parts: &[CachedPart],
-        boot: u64,
+        boot_epoch: u64,
         until_ms: u64,
     ) -> Result<FreeOutcome> {
         let url = format!("http://{address}/coursestile/kv-free");
         let parts = parts.iter().map(|part| (part.scope.as_str(), part.part_id.as_str()));
-        let body = FreeBody { parts: parts.collect(), boot_epoch: boot, until_ms };
+        let body = FreeBody { parts: parts.collect(), boot_epoch, until_ms };
         let request = self.http.post(&url).json(&body).timeout(CALL_TIMEOUT);
         let answer = self.http.send(request).await?;
         if answer.status() == StatusCode::CONFLICT {
@@ -172,9 +172,8 @@
 /// Fails when the body is invalid. An invalid item does not fail, but is left out.
 pub fn read_listing(cache: SocketAddr, body: &[u8]) -> Result<CacheListing> {
     let body: ListBody = decode(body)?;
-    let held = readable(cache, body.held).into_iter().map(|(scope, part, tokens, _)| CacheChange {
-        part: CachedPart { scope, part_id: part },
-        tokens,
+    let complete = readable(cache, body.held).into_iter().map(|(scope, part, tokens, _)| {
+        CacheChange { part: CachedPart { scope, part_id: part }, tokens }
     });
     let partial =
         readable(cache, body.partial).into_iter().map(|(scope, part, complete_tokens, _)| {
@@ -183,7 +182,7 @@
     Ok(CacheListing {
         boot_epoch: body.boot_epoch,
         next_position: body.next_token,
-        complete: held.collect(),
+        complete: complete.collect(),
         partial: partial.collect(),
     })
 }
