--- a/src/gateway/decisions/admission.rs
+++ b/src/gateway/decisions/admission.rs
@@ -107,7 +107,7 @@
     }
 
     fn mean_limit(&self, service: u32) -> f64 {
-        let peers = self.peer_limits.iter().filter(|(reported, _)| *reported == service);
+        let peers = self.peer_limits.iter().filter(|(peer_service, _)| *peer_service == service);
         let (sum, count) = peers
             .fold((self.own_limit(service), 1.0), |(sum, count), (_, limit)| {
                 (sum + f64::from(*limit) / THOUSAND, count + 1.0)
--- a/src/gateway/decisions/cache_contents.rs
+++ b/src/gateway/decisions/cache_contents.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Number of changes in a log, enough for some seconds.
+/// Maximum number of changes in a log, enough for some seconds.
 const CHANGE_LOG_CAPACITY: usize = 2048;
 
 /// Update of the contents of one cache, sent to other boxes.
--- a/src/gateway/silence.rs
+++ b/src/gateway/silence.rs
@@ -62,8 +62,8 @@
     }
 }
 
-/// Another upstream, neither unhealthy nor full, for a request that already runs at
-/// `current`; takes a retry from the budget.
+/// Another upstream, neither unhealthy nor full, for a request that already runs at `current`;
+/// takes a retry from the budget.
 pub fn find_alternative(
     gateway: &Gateway,
     request: &AdmittedRequest,
