--- a/load/src/bench.rs
+++ b/load/src/bench.rs
@@ -24,7 +24,7 @@
 /// Number of streams that are open at the same time.
 const OPEN_STREAMS: usize = 500;
 /// Number of prompts that the dispatcher has recorded.
-const KNOWN_PROMPTS: usize = 10_000;
+const RECORDED_PROMPTS: usize = 10_000;
 /// Number of configuration changes that are timed.
 const CHANGES: usize = 20;
 /// API key of the first account in `state_with_all_accounts`.
@@ -171,7 +171,7 @@
 
 /// Sends many prompts, which the dispatcher records.
 async fn fill_prompts(fleet: &Arc<Fleet>) {
-    let prompts = futures_util::stream::iter(0..KNOWN_PROMPTS).map(|number| {
+    let prompts = futures_util::stream::iter(0..RECORDED_PROMPTS).map(|number| {
         let fleet = fleet.clone();
         async move {
             let prompt = format!("{number:<6000}");
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -53,7 +53,7 @@
             ];
             found.extend(faults.into_iter().flatten().map(|fault| self.describe(request, &fault)));
         }
-        found.extend(self.requests_to_leaving());
+        found.extend(self.requests_to_leaving_upstreams());
         found.extend(self.stale_configurations());
         found.extend(self.order_violations());
         found.extend(self.ignored_announcements());
@@ -129,7 +129,7 @@
             .then(|| format!("cut without a fault; it ran {times} times"))
     }
 
-    fn requests_to_leaving(&self) -> Vec<String> {
+    fn requests_to_leaving_upstreams(&self) -> Vec<String> {
         let mut found = Vec::new();
         for leave in self.world.upstream_leaves().iter() {
             let upstream =
@@ -195,12 +195,18 @@
             let mut last = 0;
             for order in engine.process.orders() {
                 if order.fence < last {
-                    found.push(format!("engine {number}: fence {} after {last}", order.fence));
+                    found.push(format!(
+                        "engine {number}: fencing token {} after {last}",
+                        order.fence
+                    ));
                 }
                 last = last.max(order.fence);
                 let holder = holders.entry(order.fence).or_insert_with(|| order.holder.clone());
                 if *holder != order.holder {
-                    found.push(format!("fence {}: {holder} and {}", order.fence, order.holder));
+                    found.push(format!(
+                        "fencing token {}: holders {holder} and {}",
+                        order.fence, order.holder
+                    ));
                 }
             }
             if self.world.weights_change {
--- a/soak/src/crashing.rs
+++ b/soak/src/crashing.rs
@@ -139,7 +139,10 @@
         let late: Vec<String> =
             late.map(|run| format!("{} at {} ms", run.request_id, self.at_ms(run.at))).collect();
         (late.len() > MAX_LATE_RUNS).then(|| {
-            format!("three upstreams had crashed at {third_ms} ms; sent again: {}", late.join(", "))
+            format!(
+                "the third upstream had crashed at {third_ms} ms; the request was sent again: {}",
+                late.join(", ")
+            )
         })
     }
 
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -50,7 +50,7 @@
             let received: Vec<&str> = received.map(|later| later.request_id.as_str()).collect();
             if received.len() > max_requests {
                 found.push(format!(
-                    "{} said {:?} to {} at {} ms, and got {} from that box",
+                    "upstream {} announced {:?} in its answer to {} at {} ms, but got {} from that box",
                     upstream.id,
                     announcement.behavior,
                     announcement.request_id,
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -22,7 +22,7 @@
 /// that time boxes have sent their next watch request.
 const SILENCE_DELAY_MS: usize = 25;
 /// Interval at which a stopping box is polled for its exit.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Shortest time for which an upstream asks for no requests.
 const REST: Duration = Duration::from_millis(800);
 /// Number of responses in which an upstream misbehaves.
@@ -34,7 +34,7 @@
 /// One restart of an engine in this many is not announced by an updated entry.
 const UNANNOUNCED_ONE_IN: usize = 3;
 /// Ways in which an upstream may misbehave.
-const MISBEHAVIOUR: [Behavior; 10] = [
+const MISBEHAVIORS: [Behavior; 10] = [
     Behavior::NotRun,
     Behavior::Close,
     Behavior::WrongRequestId,
@@ -83,9 +83,9 @@
             }
             Action::UpstreamLink(link) => set_link_for(&upstream.proxy, link, time).await,
             Action::UpstreamMisbehaves => {
-                let mut acts = MISBEHAVIOUR;
-                acts.rotate_left(pick % MISBEHAVIOUR.len());
-                upstream.process.script(&acts[..MISBEHAVING_ANSWERS]);
+                let mut behaviors = MISBEHAVIORS;
+                behaviors.rotate_left(pick % MISBEHAVIORS.len());
+                upstream.process.script(&behaviors[..MISBEHAVING_ANSWERS]);
                 sleep(time).await;
                 upstream.process.clear_script();
             }
@@ -102,7 +102,7 @@
                 gateway_box.process.try_signal("-TERM");
                 // Another step may have restarted the box in the meantime.
                 while gateway_box.process.pid() == pid && gateway_box.process.is_alive() {
-                    sleep(STOP_POLL).await;
+                    sleep(STOP_POLL_INTERVAL).await;
                 }
                 self.start_ended_boxes();
             }
@@ -125,14 +125,14 @@
                 self.engines[pick % self.engines.len()].process.hang_until(now_ms() + time_ms);
             }
         }
-        let gone = match action {
+        let affected_boxes = match action {
             Action::AllKilled => 0..self.boxes.len(),
             Action::BoxKilled | Action::BoxPaused | Action::BoxStopped => number..number + 1,
             _ => 0..0,
         };
         let (times_ms, paused) = (from_ms..=now_ms(), action == Action::BoxPaused);
         let outage = |box_number| BoxOutage { box_number, times_ms: times_ms.clone(), paused };
-        self.box_outages().extend(gone.map(outage));
+        self.box_outages().extend(affected_boxes.map(outage));
     }
 
     /// Restarts an upstream under the same id: its connections are reset, and its entry gets a
@@ -220,8 +220,8 @@
         }
     }
 
-    async fn disrupt_metadata(&self, trouble: StoreFault, time: Duration) {
-        self.site.metadata.set_fault(trouble);
+    async fn disrupt_metadata(&self, fault: StoreFault, time: Duration) {
+        self.site.metadata.set_fault(fault);
         sleep(time).await;
         self.site.metadata.set_fault(StoreFault::None);
     }
