--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -18,8 +18,8 @@
 /// A stored configuration is in force after this time.
 const CONFIGURATION_BOUND_MS: u64 = 2000;
 
-/// Orders of a lease holder are ignored for this time after it was paused.
-const RESUMED_HOLDER_GRACE_MS: u64 = 300;
+/// Orders of a leader are ignored for this time after it was paused.
+const RESUMED_LEADER_GRACE_MS: u64 = 300;
 /// Time bounds apply to a box again this long after it was down.
 pub(crate) const RECOVERY_MS: u64 = 3000;
 
@@ -186,11 +186,11 @@
         late.iter().map(text).collect()
     }
 
-    /// Checks that fencing tokens never decrease at an engine, that each has a single holder and
-    /// that orders of different holders are at least one lease apart.
+    /// Checks that fencing tokens never decrease at an engine, that each belongs to one leader and
+    /// that orders of different leaders are at least one lease apart.
     fn order_violations(&self) -> Vec<String> {
         let mut found = Vec::new();
-        let mut holders: BTreeMap<u64, String> = BTreeMap::new();
+        let mut leaders: BTreeMap<u64, String> = BTreeMap::new();
         for (number, engine) in self.world.engines.iter().enumerate() {
             let mut last = 0;
             for order in engine.process.orders() {
@@ -201,37 +201,37 @@
                     ));
                 }
                 last = last.max(order.fence);
-                let holder = holders.entry(order.fence).or_insert_with(|| order.holder.clone());
-                if *holder != order.holder {
+                let leader = leaders.entry(order.fence).or_insert_with(|| order.leader.clone());
+                if *leader != order.leader {
                     found.push(format!(
-                        "fencing token {}: holders {holder} and {}",
-                        order.fence, order.holder
+                        "fencing token {}: leaders {leader} and {}",
+                        order.fence, order.leader
                     ));
                 }
             }
             if self.world.weights_change {
-                let close = self.close_orders_of_two_holders(engine.process.orders());
+                let close = self.close_orders_of_two_leaders(engine.process.orders());
                 found.extend(close.into_iter().map(|text| format!("engine {number}: {text}")));
             }
         }
         found
     }
 
-    /// Finds consecutive orders of two holders that reached an engine less than one lease apart.
-    /// Orders of a holder that was paused shortly before are ignored.
-    fn close_orders_of_two_holders(&self, mut orders: Vec<Order>) -> Vec<String> {
+    /// Finds consecutive orders of two leaders that reached an engine less than one lease apart.
+    /// Orders of a leader that was paused shortly before are ignored.
+    fn close_orders_of_two_leaders(&self, mut orders: Vec<Order>) -> Vec<String> {
         let is_resumed = |order: &Order| {
-            let holder = self.world.box_named(&order.holder);
-            self.had_outage_at(holder, order.at_ms, RESUMED_HOLDER_GRACE_MS, |outage| outage.paused)
+            let leader = self.world.box_named(&order.leader);
+            self.had_outage_at(leader, order.at_ms, RESUMED_LEADER_GRACE_MS, |outage| outage.paused)
         };
         orders.retain(|order| !is_resumed(order));
         let apart_ms = |pair: &[Order]| pair[1].at_ms.saturating_sub(pair[0].at_ms);
         let pairs = orders.windows(2).filter(|pair| {
-            pair[0].holder != pair[1].holder && apart_ms(pair) < self.world.site.lease_ms
+            pair[0].leader != pair[1].leader && apart_ms(pair) < self.world.site.lease_ms
         });
         let text = |pair: &[Order]| {
             let at_ms = pair[1].at_ms.saturating_sub(self.started_at_ms);
-            let (before, after, apart_ms) = (&pair[0].holder, &pair[1].holder, apart_ms(pair));
+            let (before, after, apart_ms) = (&pair[0].leader, &pair[1].leader, apart_ms(pair));
             format!("{apart_ms} ms between orders of {before} and {after}, at {at_ms} ms")
         };
         pairs.map(text).collect()
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -48,7 +48,7 @@
 /// leader.
 const WEIGHTS_SERIES_STEPS: std::ops::Range<u64> = 4..9;
 /// Time between two steps of a series: less than the lease, which is the time between orders of
-/// two lease holders.
+/// two leaders.
 const WEIGHTS_SERIES_INTERVAL_MS: std::ops::Range<u64> = 200..700;
 /// Distinguishes the random numbers of `announcement_steps` from those of the others.
 const ANNOUNCEMENT_SEED_MASK: u64 = 0x7a11_0f2d;
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -35,8 +35,9 @@
     pub op: String,
     /// Weight version to load.
     pub version: u64,
-    /// Holder of the lease under which the order was given.
-    pub holder: String,
+    /// Box that gave the order as leader.
+    #[serde(rename = "holder")]
+    pub leader: String,
     /// Fencing token.
     pub fence: u64,
     /// Number of orders that the engine must have accepted before this one, if given.
--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -148,7 +148,7 @@
     /// are to have the weight version that an operator set.
     pub weights_apply_ms: u64,
     /// Setting `lease_ms` of gateways started from now on: time that must pass between the
-    /// orders of two holders of a lease.
+    /// orders of two leaders.
     pub lease_ms: u64,
     folder: PathBuf,
     network: Network,
--- a/tests/gateway_leaders.rs
+++ b/tests/gateway_leaders.rs
@@ -253,7 +253,7 @@
 
 /// Whether two orders come from one leader, or are at least a lease apart.
 fn are_apart(pair: &[Order], lease_ms: u64) -> bool {
-    pair[0].holder == pair[1].holder || pair[1].at_ms >= pair[0].at_ms + lease_ms
+    pair[0].leader == pair[1].leader || pair[1].at_ms >= pair[0].at_ms + lease_ms
 }
 
 /// The fence of a box according to its log, if it leads.
@@ -339,7 +339,7 @@
     fleet.engines.iter().for_each(Engine::refuse_orders);
     fleet.engines.iter().for_each(Engine::queue_runs);
     let named = fleet.name_version(2);
-    // Two seconds before the bound, the prompt is still sent; its route's time-out is three
+    // Two seconds before the bound, the prompt is still sent; its route's timeout is three
     // seconds.
     wait_until(named.at_ms + 2000).await;
     let status = common::send_prompt(&fleet.gateways[0], "r-1").await;
--- a/tests/gateway_weights.rs
+++ b/tests/gateway_weights.rs
@@ -107,7 +107,7 @@
     fleet.site.set_weight_version(MODEL, 5);
     fleet.wait_version(5).await;
     let orders: Vec<_> = fleet.engines.iter().flat_map(Engine::orders).collect();
-    assert!(orders.iter().all(|order| order.holder == orders[0].holder));
+    assert!(orders.iter().all(|order| order.leader == orders[0].leader));
     assert!(orders.iter().all(|order| order.fence == orders[0].fence && order.expected.is_some()));
 }
 
