--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -68,8 +68,8 @@
     Moves,
     /// Only changes the weights, with faults of boxes and engines meanwhile.
     MovesAlone,
-    /// Upstreams crash on a certain request and announce in their responses that they leave or
-    /// rest. Apart from that, only boxes and the metadata store fail.
+    /// Upstreams crash on a certain request and announce in their responses that they leave or want
+    /// no requests for a while. Apart from that, only boxes and the metadata store fail.
     Words,
 }
 
@@ -272,12 +272,13 @@
 
 /// Copies the logs to a folder that outlives the run.
 fn keep_logs(world: &World, seed: u64) -> Result<PathBuf> {
-    let kept = std::env::temp_dir().join(format!("coursestile-soak-{}-{seed}", std::process::id()));
-    std::fs::create_dir_all(&kept)?;
+    let log_dir =
+        std::env::temp_dir().join(format!("coursestile-soak-{}-{seed}", std::process::id()));
+    std::fs::create_dir_all(&log_dir)?;
     for gateway_box in &world.boxes {
         if let Some(name) = gateway_box.process.log.file_name() {
-            std::fs::copy(&gateway_box.process.log, kept.join(name))?;
+            std::fs::copy(&gateway_box.process.log, log_dir.join(name))?;
         }
     }
-    Ok(kept)
+    Ok(log_dir)
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -17,13 +17,14 @@
       --seconds N   Length of each run (default 20)
       --boxes N     Boxes (default 4)
       --streams N   1: faults and planned work; 2: silences too; 3: upstreams
-                    start again too (default); 4: weights are on the move too;
-                    only-4: nothing else; words: upstreams crash under one
-                    request, and say in their answers that they leave or rest
+                    restart too (default); 4: weights change too; only-4: only
+                    weights change; words: upstreams crash on one request, and
+                    announce in their responses that they leave or want no
+                    requests for a while
       --steps       Print what happens in each run
   -h, --help        Print this help
 
-Exit code 1 when a promise was broken; its seed and logs are named.
+Exit code 1 when a guarantee was violated; its seed and logs are named.
 ";
 
 /// Violations that are printed for each run; the first ones usually show the cause.
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -11,13 +11,14 @@
 /// how long a request may be in transit.
 const LEAVE_BOUND: Duration = Duration::from_secs(2);
 const IN_TRANSIT: Duration = Duration::from_millis(500);
-/// Time after which a box respects an upstream's rest, and number of requests that may arrive
-/// nevertheless.
-const REST_BOUND: Duration = Duration::from_millis(500);
-const MAX_REQUESTS_IN_REST: usize = 2;
+/// Time after which a box must respect the backoff that an upstream asked for, and number of
+/// requests that may arrive nevertheless.
+const BACKOFF_BOUND: Duration = Duration::from_millis(500);
+const MAX_REQUESTS_DURING_BACKOFF: usize = 2;
 
 impl RunData<'_> {
-    /// Finds requests from boxes to upstreams that had told them that they leave or rest.
+    /// Finds requests from boxes to upstreams that had announced to them that they leave or that
+    /// they want no requests for a while.
     pub(crate) fn ignored_announcements(&self) -> Vec<String> {
         let upstreams = self.world.upstreams.iter().map(|upstream| &upstream.process);
         upstreams.flat_map(|upstream| self.ignored_announcements_of(upstream)).collect()
@@ -35,9 +36,9 @@
             let (from, until, max_requests) = match announcement.behavior {
                 Behavior::Leaving => (announced_at + LEAVE_BOUND + IN_TRANSIT, next_start, 0),
                 Behavior::RetryAfter(time) => {
-                    let rest_end = announced_at + time;
-                    let until = next_start.map_or(rest_end, |start| start.min(rest_end));
-                    (announced_at + REST_BOUND, Some(until), MAX_REQUESTS_IN_REST)
+                    let backoff_end = announced_at + time;
+                    let until = next_start.map_or(backoff_end, |start| start.min(backoff_end));
+                    (announced_at + BACKOFF_BOUND, Some(until), MAX_REQUESTS_DURING_BACKOFF)
                 }
                 _ => continue,
             };
@@ -72,7 +73,7 @@
         starts.map(|restart| restart.at).min()
     }
 
-    /// Whether a box was down between two times and may have lost what it had been told.
+    /// Whether a box was down between two times and may have lost what upstreams had announced.
     fn had_outage_between(&self, box_number: usize, from: Instant, until: Instant) -> bool {
         let at_ms = |at| self.started_at_ms + self.at_ms(at);
         let box_outages = self.world.box_outages();
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -386,8 +386,8 @@
     steps
 }
 
-/// Upstreams that announce in their responses that they leave or rest, while boxes and the
-/// metadata store fail.
+/// Upstreams that announce in their responses that they leave or want no requests for a while,
+/// while boxes and the metadata store fail.
 #[must_use]
 pub fn announcement_steps(seed: u64, length_ms: u64) -> Vec<Step> {
     let mut rng = fastrand::Rng::with_seed(seed ^ ANNOUNCEMENT_SEED_MASK);
--- a/soak/src/world/happening.rs
+++ b/soak/src/world/happening.rs
@@ -24,7 +24,7 @@
 /// Interval at which a stopping box is polled for its exit.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Shortest time for which an upstream asks for no requests.
-const REST: Duration = Duration::from_millis(800);
+const MIN_BACKOFF: Duration = Duration::from_millis(800);
 /// Number of responses in which an upstream misbehaves.
 const MISBEHAVING_ANSWERS: usize = 5;
 /// Shortest time after which an unanswered order is carried out, and the time that is added for
@@ -90,7 +90,9 @@
                 upstream.process.clear_script();
             }
             Action::UpstreamRests => {
-                upstream.process.script(&[Behavior::RetryAfter(REST + time), Behavior::Answer]);
+                upstream
+                    .process
+                    .script(&[Behavior::RetryAfter(MIN_BACKOFF + time), Behavior::Answer]);
             }
             Action::UpstreamSaysLeaving => {
                 upstream.process.script(&[Behavior::Leaving, Behavior::Leaving]);
