--- a/load/src/gateway.rs
+++ b/load/src/gateway.rs
@@ -201,8 +201,8 @@
     let configured: Vec<Store> = (0..count).map(store).collect();
     let mut stores = Stores::default();
     stores.configure(&configured);
-    for (place, (_, state)) in (0_u32..).zip(stores.iter_mut()) {
-        let parts = (0..PARTS_PER_STORE).map(|part| part * count + place);
+    for (store_index, (_, state)) in (0_u32..).zip(stores.iter_mut()) {
+        let parts = (0..PARTS_PER_STORE).map(|part| part * count + store_index);
         let cached = parts.map(|part| CacheChange {
             part: CachedPart { scope: scope(MODEL, 1, None), part_id: format!("{part:x}") },
             tokens: 5000,
--- a/load/src/main.rs
+++ b/load/src/main.rs
@@ -31,7 +31,7 @@
   compare  Policies against each other, same seed and arrivals
   faults   Our policies, with faults in the middle
   bench    Time to first token, relay rate, memory, changes in force
-  chaos    Random faults of every kind for a while; fails on a broken promise
+  chaos    Random faults of every kind for a while; fails on a violated guarantee
   control  Cost of control on fleets of growing size
   decide   Time and memory of decisions at the size to come
   gateway  What hearing peers and choosing an engine cost as the fleet grows
--- a/load/src/workload.rs
+++ b/load/src/workload.rs
@@ -180,23 +180,26 @@
     pub fn optimal_recompute_percent(&self, capacity_tokens: usize) -> f64 {
         let capacity = capacity_tokens / self.kind.context_tokens();
         let uses: Vec<_> = self.arrivals.iter().filter_map(Arrival::context_use).collect();
-        let mut kept: Vec<usize> = Vec::new();
+        let mut cached: Vec<usize> = Vec::new();
         let (mut prompts, mut missed) = (0, 0);
         for (index, (at_ms, context)) in uses.iter().enumerate() {
             let measured = *at_ms >= self.warmup_ms;
             prompts += usize::from(measured);
-            if kept.contains(context) {
+            if cached.contains(context) {
                 continue;
             }
             missed += usize::from(measured);
-            kept.push(*context);
-            if kept.len() > capacity {
-                let next_use = |kept: &usize| {
+            cached.push(*context);
+            if cached.len() > capacity {
+                let next_use = |cached_context: &usize| {
                     let later = uses[index + 1..].iter();
-                    later.clone().position(|(_, later)| later == kept).unwrap_or(usize::MAX)
+                    later
+                        .clone()
+                        .position(|(_, later)| later == cached_context)
+                        .unwrap_or(usize::MAX)
                 };
-                let last = (0..kept.len()).max_by_key(|place| next_use(&kept[*place]));
-                kept.swap_remove(last.unwrap_or(0));
+                let last = (0..cached.len()).max_by_key(|index| next_use(&cached[*index]));
+                cached.swap_remove(last.unwrap_or(0));
             }
         }
         100.0 * ratio(missed as u64, prompts as u64)
