--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -29,7 +29,7 @@
 /// Time after which a box considers an upstream silent, and some checks.
 const LONG_SILENCE: Duration = Duration::from_millis(1300);
 
-/// A fixture whose routes have time-outs that are long enough for a slow machine.
+/// A fixture whose routes have timeouts that are long enough for a slow machine.
 async fn start_fixture(servers: usize, attempts: u32, retry_extra: u32) -> GatewayFixture {
     let mut site = Site::start().await;
     site.retry_extra = retry_extra;
@@ -100,9 +100,9 @@
 /// runs: they stay there, even if there are another upstream, an attempt and the budget for it.
 #[tokio::test]
 async fn gone_serves_on() {
-    let cases = waiting_cases().map(async |(path, act)| {
+    let cases = waiting_cases().map(async |(path, behavior)| {
         let fixture = start_fixture(3, 3, 1000).await;
-        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
+        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&behavior)));
         let answer = send(&fixture, path, "r-1");
         let server = wait_arrived(&fixture, "r-1", 1).await[0];
         remove_entry(&fixture, server).await;
@@ -133,15 +133,15 @@
     let no_attempt = (2, 1, 1000);
     let no_budget = (2, 3, 0);
     let cases = [no_other, no_attempt, no_budget].into_iter().flat_map(|limits| {
-        waiting_cases().map(|(path, act)| assert_silent_awaited(path, act, limits))
+        waiting_cases().map(|(path, behavior)| assert_silent_awaited(path, behavior, limits))
     });
     join(join_all(cases), assert_last_upstream_awaited()).await;
 }
 
-async fn assert_silent_awaited(path: &str, act: Behavior, limits: (usize, u32, u32)) {
+async fn assert_silent_awaited(path: &str, behavior: Behavior, limits: (usize, u32, u32)) {
     let (servers, attempts, retry_extra) = limits;
     let fixture = start_fixture(servers, attempts, retry_extra).await;
-    fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
+    fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&behavior)));
     let answer = send(&fixture, path, "r-1");
     let server = wait_arrived(&fixture, "r-1", 1).await[0];
     tokio::time::sleep(LONG_SILENCE).await;
@@ -167,9 +167,9 @@
 /// A request moves from a silent upstream when another can take it.
 #[tokio::test]
 async fn silent_left() {
-    let cases = waiting_cases().map(async |(path, act)| {
+    let cases = waiting_cases().map(async |(path, behavior)| {
         let fixture = start_fixture(3, 2, 1000).await;
-        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&act)));
+        fixture.servers.iter().for_each(|server| server.script(std::slice::from_ref(&behavior)));
         let answer = send(&fixture, path, "r-1");
         let first = wait_arrived(&fixture, "r-1", 1).await[0];
         wait_arrived(&fixture, "r-1", 2).await;
--- a/tests/gateway_once.rs
+++ b/tests/gateway_once.rs
@@ -17,10 +17,10 @@
 #[case::no_proof(Behavior::MissingSeal)]
 #[case::cut_body(Behavior::TruncatedBody)]
 #[tokio::test]
-async fn never_again(#[case] act: Behavior) {
+async fn never_again(#[case] behavior: Behavior) {
     let fixture = start_fixture(2).await;
     for server in &fixture.servers {
-        server.script(std::slice::from_ref(&act));
+        server.script(std::slice::from_ref(&behavior));
     }
     let answer = fixture.send("POST", "/once/", "r-1").await;
     // The client must get neither "not run" nor an answer that is not the upstream's.
--- a/tests/gateway_streams.rs
+++ b/tests/gateway_streams.rs
@@ -12,11 +12,11 @@
     events.collect::<Vec<_>>().concat()
 }
 
-/// A fixture in which every upstream treats its first request as `act` says.
-async fn start_fixture_with(servers: usize, act: &Behavior) -> GatewayFixture {
+/// A fixture in which every upstream handles its first request according to `behavior`.
+async fn start_fixture_with(servers: usize, behavior: &Behavior) -> GatewayFixture {
     let fixture = start_fixture(servers).await;
     for server in &fixture.servers {
-        server.script(std::slice::from_ref(act));
+        server.script(std::slice::from_ref(behavior));
     }
     fixture
 }
