--- a/tests/gateway_entries.rs
+++ b/tests/gateway_entries.rs
@@ -166,17 +166,17 @@
 }
 
 /// Address of the store or engine that sent a message.
-const HOLDER: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 80);
+const CACHE_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 80);
 
 /// Applies whatever can be parsed to a box's knowledge of a cache: no number in it may cause a
 /// panic.
 fn parse_and_apply(text: &[u8]) {
-    let mut holder = CacheContents::with_log();
-    if let Ok(changes) = caches::read_changes(HOLDER, text) {
-        holder.apply_changes(&changes);
+    let mut contents = CacheContents::with_log();
+    if let Ok(changes) = caches::read_changes(CACHE_ADDRESS, text) {
+        contents.apply_changes(&changes);
     }
-    if let Ok(listing) = caches::read_listing(HOLDER, text) {
-        holder.apply_listing(&listing);
+    if let Ok(listing) = caches::read_listing(CACHE_ADDRESS, text) {
+        contents.apply_listing(&listing);
     }
     // Only panics matter here, not the result.
     let _ = engine::read_report(text);
--- a/tests/gateway_stores.rs
+++ b/tests/gateway_stores.rs
@@ -20,9 +20,9 @@
     CacheChange { part: CachedPart { scope: SCOPE.to_owned(), part_id: part.to_string() }, tokens }
 }
 
-fn changes(boot: u64, changes: Vec<CacheChange>) -> CacheChanges {
+fn changes(boot_epoch: u64, changes: Vec<CacheChange>) -> CacheChanges {
     CacheChanges {
-        boot_epoch: boot,
+        boot_epoch,
         next_position: 0,
         gap: false,
         changes,
@@ -31,8 +31,8 @@
     }
 }
 
-fn listing(boot: u64) -> CacheListing {
-    CacheListing { boot_epoch: boot, next_position: 0, complete: Vec::new(), partial: Vec::new() }
+fn listing(boot_epoch: u64) -> CacheListing {
+    CacheListing { boot_epoch, next_position: 0, complete: Vec::new(), partial: Vec::new() }
 }
 
 #[derive(Clone, Debug)]
@@ -58,7 +58,7 @@
 /// A box that gets updates from a publisher now and then.
 #[derive(Default)]
 struct Subscriber {
-    holder: CacheContents,
+    contents: CacheContents,
     position: Option<u64>,
 }
 
@@ -67,7 +67,7 @@
         let (update, next) = publisher.update_since(self.position);
         self.position = Some(next);
         if let Some(update) = update {
-            self.holder.apply_update(update);
+            self.contents.apply_update(update);
         }
     }
 }
@@ -78,23 +78,23 @@
     #[test]
     fn beliefs_alike(steps in steps()) {
         let (mut publisher, mut subscriber) = (CacheContents::with_log(), Subscriber::default());
-        let mut boot = 1;
+        let mut boot_epoch = 1;
         for step in steps {
             match step {
                 Step::Change { part, tokens } => {
-                    publisher.apply_changes(&changes(boot, vec![change(part, tokens)]));
+                    publisher.apply_changes(&changes(boot_epoch, vec![change(part, tokens)]));
                 }
-                Step::Restart => boot += 1,
+                Step::Restart => boot_epoch += 1,
                 Step::MarkUnknown => publisher.mark_unknown(),
-                Step::List => publisher.apply_listing(&listing(boot)),
+                Step::List => publisher.apply_listing(&listing(boot_epoch)),
                 Step::Update => subscriber.update_from(&publisher),
             }
         }
         subscriber.update_from(&publisher);
-        prop_assert_eq!(subscriber.holder.is_known(), publisher.is_known());
-        prop_assert_eq!(subscriber.holder.total_tokens(), publisher.total_tokens());
+        prop_assert_eq!(subscriber.contents.is_known(), publisher.is_known());
+        prop_assert_eq!(subscriber.contents.total_tokens(), publisher.total_tokens());
         for part in 0..40 {
-            prop_assert_eq!(subscriber.holder.tokens(key(part)), publisher.tokens(key(part)));
+            prop_assert_eq!(subscriber.contents.tokens(key(part)), publisher.tokens(key(part)));
         }
     }
 }
@@ -105,7 +105,7 @@
     subscriber.update_from(&publisher);
     publisher.apply_changes(&changes(1, Vec::new()));
     subscriber.update_from(&publisher);
-    assert!(subscriber.holder.is_known(), "the store is known to be empty");
+    assert!(subscriber.contents.is_known(), "the store is known to be empty");
 }
 
 #[test]
