--- a/tests/claims_model.rs
+++ b/tests/claims_model.rs
@@ -29,7 +29,7 @@
 const CLAIM_TIMEOUT_MS: u64 = 1000;
 /// Time for which the store keeps a lease after its last renewal.
 const LEASE_TTL_MS: u64 = 1500;
-/// The holder stops to lead this long before its lease expires in the store.
+/// The leader stops giving orders this long before its lease expires in the store.
 const LEASE_MARGIN_MS: u64 = 400;
 const RENEW_PERIOD_MS: u64 = 400;
 /// Start of the simulated time. It exceeds all ages, so that they can be subtracted from it.
@@ -436,14 +436,17 @@
         let now_ms = self.now_ms;
         for order in self.orders_in_transit.extract_if(.., |order| order.arrives_at_ms <= now_ms) {
             let before = self.last_orders.get(&order.engine).copied();
-            let (holder, fence, at_ms) = before.unwrap_or((order.sender, 0, 0));
+            let (previous_sender, fence, at_ms) = before.unwrap_or((order.sender, 0, 0));
             assert!(fence <= order.fence, "fence {} after {fence}", order.fence);
             if order.sent_by_paused_ex_leader {
                 continue;
             }
             self.last_orders.insert(order.engine, (order.sender, order.fence, now_ms));
             let gap_ms = now_ms - at_ms;
-            assert!(holder == order.sender || gap_ms >= MIN_ORDER_GAP_MS, "{gap_ms} ms apart");
+            assert!(
+                previous_sender == order.sender || gap_ms >= MIN_ORDER_GAP_MS,
+                "{gap_ms} ms apart"
+            );
         }
     }
 
--- a/tests/courses.rs
+++ b/tests/courses.rs
@@ -55,10 +55,10 @@
 fn scopes_apart() {
     let text = prompt("abcd");
     let own_chain = PrefixChain::new(&scope("a", "v1"), &text);
-    for other in [scope("b", "v1"), scope("a", "v2")] {
-        let other_chain = PrefixChain::new(&other, &text);
+    for other_scope in [scope("b", "v1"), scope("a", "v2")] {
+        let other_chain = PrefixChain::new(&other_scope, &text);
         assert_ne!(own_chain.root, other_chain.root);
         assert_eq!(own_chain.common_tokens(&other_chain), 0);
-        assert_ne!(cache_salt(&scope("a", "v1")), cache_salt(&other));
+        assert_ne!(cache_salt(&scope("a", "v1")), cache_salt(&other_scope));
     }
 }
--- a/tests/explaining.rs
+++ b/tests/explaining.rs
@@ -53,8 +53,8 @@
     assert_eq!(line.field("status"), Some("404"));
     assert_eq!(line.field("upstream"), None);
     assert_eq!(LogLine::parse(0, "a", "no time at all"), None);
-    let other = LogLine::parse(1, "a", &text.replace("r-1", "r-2")).unwrap();
-    assert_eq!(request_timeline(&[other, line.clone()], "r-1"), [&line]);
+    let line_of_other_request = LogLine::parse(1, "a", &text.replace("r-1", "r-2")).unwrap();
+    assert_eq!(request_timeline(&[line_of_other_request, line.clone()], "r-1"), [&line]);
 }
 
 /// The log lines that say why a request is quarantined do not name it: they are found by its
--- a/tests/gateway_peers.rs
+++ b/tests/gateway_peers.rs
@@ -262,11 +262,11 @@
     gossip_targets(&mut peers, 0, Audience::All);
     let targets_by_time =
         (1..=20).map(|turn| (turn * 90, gossip_targets(&mut peers, turn * 90, Audience::OwnHall)));
-    let told_at_ms: Vec<u64> = targets_by_time
+    let gossiped_at_ms: Vec<u64> = targets_by_time
         .filter(|(_, targets)| !targets.is_empty())
         .map(|targets_at| targets_at.0)
         .collect();
-    assert_eq!(told_at_ms, [270, 540, 810, 1080, 1350, 1620]);
+    assert_eq!(gossiped_at_ms, [270, 540, 810, 1080, 1350, 1620]);
 }
 
 /// A peer of the own hall accepted connections and never answered. Its gossip still arrived, so
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -89,7 +89,7 @@
 #[rstest]
 #[case(RetentionPolicy::Lru, 0)]
 #[case(RetentionPolicy::Worth, 1)]
-fn returning_stays(#[case] policy: RetentionPolicy, #[case] kept: usize) {
+fn returning_stays(#[case] policy: RetentionPolicy, #[case] expected_imports: usize) {
     let size_bytes = u64::from(slot_request("a", 0).prefix.tokens()) * TOKEN_BYTES;
     let mut manager = context_manager(policy, size_bytes * 10);
     let returning = slot_request("a", 1);
@@ -107,7 +107,7 @@
             manager.record_deletion(&delete.block);
         }
     }
-    assert_eq!(usize::from(manager.best_import(60_000, &returning).is_some()), kept);
+    assert_eq!(usize::from(manager.best_import(60_000, &returning).is_some()), expected_imports);
 }
 
 #[test]
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -39,7 +39,7 @@
     elapsed
 }
 
-/// Checks that no engine has accepted an order of a holder after one of its successor.
+/// Checks that no engine has accepted an order of a lease holder after one of its successor.
 async fn check_fence_order(fleet: &Fleet) {
     for engine in &fleet.engines {
         let runs = fleet.get(&format!("{}/runs", engine.url())).await.unwrap();
@@ -137,7 +137,7 @@
 }
 
 // Engines that do not check fencing tokens get no orders of a successor before the lease of a
-// killed holder has lapsed. All must be loaded in time nevertheless.
+// killed holder has expired. All must be loaded in time nevertheless.
 #[tokio::test]
 async fn unchecked_killed() {
     let mut plan = Plan::one_hall(3, 6, 0);
@@ -145,8 +145,8 @@
     plan.engine_args = vec![("check-orders".to_owned(), "false".to_owned())];
     let fleet = start_fleet(&plan).await;
     wait_lease_held(&fleet).await;
-    let holder = (0..3).find(|at| lease_count(&fleet, *at) > 0).unwrap();
-    fleet.boxes[holder].process.kill();
+    let lease_holder = (0..3).find(|at| lease_count(&fleet, *at) > 0).unwrap();
+    fleet.boxes[lease_holder].process.kill();
     let elapsed = load_time(&fleet, &[0, 1, 2, 3, 4, 5], "v2").await;
     check_fence_order(&fleet).await;
     assert!(elapsed < IN_FORCE_WITHIN, "an engine had a version after {} ms", elapsed.as_millis());
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -169,13 +169,13 @@
 fn fingerprints() {
     let fingerprint = Fingerprint::new("petra", &["POST", "/a"], b"body");
     assert_eq!(fingerprint, Fingerprint::new("petra", &["POST", "/a"], b"body"));
-    for other in [
+    for different in [
         Fingerprint::new("sanam", &["POST", "/a"], b"body"),
         Fingerprint::new("petra", &["GET", "/a"], b"body"),
         Fingerprint::new("petra", &["POST", "/ab"], b"ody"),
         Fingerprint::new("petra", &["POST", "/a"], b"body "),
     ] {
-        assert_ne!(fingerprint, other);
+        assert_ne!(fingerprint, different);
     }
 }
 
