--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -114,7 +114,7 @@
     /// When the metadata store had accepted the version.
     pub stored_at: Instant,
     /// When the box was queried.
-    pub asked_at: Instant,
+    pub requested_at: Instant,
 }
 
 /// Observations of all clients.
@@ -271,7 +271,7 @@
         sleep(CONFIGURATION_POLL_INTERVAL).await;
         let address = &world.boxes[box_number].process.clients;
         let Some(mut connection) = connect(address).await else { continue };
-        let (NewestConfiguration { version, stored_at }, asked_at) =
+        let (NewestConfiguration { version, stored_at }, requested_at) =
             (world.newest(), Instant::now());
         let bytes = request("GET", &version_path(version), "newest", "", "");
         let Ok(Some(answer)) = timeout(CONFIGURATION_POLL_TIMEOUT, connection.send(&bytes)).await
@@ -287,7 +287,7 @@
                     box_number,
                     version,
                     stored_at,
-                    asked_at,
+                    requested_at,
                 });
             }
             _ => {}
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -42,7 +42,7 @@
     #[must_use]
     pub fn violations(&self) -> Vec<String> {
         let run_counts = self.run_counts();
-        let mut found = self.observations.reverted.clone();
+        let mut violations = self.observations.reverted.clone();
         for request in &self.observations.requests {
             let times = run_counts.get(request.id.as_str()).copied().unwrap_or_default();
             let faults = [
@@ -51,24 +51,29 @@
                 (request.kind.runs_once() && times > 1).then(|| format!("it ran {times} times")),
                 self.cut_by_planned_work(request, times),
             ];
-            found.extend(faults.into_iter().flatten().map(|fault| self.describe(request, &fault)));
+            violations
+                .extend(faults.into_iter().flatten().map(|fault| self.describe(request, &fault)));
         }
-        found.extend(self.requests_to_leaving_upstreams());
-        found.extend(self.stale_configurations());
-        found.extend(self.order_violations());
-        found.extend(self.ignored_announcements());
-        found.extend(self.crash_request_resent());
+        violations.extend(self.requests_to_leaving_upstreams());
+        violations.extend(self.stale_configurations());
+        violations.extend(self.order_violations());
+        violations.extend(self.ignored_announcements());
+        violations.extend(self.crash_request_resent());
         if self.world.weights_change {
             let (outdated, runs) = (&self.observations.outdated_weights, self.recovered_box_runs());
-            found.extend(self.outdated_weights_in_use("had them", outdated, Step::delays_weights));
-            found.extend(self.outdated_weights_in_use(
+            violations.extend(self.outdated_weights_in_use(
+                "had them",
+                outdated,
+                Step::delays_weights,
+            ));
+            violations.extend(self.outdated_weights_in_use(
                 "started requests",
                 &runs,
                 Step::disrupts_connections,
             ));
         }
-        found.extend(self.logged_violations());
-        found
+        violations.extend(self.logged_violations());
+        violations
     }
 
     fn run_counts(&self) -> HashMap<String, usize> {
@@ -130,7 +135,7 @@
     }
 
     fn requests_to_leaving_upstreams(&self) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for leave in self.world.upstream_leaves().iter() {
             let upstream =
                 self.world.upstreams.iter().find(|upstream| upstream.process.id == leave.id);
@@ -150,13 +155,13 @@
             if let Some(first) = late.first() {
                 let (count, id, at_ms) = (late.len(), &leave.id, self.at_ms(first.at));
                 let from_ms = self.at_ms(leave.from);
-                found.push(format!(
+                violations.push(format!(
                     "upstream {id} was about to leave from {from_ms} ms and got {count} requests \
                      after {by_ms} ms, first at {at_ms} ms"
                 ));
             }
         }
-        found
+        violations
     }
 
     /// Finds boxes that did not serve a stored configuration in time. The bound is extended
@@ -164,10 +169,10 @@
     fn stale_configurations(&self) -> Vec<String> {
         let mut late: BTreeMap<(usize, u64), Vec<u64>> = BTreeMap::new();
         let mut due = HashMap::new();
-        for StaleConfiguration { box_number, version, stored_at, asked_at } in
+        for StaleConfiguration { box_number, version, stored_at, requested_at } in
             &self.observations.stale_configurations
         {
-            let (stored_at_ms, at_ms) = (self.at_ms(*stored_at), self.at_ms(*asked_at));
+            let (stored_at_ms, at_ms) = (self.at_ms(*stored_at), self.at_ms(*requested_at));
             let by_ms =
                 applied_by_ms(self.steps, stored_at_ms, CONFIGURATION_BOUND_MS, Step::is_unplanned);
             if at_ms > by_ms {
@@ -189,13 +194,13 @@
     /// Checks that fencing tokens never decrease at an engine, that each belongs to one leader and
     /// that orders of different leaders are at least one lease apart.
     fn order_violations(&self) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         let mut leaders: BTreeMap<u64, String> = BTreeMap::new();
         for (number, engine) in self.world.engines.iter().enumerate() {
             let mut last = 0;
             for order in engine.process.orders() {
                 if order.fence < last {
-                    found.push(format!(
+                    violations.push(format!(
                         "engine {number}: fencing token {} after {last}",
                         order.fence
                     ));
@@ -203,7 +208,7 @@
                 last = last.max(order.fence);
                 let leader = leaders.entry(order.fence).or_insert_with(|| order.leader.clone());
                 if *leader != order.leader {
-                    found.push(format!(
+                    violations.push(format!(
                         "fencing token {}: leaders {leader} and {}",
                         order.fence, order.leader
                     ));
@@ -211,10 +216,10 @@
             }
             if self.world.weights_change {
                 let close = self.close_orders_of_two_leaders(engine.process.orders());
-                found.extend(close.into_iter().map(|text| format!("engine {number}: {text}")));
+                violations.extend(close.into_iter().map(|text| format!("engine {number}: {text}")));
             }
         }
-        found
+        violations
     }
 
     /// Finds consecutive orders of two leaders that reached an engine less than one lease apart.
@@ -257,14 +262,14 @@
     /// Requests that started on engines, except for those from boxes that were down recently.
     #[must_use]
     pub fn recovered_box_runs(&self) -> Vec<WeightsObservation> {
-        let mut found = Vec::new();
+        let mut observations = Vec::new();
         for (number, engine) in self.world.engines.iter().enumerate() {
             for run in engine.process.runs() {
                 let id = run.headers.get("x-request-id").cloned().unwrap_or_default();
                 let sender = id.split('-').next().and_then(|sender| sender.parse().ok());
                 let is_recovered = !self.had_outage_at(sender, run.at_ms, RECOVERY_MS, |_| true);
                 if let Some(version) = run.version.filter(|_| is_recovered) {
-                    found.push(WeightsObservation {
+                    observations.push(WeightsObservation {
                         engine: number,
                         version,
                         at_ms: run.at_ms,
@@ -273,7 +278,7 @@
                 }
             }
         }
-        found
+        observations
     }
 
     /// Finds observations of weights that should have been replaced by then. A version is due to
--- a/soak/src/crashing.rs
+++ b/soak/src/crashing.rs
@@ -58,7 +58,7 @@
     pub async fn start(site: &Site) -> Self {
         let crashing = Self { servers: Mutex::default() };
         for _ in 0..UPSTREAMS {
-            crashing.start_one(site).await;
+            crashing.start_upstream(site).await;
         }
         crashing
     }
@@ -67,7 +67,7 @@
         self.servers.lock().expect("no task panics under the lock")
     }
 
-    async fn start_one(&self, site: &Site) {
+    async fn start_upstream(&self, site: &Site) {
         let number = self.servers().len();
         let server = Server::start(&format!("frail-{number}")).await;
         server.crash_on(CRASHING_BODY);
@@ -100,7 +100,7 @@
         for id in crashing.crashed().into_iter().skip(replaced) {
             replaced += 1;
             world.site.deregister(&id);
-            crashing.start_one(&world.site).await;
+            crashing.start_upstream(&world.site).await;
         }
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -205,32 +205,33 @@
 /// Waits until the newest configuration is in force in every box. Describes the boxes where it
 /// is not within the time limit.
 async fn wait_for_configuration(world: &World) -> Vec<String> {
-    let until = Instant::now() + CONVERGENCE_TIMEOUT;
+    let deadline = Instant::now() + CONVERGENCE_TIMEOUT;
     let version = world.newest().version;
-    let mut behind = Vec::new();
+    let mut outdated_boxes = Vec::new();
     for (number, gateway_box) in world.boxes.iter().enumerate() {
         while !serves_version(&gateway_box.process.clients, version).await {
-            if Instant::now() > until {
-                behind.push(format!("box {number} does not have version {version} in force"));
+            if Instant::now() > deadline {
+                outdated_boxes
+                    .push(format!("box {number} does not have version {version} in force"));
                 break;
             }
             sleep(PROBE_INTERVAL).await;
         }
     }
-    behind
+    outdated_boxes
 }
 
 /// Waits until every engine has the newest weights. Describes the engines that do not have them
 /// within the time limit.
 async fn wait_for_weights(world: &World) -> Vec<String> {
-    let until = Instant::now() + CONVERGENCE_TIMEOUT;
+    let deadline = Instant::now() + CONVERGENCE_TIMEOUT;
     loop {
-        let behind = world.outdated_engines();
-        if behind.is_empty() || Instant::now() > until {
+        let outdated_engines = world.outdated_engines();
+        if outdated_engines.is_empty() || Instant::now() > deadline {
             let text = |(engine, version)| {
                 format!("engine {engine} still has weights {version} at the end")
             };
-            return behind.into_iter().map(text).collect();
+            return outdated_engines.into_iter().map(text).collect();
         }
         sleep(PROBE_INTERVAL).await;
     }
--- a/soak/src/notices.rs
+++ b/soak/src/notices.rs
@@ -26,7 +26,7 @@
 
     fn ignored_announcements_of(&self, upstream: &Server) -> Vec<String> {
         let done = upstream.handled();
-        let mut found = Vec::new();
+        let mut violations = Vec::new();
         for announcement in &done {
             // Requests for a configuration version have ids that do not start with the number of
             // a box.
@@ -50,7 +50,7 @@
             });
             let received: Vec<&str> = received.map(|later| later.request_id.as_str()).collect();
             if received.len() > max_requests {
-                found.push(format!(
+                violations.push(format!(
                     "upstream {} announced {:?} in its answer to {} at {} ms, but got {} from that box",
                     upstream.id,
                     announcement.behavior,
@@ -60,7 +60,7 @@
                 ));
             }
         }
-        found
+        violations
     }
 
     /// The first known restart of an upstream after a time. A restart invalidates earlier
