--- a/standins/src/fleet/plan.rs
+++ b/standins/src/fleet/plan.rs
@@ -44,7 +44,7 @@
     pub policy: String,
     /// Lines of the settings' limits section.
     pub limits: String,
-    /// Whether boxes are told that engines check the fencing token of orders.
+    /// Whether the boxes' settings say that engines check the fencing token of orders.
     pub checks_orders: bool,
     /// Whether connections between halls pass through relays that can be cut.
     pub hall_relays: bool,
--- a/standins/src/kv.rs
+++ b/standins/src/kv.rs
@@ -182,13 +182,13 @@
     kv.admit(&CallKind::Read)?;
     let mut changed = kv.changed.subscribe();
     let wait = query.wait.as_deref().map_or(MAX_WAIT, parse_duration);
-    let until = tokio::time::Instant::now() + wait;
+    let deadline = tokio::time::Instant::now() + wait;
     loop {
         let (index, modify_index, entry) = kv.lookup(&key, query.keys.is_some());
         // Index 0 requests an immediate answer.
         let has_changed = query.index.is_none_or(|seen| seen == 0 || modify_index > seen);
         let timed_out =
-            !has_changed && tokio::time::timeout_at(until, changed.changed()).await.is_err();
+            !has_changed && tokio::time::timeout_at(deadline, changed.changed()).await.is_err();
         if has_changed || timed_out {
             let status = entry.as_ref().map_or(StatusCode::NOT_FOUND, |_| StatusCode::OK);
             let body = Json(entry.unwrap_or(Value::Null));
--- a/standins/src/site/engine.rs
+++ b/standins/src/site/engine.rs
@@ -418,9 +418,10 @@
 
 #[handler]
 async fn events(Data(shared): Data<&Shared>, Query(query): Query<Since>) -> Json<Value> {
-    let until = tokio::time::Instant::now() + MAX_EVENT_WAIT;
+    let deadline = tokio::time::Instant::now() + MAX_EVENT_WAIT;
     let since = usize::try_from(query.since).unwrap_or_default();
-    while shared.lock().expect("state").events.len() <= since && tokio::time::Instant::now() < until
+    while shared.lock().expect("state").events.len() <= since
+        && tokio::time::Instant::now() < deadline
     {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/standins/src/site/metadata/calls.rs
+++ b/standins/src/site/metadata/calls.rs
@@ -112,7 +112,7 @@
     Query(query): Query<WatchQuery>,
 ) -> Response {
     let mut changed = shared.changed.subscribe();
-    let until = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
+    let deadline = tokio::time::Instant::now() + Duration::from_millis(query.wait_ms);
     loop {
         if let Err(answer) = check_call(shared, "kv-watch").await {
             return answer;
@@ -121,7 +121,7 @@
         if let Some(answer) = events_after(&shared.tables(), &query) {
             return answer;
         }
-        if tokio::time::timeout_at(until, changed.changed()).await.is_err() {
+        if tokio::time::timeout_at(deadline, changed.changed()).await.is_err() {
             let at = shared.tables().rev;
             return Json(json!({ "events": [], "at": at })).into_response();
         }
@@ -220,8 +220,8 @@
     }
     let mut tables = shared.tables();
     match tables.leases.get_mut(&id) {
-        Some((ttl, until)) => {
-            *until = Instant::now() + *ttl;
+        Some((ttl, expires_at)) => {
+            *expires_at = Instant::now() + *ttl;
             let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or_default();
             Json(json!({ "ttl_ms": ttl_ms })).into_response()
         }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -82,8 +82,10 @@
     /// it sees instead.
     fn not_seen_alive(&self) -> Vec<(usize, usize, Option<Health>)> {
         let count = self.boxes.len();
-        let pairs = (0..count).flat_map(|at| (0..count).map(move |of| (at, of)));
-        let health_pairs = pairs.map(|(at, of)| (at, of, self.health(at, of)));
+        let pairs =
+            (0..count).flat_map(|observer| (0..count).map(move |observed| (observer, observed)));
+        let health_pairs =
+            pairs.map(|(observer, observed)| (observer, observed, self.health(observer, observed)));
         health_pairs.filter(|(_, _, health)| *health != Some(Health::Alive)).collect()
     }
 }
