--- a/load/src/chaos.rs
+++ b/load/src/chaos.rs
@@ -73,12 +73,12 @@
     Fault::HallCut,
 ];
 
-/// Injects faults until `until`. Returns the number of faults of each kind.
-async fn inject_faults(fleet: Arc<Fleet>, seed: u64, until: Instant) -> BTreeMap<Fault, u32> {
+/// Injects faults until `deadline`. Returns the number of faults of each kind.
+async fn inject_faults(fleet: Arc<Fleet>, seed: u64, deadline: Instant) -> BTreeMap<Fault, u32> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut counts = BTreeMap::new();
     let mut active_faults = Vec::new();
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let fault = FAULTS[rng.usize(..FAULTS.len())];
         let duration = Duration::from_millis(rng.u64(200..MAX_FAULT_DURATION_MS));
         let pick = rng.usize(..1000);
--- a/tests/gateway_departure.rs
+++ b/tests/gateway_departure.rs
@@ -82,7 +82,7 @@
     .await;
 }
 
-/// Routes and upstreams' behaviour that leave a request waiting for its answer, or for the rest.
+/// Routes and upstreams' behavior that leave a request waiting for its answer, or for the rest.
 fn waiting_cases() -> [(&'static str, Behavior); 3] {
     [
         ("/safe/", Behavior::Held),
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -33,7 +33,7 @@
 }
 
 // Only engines that check fencing tokens refuse late orders of a holder that is gone. With
-// engines that don't, its lease counts as held until it lapses.
+// engines that do not, its lease counts as held until it expires.
 #[test]
 fn lapse_awaited() {
     let record = lease_record("old", Some(box_ref("b2", 1)));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -122,7 +122,7 @@
 }
 
 // Engines must be loaded in time although each box that acquires the lease is killed half a second
-// later. When the next box waited until the lease of the killed one had lapsed, and then had time
+// later. When the next box waited until the lease of the killed one had expired, and then had time
 // for three orders, six engines had a new version after 23 s.
 #[tokio::test]
 async fn holders_killed() {
