--- a/src/calls.rs
+++ b/src/calls.rs
@@ -114,7 +114,7 @@
             inherited.insert(of.clone(), *ledger);
             drop(inherited);
             if of == envelope.from {
-                kernel.membership().inherit(now_ms(), &of);
+                kernel.membership().record_inheritance(now_ms(), &of);
             }
             kernel.send(&envelope.reply_to, Message::HandoverConfirmed { of });
         }
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -84,7 +84,7 @@
             Some(_) | None if now_ms() < lookup_deadline_ms => {
                 if now_ms() >= query_at_ms {
                     query_at_ms = now_ms() + HEIR_QUERY_PERIOD_MS;
-                    let queries = kernel.membership().ask_heirs(spender);
+                    let queries = kernel.membership().query_heirs(spender);
                     send_gossip(kernel, queries);
                 }
                 tokio::time::sleep(HEIR_POLL_PERIOD).await;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -107,13 +107,13 @@
     }
 
     /// Announces that this box keeps the ledger of `leaver`.
-    pub fn inherit(&mut self, now_ms: u64, leaver: &BoxRef) {
+    pub fn record_inheritance(&mut self, now_ms: u64, leaver: &BoxRef) {
         self.view.record_inheritance(now_ms, leaver);
     }
 
     /// Asks some peers which box keeps the ledger of a box. A box that was unreachable when this
     /// was announced cannot learn it in any other way.
-    pub fn ask_heirs(&mut self, of: &BoxRef) -> Vec<Outgoing> {
+    pub fn query_heirs(&mut self, of: &BoxRef) -> Vec<Outgoing> {
         let live = self.view.others().filter(|member| member.takes_work());
         let mut peers: Vec<_> = live.map(|member| member.address.clone()).collect();
         self.rng.shuffle(&mut peers);
