--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -248,7 +248,7 @@
     let answer = Answer { status: 200, content_type: None, body: vec![0; 200] };
     let outcome = Outcome::Answered(answer);
     let time = mean_us(10_000, |number| {
-        ledger.begin(1, &key(number), 1, u64::MAX);
+        ledger.try_spend_key(1, &key(number), 1, u64::MAX);
         ledger.record_outcome(&key(number), &outcome);
     });
     let memory = resident_bytes().saturating_sub(before);
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -96,8 +96,8 @@
 }
 
 impl Ledger {
-    /// Decides how to proceed with a call, and spends its key if it is to run.
-    pub fn begin(
+    /// Spends the key of a call if the call may run; returns how to proceed with it.
+    pub fn try_spend_key(
         &mut self,
         now_ms: u64,
         key: &CallKey,
--- a/src/spending.rs
+++ b/src/spending.rs
@@ -26,7 +26,8 @@
             return CallEnd::unknown(Reason::DeadlinePassed);
         }
         let expires_at_ms = call.ticket_expires_at_ms;
-        let decision = kernel.calls.ledger().begin(now_ms(), &call.key, fingerprint, expires_at_ms);
+        let decision =
+            kernel.calls.ledger().try_spend_key(now_ms(), &call.key, fingerprint, expires_at_ms);
         match decision {
             CallDecision::Run => break,
             CallDecision::Wait => tokio::time::sleep(WAIT_POLL_PERIOD).await,
@@ -67,8 +68,12 @@
 ) -> Option<CallEnd> {
     let mut inherited = locked(&kernel.calls.inherited_ledgers);
     let ledger = inherited.get_mut(spender)?;
-    let decision =
-        ledger.begin(now_ms(), &call.key, call_fingerprint(call).0, call.ticket_expires_at_ms);
+    let decision = ledger.try_spend_key(
+        now_ms(),
+        &call.key,
+        call_fingerprint(call).0,
+        call.ticket_expires_at_ms,
+    );
     check(Invariant::SentOnce, decision != CallDecision::Run, || call.key.key.clone());
     Some(call_end(decision))
 }
--- a/tests/forwarded.rs
+++ b/tests/forwarded.rs
@@ -160,7 +160,7 @@
     // An empty ledger is not taken over.
     let mut ledger = Ledger::default();
     let other_key = CallKey { account: "petra".to_owned(), key: "other".to_owned() };
-    ledger.begin(now_ms(), &other_key, 0, now_ms() + 60_000);
+    ledger.try_spend_key(now_ms(), &other_key, 0, now_ms() + 60_000);
     let ledger = ledger.handover_copy();
     let (of, ledger) = (leaver.id.clone(), Box::new(ledger));
     leaver.send(Message::Handover { of, ledger });
--- a/tests/ledger_model.rs
+++ b/tests/ledger_model.rs
@@ -81,7 +81,8 @@
 
 impl Simulation {
     fn call(&mut self, now_ms: u64, key: u8, fingerprint: u64) {
-        let decision = self.ledger.begin(now_ms, &call_key(key), fingerprint, EXPIRES_AT_MS);
+        let decision =
+            self.ledger.try_spend_key(now_ms, &call_key(key), fingerprint, EXPIRES_AT_MS);
         let facts = self.facts.entry(key).or_default();
         match decision {
             CallDecision::Run => {
