--- a/src/crashes.rs
+++ b/src/crashes.rs
@@ -17,14 +17,14 @@
 /// Number of peers to which a box forwards a crash that is new to it.
 const FANOUT: usize = 4;
 /// Shortest time in which a crashed upstream restarts: crashes of an upstream in the same
-/// interval of this length are counted as one.
+/// interval of this length are counted as those of one incarnation.
 const MIN_RESTART_MS: u64 = 5000;
 
 inventory::submit! {
     Plugin { name: "crashes", start, receive: Some((Topic::Crashes, receive)) }
 }
 
-/// Time at which the quarantine of a request ends; `None` if it is not quarantined.
+/// End of a request's quarantine; `None` if it is not quarantined.
 #[must_use]
 pub fn quarantined_until_ms(kernel: &Kernel, request: Fingerprint) -> Option<u64> {
     locked(&kernel.quarantine).until_ms(now_ms(), request)
@@ -38,8 +38,8 @@
     }
     info!(target: "crashes", "Upstream {upstream} crashed while running request {request}.");
     let now_ms = now_ms();
-    let crash_id = short_id(&format!("{upstream}/{}", now_ms / MIN_RESTART_MS));
-    locked(&kernel.quarantine).record_crash(now_ms, request, crash_id, now_ms);
+    let incarnation_id = short_id(&format!("{upstream}/{}", now_ms / MIN_RESTART_MS));
+    locked(&kernel.quarantine).record_crash(now_ms, request, incarnation_id, now_ms);
     notify_peers(kernel);
 }
 
@@ -64,8 +64,8 @@
 
 fn random_peers(kernel: &Kernel) -> Vec<String> {
     let membership = kernel.membership();
-    let others = membership.view().members().skip(1).filter(|member| member.takes_work());
-    let mut addresses: Vec<String> = others.map(|member| member.address.clone()).collect();
+    let available_peers = membership.view().members().skip(1).filter(|member| member.takes_work());
+    let mut addresses: Vec<String> = available_peers.map(|member| member.address.clone()).collect();
     fastrand::shuffle(&mut addresses);
     addresses.truncate(FANOUT);
     addresses
--- a/src/quarantine.rs
+++ b/src/quarantine.rs
@@ -1,10 +1,11 @@
 //! Quarantine of requests that crash upstreams.
 //!
 //! Some requests crash every upstream that starts to run them, and are retried under another id at
-//! any box. A crash also ends everything else that runs on the upstream, so that one crash says
-//! little about any single request. A request is quarantined once [`CRASHES_TO_QUARANTINE`]
-//! upstreams have crashed while they ran it and none has completed it since. Its first run after
-//! the quarantine decides: an answer clears the request, a crash quarantines it again.
+//! any box. A crash also ends all other requests that run on the upstream, the bystanders, so that
+//! one crash says little about any single request. A request is quarantined once
+//! [`CRASHES_TO_QUARANTINE`] incarnations (runs of the process) of upstreams have crashed while they
+//! ran it and none has answered it since. Its first run after the quarantine decides: an answer
+//! clears the request, a crash quarantines it again.
 //!
 //! For a while, boxes announce crashes to each other and pass on what they receive. Quarantined
 //! requests are also kept in the platform's store.
@@ -15,8 +16,8 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Upstreams that must crash while they run a request before it is quarantined. A bystander meets
-/// at most one crash with each of its attempts.
+/// Incarnations of upstreams that must crash while they run a request before it is quarantined. A
+/// bystander gets at most one crash with each of its attempts.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 /// Duration of a quarantine.
 pub const QUARANTINE_MS: u64 = 3_600_000;
@@ -47,8 +48,8 @@
 pub struct CrashReport {
     /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// Short id of the upstream's run.
-    pub upstream: u32,
+    /// Short id of the incarnation that crashed; reports with the same id count as one crash.
+    pub incarnation_id: u32,
     /// Age in milliseconds, as the clocks of boxes may differ.
     pub age_ms: u32,
 }
@@ -64,7 +65,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Crash {
-    upstream: u32,
+    incarnation_id: u32,
     at_ms: u64,
 }
 
@@ -77,28 +78,29 @@
 }
 
 impl Suspect {
-    fn last_at_ms(&self) -> u64 {
+    fn last_crash_at_ms(&self) -> u64 {
         self.crashes.iter().map(|crash| crash.at_ms).max().unwrap_or_default()
     }
 
-    /// End of the quarantine; 0 if the request was never quarantined.
+    /// End of the quarantine; 0 if too few crashes are known for one.
     fn until_ms(&self) -> u64 {
         if self.crashes.len() < CRASHES_TO_QUARANTINE {
             0
         } else {
-            self.last_at_ms() + QUARANTINE_MS
+            self.last_crash_at_ms() + QUARANTINE_MS
         }
     }
 
     /// Records a crash; returns whether it is new.
     fn record_crash(&mut self, crash: Crash) -> bool {
         let is_cleared = self.answered_at_ms.is_some_and(|at_ms| crash.at_ms <= at_ms);
-        let is_known = self.crashes.iter().any(|known| known.upstream == crash.upstream);
+        let is_known =
+            self.crashes.iter().any(|known| known.incarnation_id == crash.incarnation_id);
         if is_cleared || is_known {
             return false;
         }
         if self.crashes.len() == CRASHES_TO_QUARANTINE {
-            if crash.at_ms <= self.last_at_ms() {
+            if crash.at_ms <= self.last_crash_at_ms() {
                 return false;
             }
             self.crashes.sort_unstable_by_key(|known| known.at_ms);
@@ -117,7 +119,7 @@
     }
 
     fn is_recent(&self, now_ms: u64) -> bool {
-        let last_ms = self.last_at_ms().max(self.answered_at_ms.unwrap_or_default());
+        let last_ms = self.last_crash_at_ms().max(self.answered_at_ms.unwrap_or_default());
         now_ms < last_ms + SUSPECT_MS
     }
 }
@@ -126,7 +128,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
-    next_announced: usize,
+    announce_offset: usize,
 }
 
 impl Quarantine {
@@ -135,11 +137,11 @@
         &mut self,
         now_ms: u64,
         request: Fingerprint,
-        upstream: u32,
+        incarnation_id: u32,
         at_ms: u64,
     ) -> UpdateUrgency {
         let suspect = self.suspects.entry(request).or_default();
-        let is_new = suspect.record_crash(Crash { upstream, at_ms });
+        let is_new = suspect.record_crash(Crash { incarnation_id, at_ms });
         let urgency = match suspect.crashes.len() {
             _ if !is_new => UpdateUrgency::None,
             1 => UpdateUrgency::FirstCrash,
@@ -163,25 +165,25 @@
         (now_ms < until_ms).then_some(until_ms)
     }
 
-    /// The quarantined requests, each with the upstreams that crashed.
+    /// The quarantined requests, each with the short ids of the incarnations that crashed.
     pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (Fingerprint, Vec<u32>)> {
         let quarantined =
             self.suspects.iter().filter(move |(_, suspect)| now_ms < suspect.until_ms());
         quarantined.map(|(request, suspect)| {
-            let mut upstreams: Vec<u32> =
-                suspect.crashes.iter().map(|crash| crash.upstream).collect();
-            upstreams.sort_unstable();
-            (*request, upstreams)
+            let mut incarnation_ids: Vec<u32> =
+                suspect.crashes.iter().map(|crash| crash.incarnation_id).collect();
+            incarnation_ids.sort_unstable();
+            (*request, incarnation_ids)
         })
     }
 
     /// Merges a quarantined request from a list that has no timestamps.
-    pub fn merge_listed(&mut self, now_ms: u64, request: Fingerprint, upstreams: &[u32]) {
+    pub fn merge_listed(&mut self, now_ms: u64, request: Fingerprint, incarnation_ids: &[u32]) {
         let suspect = self.suspects.entry(request).or_default();
         // The list may be older than the answer.
         if suspect.answered_at_ms.is_none() {
-            for upstream in upstreams {
-                suspect.record_crash(Crash { upstream: *upstream, at_ms: now_ms });
+            for incarnation_id in incarnation_ids {
+                suspect.record_crash(Crash { incarnation_id: *incarnation_id, at_ms: now_ms });
             }
         }
     }
@@ -203,8 +205,12 @@
         }
         for report in crashes {
             let at_ms = now_ms.saturating_sub(report.age_ms.into());
-            urgency =
-                urgency.max(self.record_crash(now_ms, report.request, report.upstream, at_ms));
+            urgency = urgency.max(self.record_crash(
+                now_ms,
+                report.request,
+                report.incarnation_id,
+                at_ms,
+            ));
         }
         urgency
     }
@@ -234,8 +240,8 @@
             return Vec::new();
         }
         quarantined.sort_unstable();
-        let start = self.next_announced % quarantined.len();
-        self.next_announced = self.next_announced.wrapping_add(MAX_ANNOUNCED_QUARANTINED);
+        let start = self.announce_offset % quarantined.len();
+        self.announce_offset = self.announce_offset.wrapping_add(MAX_ANNOUNCED_QUARANTINED);
         let announced = quarantined
             .iter()
             .cycle()
@@ -267,7 +273,7 @@
         }
         // The fingerprint breaks ties.
         let rank = |request: &Fingerprint, suspect: &Suspect| {
-            (suspect.crashes.len(), suspect.last_at_ms(), *request)
+            (suspect.crashes.len(), suspect.last_crash_at_ms(), *request)
         };
         let mut ranks: Vec<_> =
             self.suspects.iter().map(|(request, suspect)| rank(request, suspect)).collect();
@@ -279,7 +285,11 @@
 }
 
 fn crash_report(now_ms: u64, request: Fingerprint, crash: Crash) -> CrashReport {
-    CrashReport { request, upstream: crash.upstream, age_ms: age_ms(now_ms, crash.at_ms) }
+    CrashReport {
+        request,
+        incarnation_id: crash.incarnation_id,
+        age_ms: age_ms(now_ms, crash.at_ms),
+    }
 }
 
 fn age_ms(now_ms: u64, at_ms: u64) -> u32 {
