--- a/src/context_manager/eviction.rs
+++ b/src/context_manager/eviction.rs
@@ -48,15 +48,15 @@
     }
 
     fn eviction_candidates(&self, name: &str, capacity_bytes: u64) -> Vec<EvictionCandidate> {
-        let mut by_account: BTreeMap<&str, u64> = BTreeMap::new();
+        let mut bytes_by_account: BTreeMap<&str, u64> = BTreeMap::new();
         for (_, block) in self.blocks.iter().filter(|(_, block)| block.store == name) {
-            *by_account.entry(&block.scope.account).or_default() += block.size_bytes;
+            *bytes_by_account.entry(&block.scope.account).or_default() += block.size_bytes;
         }
         let share_of = |account: &str| self.shares.get(account).copied().unwrap_or(1.0);
-        let all_shares: f64 = by_account.keys().map(|account| share_of(account)).sum();
+        let total_share: f64 = bytes_by_account.keys().map(|account| share_of(account)).sum();
         let is_over_share = |account: &str| {
-            let fair_bytes = to_f64(capacity_bytes) * share_of(account) / all_shares.max(1e-6);
-            to_f64(by_account.get(account).copied().unwrap_or(0)) > fair_bytes
+            let fair_bytes = to_f64(capacity_bytes) * share_of(account) / total_share.max(1e-6);
+            to_f64(bytes_by_account.get(account).copied().unwrap_or(0)) > fair_bytes
         };
         let records = self.directory.iter().filter_map(|record| {
             let id = record.block.as_ref()?;
@@ -70,7 +70,7 @@
 
     pub(super) fn drop_block(&mut self, id: &BlockId, root: u64) {
         self.blocks.free(id);
-        self.directory.forget_block(root, id);
+        self.directory.unlink_block(root, id);
     }
 
     pub(super) fn select_store(&self, now_ms: u64, root: u64, size_bytes: u64) -> Option<String> {
--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -26,9 +26,9 @@
 const MAX_DEFERRAL_MS: u64 = 3000;
 /// Maximum number of deferred exports.
 const MAX_DEFERRED_EXPORTS: usize = 64;
-/// Factor on an import's estimated time that gives its time limit, together with the slack.
+/// Factor by which the estimated time of an import is multiplied to get its time limit.
 const IMPORT_TIMEOUT_FACTOR: f64 = 2.0;
-/// Slack added to the time limit of an import.
+/// Time added to that product.
 const IMPORT_TIMEOUT_SLACK_MS: f64 = 20.0;
 /// Time for which a block stays pinned after its import's deadline.
 const PIN_AFTER_DEADLINE_MS: u64 = 5000;
@@ -114,11 +114,14 @@
     pub directory: Directory,
     blocks: Blocks,
     stores: BTreeMap<String, Store>,
+    /// Shares of the accounts whose context was considered for export.
     shares: BTreeMap<String, f64>,
+    /// Deferred exports, each with its expiry time in Unix milliseconds.
     deferred_exports: VecDeque<(u64, ExportSource)>,
+    /// The box incarnation; block ids contain a hash of it and a nonce.
     writer: String,
     next_nonce: u64,
-    token_bytes: u64,
+    kv_token_bytes: u64,
 }
 
 impl ContextManager {
@@ -127,20 +130,20 @@
     pub fn new(
         policy: RetentionPolicy,
         stores: BTreeMap<String, Store>,
-        capacity: usize,
-        token_bytes: u64,
+        max_prompt_records: usize,
+        kv_token_bytes: u64,
         writer: &str,
     ) -> Self {
         Self {
             policy,
-            directory: Directory::new(capacity),
+            directory: Directory::new(max_prompt_records),
             blocks: Blocks::default(),
             stores,
             shares: BTreeMap::new(),
             deferred_exports: VecDeque::new(),
             writer: writer.to_owned(),
             next_nonce: 1,
-            token_bytes,
+            kv_token_bytes,
         }
     }
 
@@ -206,7 +209,7 @@
             ImportResult::TimedOut => store.mark_failed(now_ms),
             ImportResult::NotFound => {
                 self.blocks.free(&report.block);
-                self.directory.forget_block(prefix.root, &report.block);
+                self.directory.unlink_block(prefix.root, &report.block);
             }
         }
     }
@@ -227,8 +230,8 @@
 
     /// Schedules the oldest deferred export, unless it has expired.
     pub fn plan_deferred_export(&mut self, now_ms: u64) -> Option<Export> {
-        let (until_ms, source) = self.deferred_exports.pop_front()?;
-        if until_ms <= now_ms {
+        let (expires_at_ms, source) = self.deferred_exports.pop_front()?;
+        if expires_at_ms <= now_ms {
             return None;
         }
         let size_bytes = self.export_size_bytes(now_ms, &source)?;
@@ -236,7 +239,7 @@
         {
             return self.begin_export(now_ms, source, &store, size_bytes);
         }
-        self.deferred_exports.push_front((until_ms, source));
+        self.deferred_exports.push_front((expires_at_ms, source));
         None
     }
 
@@ -252,7 +255,7 @@
         if record.block.is_some() {
             return None;
         }
-        let size_bytes = u64::from(prefix_end.tokens) * self.token_bytes;
+        let size_bytes = u64::from(prefix_end.tokens) * self.kv_token_bytes;
         let block_stats = BlockStats {
             reuse: record.reuse,
             worthless_at_ms: record.worthless_at_ms,
@@ -350,10 +353,10 @@
         }
         self.directory.prune(now_ms);
         let deletable = self.blocks.deletable(now_ms);
-        deletable.into_iter().filter_map(|block| self.delete(block)).collect()
+        deletable.into_iter().filter_map(|block| self.deletion(block)).collect()
     }
 
-    fn delete(&self, block: BlockId) -> Option<BlockDeletion> {
+    fn deletion(&self, block: BlockId) -> Option<BlockDeletion> {
         let store = self.stores.get(&self.blocks.get(&block)?.store)?;
         Some(BlockDeletion { block, store_url: store.url.clone() })
     }
--- a/src/directory.rs
+++ b/src/directory.rs
@@ -36,7 +36,7 @@
     pub copies: Vec<EngineCopy>,
     /// Block that a store holds or that is being exported.
     pub block: Option<BlockId>,
-    /// How often the prompt is reused.
+    /// When and how often the prompts were used.
     pub reuse: ReuseStats,
     /// When the context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
@@ -109,7 +109,7 @@
         } else {
             prior.record_first_use();
             if records.len() >= MAX_RECORDS_PER_ROOT {
-                self.len -= usize::from(drop_least_recent(records));
+                self.len -= usize::from(remove_least_recently_used(records));
             }
             self.len += 1;
             records.reserve_exact(1);
@@ -157,22 +157,22 @@
         self.by_root.values().flatten()
     }
 
-    /// Drops all copies in the cache of an engine.
-    pub fn forget_engine(&mut self, engine: u16) {
+    /// Removes the records of all copies in an engine's cache.
+    pub fn remove_engine_copies(&mut self, engine: u16) {
         for record in self.by_root.values_mut().flatten() {
             record.copies.retain(|copy| copy.engine != engine);
         }
     }
 
-    /// Drops a block; returns whether a record referred to it.
-    pub fn forget_block(&mut self, root: u64, block: &BlockId) -> bool {
+    /// Removes a block from the record that refers to it; returns whether there was one.
+    pub fn unlink_block(&mut self, root: u64, block: &BlockId) -> bool {
         let records = self.by_root.get_mut(&root).into_iter().flatten();
-        let mut known = records.filter(|record| record.block.as_ref() == Some(block));
-        known.next().is_some_and(|record| record.block.take().is_some())
+        let mut referring = records.filter(|record| record.block.as_ref() == Some(block));
+        referring.next().is_some_and(|record| record.block.take().is_some())
     }
 
-    /// Drops records that are past their deadline and have no block, and the least recently used
-    /// ones when there are more than the capacity.
+    /// Drops records without a block whose context is no longer worth keeping, and the least
+    /// recently used ones without a block when there are more than the capacity.
     pub fn prune(&mut self, now_ms: u64) {
         let mut min_last_used_at_ms = 0;
         if self.len > self.capacity {
@@ -215,7 +215,7 @@
     pub fn record_copy(&mut self, engine: u16, tokens: u32, last_use: CacheUse) {
         let copy = EngineCopy { engine, tokens, last_use };
         match self.copies.iter_mut().find(|copy| copy.engine == engine) {
-            Some(known) => *known = copy,
+            Some(existing) => *existing = copy,
             None => self.copies.push(copy),
         }
     }
@@ -226,8 +226,8 @@
     records.iter().position(|record| record.prefix.continues(prefix))
 }
 
-/// Drops the least recently used record without a block.
-fn drop_least_recent(records: &mut Vec<PromptRecord>) -> bool {
+/// Removes the least recently used record without a block; returns whether there was one.
+fn remove_least_recently_used(records: &mut Vec<PromptRecord>) -> bool {
     let without_block = records.iter().enumerate().filter(|(_, record)| record.block.is_none());
     let oldest = without_block.min_by_key(|(_, record)| record.reuse.last_used_at_ms);
     let index = oldest.map(|(index, _)| index);
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -27,7 +27,7 @@
 const TICK_PERIOD: Duration = Duration::from_millis(50);
 /// How often engines are polled for their report while they load weights.
 const FAST_REPORT_PERIOD: Duration = Duration::from_millis(200);
-/// Every this many of those periods, all engines are polled and stores are cleaned up.
+/// Number of these periods after which all engines are polled and stores are cleaned up.
 const SLOW_REPORT_TICKS: u64 = 5;
 
 inventory::submit! {
@@ -98,10 +98,10 @@
 
 fn respond(kernel: &Arc<Kernel>, model: &str, id: SlotRequestId, response: SlotResponse) {
     let is_final = response != SlotResponse::Queued;
-    let found = with_dispatcher(kernel, model, |active| {
+    let requester = with_dispatcher(kernel, model, |active| {
         if is_final { active.requesters.remove(&id) } else { active.requesters.get(&id).cloned() }
     });
-    let Some(Requester { reply_to, trace, requested_at_us }) = found else {
+    let Some(Requester { reply_to, trace, requested_at_us }) = requester else {
         return;
     };
     if is_final {
@@ -157,20 +157,20 @@
     }
 }
 
-/// Polls the engines and deletions blocks from the stores, for each model with an active
+/// Polls the engines and deletes blocks from the stores, for each model with an active
 /// dispatcher.
 async fn poll_engines_and_stores(kernel: Arc<Kernel>) {
     let mut ticks = tokio::time::interval(FAST_REPORT_PERIOD);
     for tick in 0_u64.. {
         ticks.tick().await;
-        let slow = tick.is_multiple_of(SLOW_REPORT_TICKS);
+        let is_slow_tick = tick.is_multiple_of(SLOW_REPORT_TICKS);
         for model in kernel.dispatchers.models() {
             let awaits_load =
                 with_dispatcher(&kernel, &model, |active| active.dispatcher.fleet.awaits_load());
-            if slow || awaits_load {
+            if is_slow_tick || awaits_load {
                 poll_engines(&kernel, &model);
             }
-            if !slow {
+            if !is_slow_tick {
                 continue;
             }
             let deletions =
@@ -203,7 +203,7 @@
 fn start_dispatcher(kernel: &Arc<Kernel>, model: &str) -> ActiveDispatcher {
     info!(target: "dispatch", "Started the dispatcher of model {model}.");
     let settings = &kernel.settings;
-    let (engines, token_bytes) = engines_of(settings, model);
+    let (engines, kv_token_bytes) = engines_of(settings, model);
     let stores = stores_of(settings);
     for (name, store) in &stores {
         tokio::spawn(adopt_blocks(
@@ -214,14 +214,14 @@
         ));
     }
     let writer = kernel.box_id.to_string();
-    let keeper = ContextManager::new(
+    let context = ContextManager::new(
         settings.retention,
         stores,
         settings.prompt_records,
-        token_bytes,
+        kv_token_bytes,
         &writer,
     );
-    let dispatcher = Dispatcher::new(settings.policies, engines, keeper);
+    let dispatcher = Dispatcher::new(settings.policies, engines, context);
     let mut active =
         ActiveDispatcher { dispatcher, last_request_at_ms: now_ms(), requesters: BTreeMap::new() };
     active.apply_config(model, &kernel.configuration.current());
@@ -229,20 +229,26 @@
 }
 
 fn engines_of(settings: &Settings, model: &str) -> (Vec<Engine>, u64) {
-    let mut token_bytes = 0;
+    let mut kv_token_bytes = 0;
     let mut engines = Vec::new();
     for upstream in &settings.upstreams {
         let UpstreamKind::Engine(engine) = &upstream.kind else {
             continue;
         };
         if engine.model == model {
-            let token_ms = engine.prefill_token_us / 1000.0;
+            let prefill_ms_per_token = engine.prefill_token_us / 1000.0;
             let (slots, cache_tokens) = (engine.slots, engine.cache_tokens);
-            engines.push(Engine::new(&upstream.name, &upstream.url, slots, cache_tokens, token_ms));
-            token_bytes = engine.kv_token_bytes;
+            engines.push(Engine::new(
+                &upstream.name,
+                &upstream.url,
+                slots,
+                cache_tokens,
+                prefill_ms_per_token,
+            ));
+            kv_token_bytes = engine.kv_token_bytes;
         }
     }
-    (engines, token_bytes)
+    (engines, kv_token_bytes)
 }
 
 fn stores_of(settings: &Settings) -> BTreeMap<String, Store> {
--- a/src/dispatch_state.rs
+++ b/src/dispatch_state.rs
@@ -15,7 +15,7 @@
 /// Time for which a dispatcher stays active after its last slot request.
 const ACTIVE_FOR_MS: u64 = 30_000;
 
-/// The dispatcher of a model, and the slot requests that it has not finally answered.
+/// The dispatcher of a model, and the slot requests that await its final response.
 pub(crate) struct ActiveDispatcher {
     pub(crate) dispatcher: Dispatcher,
     /// When it last received a slot request.
@@ -27,7 +27,7 @@
 impl ActiveDispatcher {
     /// Applies the operators' configuration to the dispatcher.
     pub(crate) fn apply_config(&mut self, model: &str, config: &Config) {
-        self.dispatcher.fleet.set_leaving(|name| config.state.leaving.contains(name));
+        self.dispatcher.fleet.set_marked_leaving(|name| config.state.leaving.contains(name));
         let version = config.state.models.get(model).map(String::as_str);
         self.dispatcher.fleet.set_version(now_ms(), version);
     }
@@ -88,8 +88,9 @@
     pub(crate) fn models(&self) -> Vec<String> {
         let by_model = locked(&self.by_model);
         let idle_before_ms = now_ms().saturating_sub(ACTIVE_FOR_MS);
-        let live = by_model.iter().filter(|(_, active)| active.last_request_at_ms > idle_before_ms);
-        live.map(|(model, _)| model.clone()).collect()
+        let active_dispatchers =
+            by_model.iter().filter(|(_, active)| active.last_request_at_ms > idle_before_ms);
+        active_dispatchers.map(|(model, _)| model.clone()).collect()
     }
 
     /// Status of all dispatchers.
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -3,7 +3,7 @@
 //! The dispatcher keeps an exact count of the slots that it has granted, queues further requests by
 //! fair shares, and manages stored context. Every box can act as the dispatcher of every model.
 //! Normally the model's owner in the hall does; any other box does so for its own requests when the
-//! owner does not answer. A slot whose holder does not renew its grant is freed.
+//! owner does not answer. A slot whose entry box does not renew its grant is freed.
 
 mod slots;
 
@@ -77,7 +77,7 @@
     pub fn record_engine_report(&mut self, now_ms: u64, name: &str, report: Option<&EngineReport>) {
         // An engine's cached context is lost when it loads another version.
         if let Some(engine) = self.fleet.record_engine_report(now_ms, name, report) {
-            self.context.directory.forget_engine(engine_index(engine));
+            self.context.directory.remove_engine_copies(engine_index(engine));
         }
     }
 
@@ -98,9 +98,9 @@
         self.queue.virtual_tokens()
     }
 
-    /// Grants a slot, queues the request, or refuses it.
+    /// Grants a slot to the request, queues the request, or refuses it.
     pub fn request_slot(&mut self, now_ms: u64, slot_request: SlotRequest) -> Vec<Action> {
-        if let Some(response) = self.known_response(&slot_request.id) {
+        if let Some(response) = self.response_to_repeat(&slot_request.id) {
             return vec![Action::Respond { to: slot_request.id, response }];
         }
         if let Some(refusal) = self.refusal(now_ms, &slot_request) {
@@ -114,7 +114,7 @@
         let (share, priority, deadline_ms) =
             (slot_request.share, slot_request.priority, slot_request.deadline_ms);
         let no_wait = slot_request.no_wait;
-        let work_tokens = self.expected_work(&slot_request);
+        let work_tokens = self.expected_work_tokens(&slot_request);
         self.queue.push(&account, share, priority, slot_request, work_tokens, deadline_ms);
         let mut actions = self.grant_queued(now_ms);
         let is_granted =
@@ -130,7 +130,7 @@
     }
 
     /// The response to a repeated slot request: the first response may have been lost.
-    fn known_response(&self, id: &SlotRequestId) -> Option<SlotResponse> {
+    fn response_to_repeat(&self, id: &SlotRequestId) -> Option<SlotResponse> {
         if let Some(running) = self.running.get(id) {
             return Some(SlotResponse::Granted(running.grant.clone()));
         }
@@ -202,7 +202,7 @@
         self.throughput.time_ms(tokens_ahead)
     }
 
-    fn expected_work(&self, slot_request: &SlotRequest) -> f64 {
+    fn expected_work_tokens(&self, slot_request: &SlotRequest) -> f64 {
         let matching = self.context.directory.matching(&slot_request.prefix);
         let cached_tokens = matching.map(|(_, common)| common).max().unwrap_or(0);
         work_tokens(
--- a/src/dispatcher/slots.rs
+++ b/src/dispatcher/slots.rs
@@ -9,8 +9,8 @@
 
 /// Time after which a grant expires unless it is renewed.
 pub const GRANT_TTL_MS: u64 = 4000;
-/// Tokens by which an engine's cache may fall short of the estimate and still count as a hit:
-/// engines cache whole prefix blocks.
+/// Tokens by which the cached prefix of a prompt may be shorter than estimated and still count as a
+/// hit: engines cache whole prefix blocks.
 const HIT_SLACK_TOKENS: u32 = 256;
 
 /// Part of a prompt that an engine is estimated to have cached, and its depth in the cache.
@@ -103,15 +103,20 @@
         engine: usize,
         uncached_tokens: u32,
     ) {
-        let target = &mut self.fleet.engines[engine];
-        target.outstanding += 1;
-        target.pending_tokens += u64::from(uncached_tokens);
-        let (account, until_ms) = (&slot_request.scope.account, slot_request.worthless_at_ms);
-        let record =
-            self.context.directory.record_use(now_ms, account, &slot_request.prefix, until_ms);
+        let engine_state = &mut self.fleet.engines[engine];
+        engine_state.outstanding += 1;
+        engine_state.pending_tokens += u64::from(uncached_tokens);
+        let (account, worthless_at_ms) =
+            (&slot_request.scope.account, slot_request.worthless_at_ms);
+        let record = self.context.directory.record_use(
+            now_ms,
+            account,
+            &slot_request.prefix,
+            worthless_at_ms,
+        );
         if let (Some(record), Some(prefix_end)) = (record, slot_request.prefix.last()) {
             let previous_use = record.last_use_by(engine_index(engine));
-            let current_use = target.cache.record_use(previous_use, prefix_end.tokens);
+            let current_use = engine_state.cache.record_use(previous_use, prefix_end.tokens);
             record.record_copy(engine_index(engine), prefix_end.tokens, current_use);
         }
     }
@@ -157,17 +162,17 @@
         running.prefilled = true;
         running.expires_at_ms = now_ms + GRANT_TTL_MS;
         let engine = &mut self.fleet.engines[running.engine];
-        let pending = u64::from(running.uncached_tokens);
-        let is_only_prefill = engine.pending_tokens == pending;
-        engine.pending_tokens = engine.pending_tokens.saturating_sub(pending);
+        let prefill_tokens = u64::from(running.uncached_tokens);
+        let is_only_prefill = engine.pending_tokens == prefill_tokens;
+        engine.pending_tokens = engine.pending_tokens.saturating_sub(prefill_tokens);
         let computed_tokens = running.slot_request.prompt_tokens.saturating_sub(cached_tokens);
         if is_only_prefill {
             engine.record_prefill(computed_tokens, f64::from(took_ms));
         }
         engine.record_success();
         if running.expected_hit.tokens > 0 {
-            let hit = cached_tokens + HIT_SLACK_TOKENS >= running.expected_hit.tokens;
-            engine.cache.adjust_size(running.expected_hit.depth_tokens, hit);
+            let is_hit = cached_tokens + HIT_SLACK_TOKENS >= running.expected_hit.tokens;
+            engine.cache.adjust_size(running.expected_hit.depth_tokens, is_hit);
         }
     }
 
@@ -207,8 +212,8 @@
         let engine = &mut self.fleet.engines[running.engine];
         engine.outstanding -= 1;
         if !running.prefilled {
-            let pending = u64::from(running.uncached_tokens);
-            engine.pending_tokens = engine.pending_tokens.saturating_sub(pending);
+            let prefill_tokens = u64::from(running.uncached_tokens);
+            engine.pending_tokens = engine.pending_tokens.saturating_sub(prefill_tokens);
         }
         match end {
             SlotEnd::Failed => engine.record_failure(now_ms),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -11,11 +11,11 @@
 const REFUSED_COOLDOWN_MS: u64 = 250;
 /// Upper bound of the cooldown after repeated failures.
 const MAX_COOLDOWN_MS: u64 = 15_000;
-/// Weight of a new measurement in the moving average.
-const RATE_WEIGHT: f64 = 0.1;
+/// Weight of a new measurement in the moving average of the prefill time per token.
+const PREFILL_TIME_WEIGHT: f64 = 0.1;
 /// Minimum number of prefilled tokens for a measurement to count.
 const MIN_MEASURED_TOKENS: u32 = 512;
-/// Time for which requests wait for engines to load a new version.
+/// Time for which requests wait for engines to load a new weight version.
 const LOAD_WAIT_MS: u64 = 15_000;
 
 /// An engine and what the dispatcher knows of it.
@@ -101,13 +101,14 @@
         is_allowed && self.has_capacity(now_ms)
     }
 
-    /// The engine as a routing candidate with `cached_tokens` of the prompt in its cache.
+    /// The engine at `index` in the fleet as a routing candidate, with `cached_tokens` of the prompt
+    /// in its cache.
     #[must_use]
-    pub fn candidate(&self, engine: usize, cached_tokens: u32) -> EngineCandidate {
+    pub fn candidate(&self, index: usize, cached_tokens: u32) -> EngineCandidate {
         #[expect(clippy::cast_precision_loss, reason = "token counts stay far below 2^52")]
         let wait_ms = self.pending_tokens as f64 * self.prefill_ms_per_token;
         let (outstanding, prefill_ms_per_token) = (self.outstanding, self.prefill_ms_per_token);
-        EngineCandidate { engine, outstanding, wait_ms, prefill_ms_per_token, cached_tokens }
+        EngineCandidate { engine: index, outstanding, wait_ms, prefill_ms_per_token, cached_tokens }
     }
 
     /// Records a failure, which starts a cooldown.
@@ -132,31 +133,32 @@
     pub fn record_prefill(&mut self, tokens: u32, took_ms: f64) {
         if tokens >= MIN_MEASURED_TOKENS {
             self.prefill_ms_per_token +=
-                RATE_WEIGHT * (took_ms / f64::from(tokens) - self.prefill_ms_per_token);
+                PREFILL_TIME_WEIGHT * (took_ms / f64::from(tokens) - self.prefill_ms_per_token);
         }
     }
 }
 
-/// All engines, and the version that operators want.
+/// All engines, and the weight version that operators want.
 #[derive(Debug)]
 pub struct Fleet {
     /// The engines; the index of an engine does not change.
     pub engines: Vec<Engine>,
-    version: Option<WantedVersion>,
+    wanted: Option<WantedVersion>,
 }
 
 /// The version that operators want for new requests.
 #[derive(Debug)]
 struct WantedVersion {
     name: String,
-    expected_until_ms: u64,
+    /// Requests for the version wait for engines to load it until then.
+    load_wait_until_ms: u64,
 }
 
 impl Fleet {
     /// Creates a fleet of these engines.
     #[must_use]
     pub fn new(engines: Vec<Engine>) -> Self {
-        Self { engines, version: None }
+        Self { engines, wanted: None }
     }
 
     /// Processes an engine's status report, `None` when it did not answer. Returns the engine's
@@ -188,17 +190,17 @@
 
     /// Sets the version that operators want, which engines will load soon.
     pub fn set_version(&mut self, now_ms: u64, version: Option<&str>) {
-        if self.version.as_ref().map(|wanted| wanted.name.as_str()) != version {
+        if self.wanted.as_ref().map(|wanted| wanted.name.as_str()) != version {
             let name = version.map(str::to_owned);
-            let expected_until_ms = now_ms + LOAD_WAIT_MS;
-            self.version = name.map(|name| WantedVersion { name, expected_until_ms });
+            let load_wait_until_ms = now_ms + LOAD_WAIT_MS;
+            self.wanted = name.map(|name| WantedVersion { name, load_wait_until_ms });
         }
     }
 
     /// Whether an engine is loading weights or has another version than operators want.
     #[must_use]
     pub fn awaits_load(&self) -> bool {
-        let Some(wanted) = &self.version else {
+        let Some(wanted) = &self.wanted else {
             return false;
         };
         let differs = |engine: &Engine| engine.version.as_ref() != Some(&wanted.name);
@@ -208,8 +210,8 @@
     /// Whether the request can be served, now or after a load that is expected soon.
     #[must_use]
     pub fn can_serve(&self, now_ms: u64, slot_request: &SlotRequest) -> bool {
-        let is_load_expected = self.version.as_ref().is_some_and(|wanted| {
-            wanted.name == slot_request.scope.version && now_ms < wanted.expected_until_ms
+        let is_load_expected = self.wanted.as_ref().is_some_and(|wanted| {
+            wanted.name == slot_request.scope.version && now_ms < wanted.load_wait_until_ms
         });
         let is_allowed = |engine: &Engine| !slot_request.excluded_engines.contains(&engine.name);
         let mut engines = self.engines.iter().filter(|engine| is_allowed(engine));
@@ -220,9 +222,9 @@
     }
 
     /// Sets which engines operators have marked as leaving.
-    pub fn set_leaving(&mut self, leaving: impl Fn(&str) -> bool) {
+    pub fn set_marked_leaving(&mut self, is_marked: impl Fn(&str) -> bool) {
         for engine in &mut self.engines {
-            engine.marked_leaving = leaving(&engine.name);
+            engine.marked_leaving = is_marked(&engine.name);
         }
     }
 
@@ -232,17 +234,19 @@
         self.engines.iter().any(|engine| engine.can_run(now_ms, slot_request))
     }
 
-    /// Engines with a free slot for the request; `cached` returns the estimated cached tokens of an
-    /// engine.
+    /// Engines with a free slot for the request; `cached_tokens` returns the estimate for
+    /// an engine.
     #[must_use]
     pub fn candidates(
         &self,
         now_ms: u64,
         slot_request: &SlotRequest,
-        cached: impl Fn(usize) -> u32,
+        cached_tokens: impl Fn(usize) -> u32,
     ) -> Vec<EngineCandidate> {
         let all = self.engines.iter().enumerate();
         let with_free_slot = all.filter(|(_, engine)| engine.can_run(now_ms, slot_request));
-        with_free_slot.map(|(index, engine)| engine.candidate(index, cached(index))).collect()
+        with_free_slot
+            .map(|(index, engine)| engine.candidate(index, cached_tokens(index)))
+            .collect()
     }
 }
--- a/src/import.rs
+++ b/src/import.rs
@@ -1,4 +1,4 @@
-//! Imports kept context from a store into an engine before a run.
+//! Imports stored context from a store into an engine before a run.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::slot_request::{Import, ImportReport, ImportResult, SlotReport};
 use crate::trace::{Hop, TraceId};
 
-/// An import of kept context for one run.
+/// An import of stored context for one run.
 pub struct ContextImport<'a> {
     /// This box.
     pub kernel: &'a Arc<Kernel>,
@@ -25,7 +25,7 @@
 }
 
 impl ContextImport<'_> {
-    /// Imports kept context into the engine and reports the result to the dispatcher. If it
+    /// Imports stored context into the engine and reports the result to the dispatcher. If it
     /// fails, the engine computes the context again.
     pub async fn run(&self, import: &Import) {
         let (kernel, slot) = (self.kernel, self.slot);
--- a/src/slot_request.rs
+++ b/src/slot_request.rs
@@ -1,4 +1,8 @@
-//! Messages between an entry box and a dispatcher about a slot for a request.
+//! Messages about slots between an entry box, which has received a caller's request, and the
+//! dispatcher of the request's model.
+//!
+//! A slot is the right to run one request on an engine. The dispatcher grants it; the entry box
+//! sends the request to the engine, renews the grant meanwhile, and reports how the slot ended.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,7 +16,7 @@
 /// Id of a slot request. The dispatcher treats a repeated id as the same request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SlotRequestId {
-    /// Box that received the client's request.
+    /// The entry box.
     pub entry_box: BoxRef,
     /// Number that the box never reuses.
     pub number: u64,
@@ -39,7 +43,7 @@
     pub weights: Weights,
     /// When the context is no longer worth keeping, in Unix milliseconds.
     pub worthless_at_ms: u64,
-    /// When the client's deadline passes, in Unix milliseconds.
+    /// When the caller's deadline passes, in Unix milliseconds.
     pub deadline_ms: u64,
     /// Engines on which this request has failed.
     pub excluded_engines: Vec<String>,
@@ -90,12 +94,12 @@
     Refused(Refusal),
 }
 
-/// Outcome of a granted slot.
+/// How the use of a granted slot ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotEnd {
-    /// The engine returned the complete answer.
+    /// The engine answered completely.
     Finished,
-    /// The client cancelled the request or its deadline passed.
+    /// The caller cancelled the request or its deadline passed.
     Cancelled,
     /// The engine failed.
     Failed,
@@ -129,12 +133,12 @@
     TimedOut,
 }
 
-/// A report of an entry box on its granted slots.
+/// Report of an entry box on its granted slots.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SlotReport {
     /// An import has ended.
     Imported { id: SlotRequestId, imported: ImportReport },
-    /// The prefill has ended.
+    /// The engine has generated the first token, so that the prefill has ended.
     FirstToken { id: SlotRequestId, cached_tokens: u32, took_ms: u32 },
     /// The slot is no longer in use.
     Done { id: SlotRequestId, request_id: String, generated_tokens: u32, end: SlotEnd },
