--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -29,7 +29,7 @@
 
 /// State of the connection to a peer.
 enum PeerState {
-    /// The peer has answered.
+    /// The peer has answered; messages need no further answer until then.
     Confirmed { until_ms: u64 },
     /// A message has not been answered yet.
     AwaitingAnswer { heartbeat_at_ms: u64 },
@@ -69,7 +69,7 @@
         let mut actions = Vec::new();
         self.peers.retain(|peer, state| match state {
             PeerState::Confirmed { until_ms } => now_ms < *until_ms,
-            PeerState::AwaitingAnswer { heartbeat_at_ms: beat_at_ms } if now_ms >= *beat_at_ms => {
+            PeerState::AwaitingAnswer { heartbeat_at_ms } if now_ms >= *heartbeat_at_ms => {
                 actions.push(HeartbeatAction::SendHeartbeat(peer.clone()));
                 *state = PeerState::HeartbeatSent {
                     deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
--- a/src/lease.rs
+++ b/src/lease.rs
@@ -24,7 +24,7 @@
 pub const UNFENCED_ORDER_MARGIN_MS: u64 = 4000;
 /// Maximum number of concurrent weight loads.
 pub const MAX_LOADS: usize = 3;
-/// Time for which a load counts against the limit; most loads take less than a second.
+/// Time for which a load counts against that limit; most loads take less than a second.
 pub const LOAD_SLOT_MS: u64 = 3000;
 
 /// A lease that this box believes to hold.
@@ -71,8 +71,8 @@
 }
 
 /// Determines who holds the lease, for box `me` with the session `own_session`. `is_gone` tells
-/// whether the lease of a holder may be released early; the holder may have left orders on their
-/// way.
+/// whether the lease of a holder may be released before it expires, although orders of that holder
+/// may still be in flight.
 #[must_use]
 pub fn lease_status(
     record: Option<LeaseRecord>,
@@ -86,7 +86,7 @@
     if own_session == Some(session.as_str()) {
         return LeaseStatus::HeldByThisBox;
     }
-    // Acquired by a call whose answer was lost and whose session this box has given up since.
+    // Acquired by a call of this box whose answer was lost; the box has given the session up since.
     let is_own_record = holder.as_ref() == Some(me);
     if is_own_record || holder.as_ref().is_some_and(is_gone) {
         return LeaseStatus::Orphaned(session);
@@ -120,11 +120,11 @@
 
 /// Latest load order of each engine, as sent by this box.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct WeightLoads(BTreeMap<String, LoadOrder>);
+pub struct WeightLoads(BTreeMap<String, OrderState>);
 
 /// Time and state of the latest order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct LoadOrder {
+struct OrderState {
     at_ms: u64,
     in_progress: bool,
 }
@@ -132,10 +132,10 @@
 impl WeightLoads {
     /// Records that an order is sent to `engine`.
     pub fn begin(&mut self, now_ms: u64, engine: &str) {
-        self.0.insert(engine.to_owned(), LoadOrder { at_ms: now_ms, in_progress: true });
+        self.0.insert(engine.to_owned(), OrderState { at_ms: now_ms, in_progress: true });
     }
 
-    /// Records that `engine` has answered its order, or that it was given up.
+    /// Records that `engine` has answered its order, or that the order was given up.
     pub fn end(&mut self, engine: &str) {
         if let Some(order) = self.0.get_mut(engine) {
             order.in_progress = false;
@@ -167,7 +167,8 @@
             let (engine, expect_version) = (engine.name.clone(), engine.version.clone());
             Some(WeightLoad { engine, expect_version, version })
         });
-        let loading = |order: &&LoadOrder| order.in_progress && now_ms < order.at_ms + LOAD_SLOT_MS;
+        let loading =
+            |order: &&OrderState| order.in_progress && now_ms < order.at_ms + LOAD_SLOT_MS;
         let free_loads = MAX_LOADS.saturating_sub(self.0.values().filter(loading).count());
         outdated.take(free_loads).collect()
     }
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -2,9 +2,9 @@
 //!
 //! Only the incarnation that issued a ticket spends its keys. It does so in memory, before a byte
 //! of the call is sent to an upstream. A spent key is never spent again: a repeated call gets the
-//! answer of the first one, waits for it, or is told that the outcome is unknown. Keys are kept
-//! until their ticket expires. Calls under an expired ticket are refused, so that it is safe to
-//! drop its keys.
+//! answer of the first one, waits for it, or is refused because the outcome is unknown. Keys are
+//! kept until their ticket expires. Calls under an expired ticket are refused, so that it is safe
+//! to drop its keys.
 
 use std::collections::HashMap;
 
@@ -77,7 +77,7 @@
     Expired,
     /// Refuse it, not run: the account has reached its limit of keys.
     Full,
-    /// Refuse it, not run: this process no longer spends keys.
+    /// Refuse it, not run: the ledger is closed, and spends no more keys.
     Closed,
 }
 
@@ -151,12 +151,12 @@
     pub fn expire(&mut self, now_ms: u64) {
         let usage = &mut self.usage;
         self.entries.retain(|key, entry| {
-            let is_kept = entry.state == KeyState::Running || entry.expires_at_ms > now_ms;
-            if let Some(usage) = usage.get_mut(&key.account).filter(|_| !is_kept) {
+            let is_retained = entry.state == KeyState::Running || entry.expires_at_ms > now_ms;
+            if let Some(usage) = usage.get_mut(&key.account).filter(|_| !is_retained) {
                 usage.keys -= 1;
                 usage.answer_bytes -= entry.answer_bytes();
             }
-            is_kept
+            is_retained
         });
         self.usage.retain(|_, usage| usage.keys > 0);
     }
@@ -172,8 +172,8 @@
         self.entries.values().any(|entry| entry.state == KeyState::Running)
     }
 
-    /// The copy that another box keeps after this one has stopped: running calls have an unknown
-    /// outcome.
+    /// The copy for the heir, the box that takes over the ledger of a stopping box: the outcome of
+    /// running calls is unknown in it.
     #[must_use]
     pub fn handover_copy(&self) -> Self {
         let mut copy = self.clone();
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -25,7 +25,7 @@
 const DEAD_PROBE_EVERY: u64 = 5;
 /// Minimum interval between comparisons with peers whose view differs.
 const SYNC_PERIOD_MS: u64 = 2000;
-/// Maximum number of differing buckets in one answer.
+/// Maximum number of differing buckets in one reply.
 const MAX_SYNCED_BUCKETS: usize = 4;
 /// One in this many probes goes to a seed, so that separate clusters merge.
 const SEED_PROBE_EVERY: u64 = 10;
@@ -34,7 +34,7 @@
 const MAX_JOIN_REQUESTS: u32 = 5;
 /// Sequence number of heartbeats, which no probe uses.
 const HEARTBEAT_SEQ: u64 = 0;
-/// Number of peers that are asked at once which box keeps a ledger.
+/// Number of peers that are asked at once which box holds a ledger.
 const HEIR_QUERY_PEERS: usize = 3;
 /// Maximum number of members in one message of a table transfer.
 pub const MAX_TABLE_MEMBERS: usize = 64;
@@ -56,7 +56,9 @@
     view: View,
     seeds: Vec<String>,
     probes: HashMap<u64, Probe>,
+    /// Probes sent on behalf of peers.
     peer_probes: HashMap<u64, PeerProbe>,
+    /// Members of the hall that are still to be probed in this round.
     probe_order: Vec<String>,
     /// Whether a peer has sent its whole table. Only the whole table includes the heirs of
     /// incarnations that were replaced earlier.
@@ -106,12 +108,12 @@
         self.view.leave(heir);
     }
 
-    /// Announces that this box keeps the ledger of `leaver`.
+    /// Announces that this box holds the ledger of `leaver`.
     pub fn record_inheritance(&mut self, now_ms: u64, leaver: &BoxRef) {
         self.view.record_inheritance(now_ms, leaver);
     }
 
-    /// Asks some peers which box keeps the ledger of a box. A box that was unreachable when this
+    /// Asks some peers which box holds the ledger of a box. A box that was unreachable when this
     /// was announced cannot learn it in any other way.
     pub fn query_heirs(&mut self, of: &BoxRef) -> Vec<Outgoing> {
         let live = self.view.others().filter(|member| member.takes_work());
@@ -226,9 +228,9 @@
         }
         let live = self.view.others();
         let live = live.filter(|member| member.takes_work());
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (in_hall, in_other_halls): (Vec<_>, Vec<_>) =
             live.partition(|member| member.hall == self.view.me().hall);
-        let next = if near.is_empty() { far } else { near };
+        let next = if in_hall.is_empty() { in_other_halls } else { in_hall };
         self.probe_order = next.iter().map(|member| member.id.name.clone()).collect();
         self.rng.shuffle(&mut self.probe_order);
         self.probe_order.pop()
@@ -286,12 +288,12 @@
         };
         let live = self.view.others();
         let live = live.filter(|member| member.id.name != name && member.takes_work());
-        let mut helpers: Vec<_> = live.map(|member| member.address.clone()).collect();
-        self.rng.shuffle(&mut helpers);
-        helpers.truncate(INDIRECT_PROBES);
+        let mut intermediaries: Vec<_> = live.map(|member| member.address.clone()).collect();
+        self.rng.shuffle(&mut intermediaries);
+        intermediaries.truncate(INDIRECT_PROBES);
         let updates = self.view.updates();
         let gossip = Gossip::PingReq { seq, target, updates };
-        helpers.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
+        intermediaries.into_iter().map(|to| Outgoing { to, gossip: gossip.clone() }).collect()
     }
 
     fn probe_for_peer(&mut self, now_ms: u64, from: &str, seq: u64, target: &str) -> Vec<Outgoing> {
--- a/src/ticket.rs
+++ b/src/ticket.rs
@@ -31,11 +31,11 @@
 /// Contents of a ticket prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
-    /// The only process that may spend it.
+    /// The only incarnation that may spend it.
     pub spender: BoxRef,
     /// When it expires, in Unix milliseconds.
     pub expires_at_ms: u64,
-    /// Distinguishes the prefixes that one process has issued.
+    /// Distinguishes the prefixes that this incarnation has issued.
     pub serial: u64,
 }
 
