--- a/load/src/decide.rs
+++ b/load/src/decide.rs
@@ -130,7 +130,7 @@
             let request = "request".to_owned();
             let done = SlotReport::Done {
                 id,
-                request_id: request,
+                run_id: request,
                 generated_tokens: 200,
                 end: SlotEnd::Finished,
             };
--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -65,8 +65,8 @@
     pub block: BlockId,
     /// URL of the engine that holds the context.
     pub engine_url: String,
-    /// Id of the request whose context it is.
-    pub request_id: String,
+    /// Id of the run whose context it is, as known to the engine.
+    pub run_id: String,
     /// URL of the store.
     pub store_url: String,
     /// Metadata to store with the block.
@@ -80,8 +80,8 @@
     pub slot_request: SlotRequest,
     /// URL of the engine.
     pub engine_url: String,
-    /// Id of the request on the engine.
-    pub request_id: String,
+    /// Id of the run on the engine.
+    pub run_id: String,
     /// Time to prefill one token on the engine, in milliseconds.
     pub prefill_ms_per_token: f64,
 }
@@ -277,7 +277,7 @@
         store_name: &str,
         size_bytes: u64,
     ) -> Option<Export> {
-        let ExportSource { slot_request, engine_url, request_id, .. } = source;
+        let ExportSource { slot_request, engine_url, run_id, .. } = source;
         let store = self.stores.get_mut(store_name)?;
         store.plan_transfer(now_ms, to_f64(size_bytes) / store.bytes_per_ms);
         let store_url = store.url.clone();
@@ -296,7 +296,7 @@
         self.directory.record_mut(&slot_request.prefix)?.block = Some(id.clone());
         let SlotRequest { scope, prefix, worthless_at_ms, .. } = slot_request;
         let meta = BlockMeta { scope, prefix, worthless_at_ms };
-        Some(Export { block: id, engine_url, request_id, store_url, meta })
+        Some(Export { block: id, engine_url, run_id, store_url, meta })
     }
 
     /// Processes the result of an export.
--- a/src/dispatcher/mod.rs
+++ b/src/dispatcher/mod.rs
@@ -144,8 +144,8 @@
             SlotReport::FirstToken { id, cached_tokens, took_ms } => {
                 self.record_first_token(now_ms, id, *cached_tokens, *took_ms);
             }
-            SlotReport::Done { id, request_id, generated_tokens, end } => {
-                return self.finish_request(now_ms, id, request_id, *generated_tokens, *end);
+            SlotReport::Done { id, run_id, generated_tokens, end } => {
+                return self.finish_request(now_ms, id, run_id, *generated_tokens, *end);
             }
             SlotReport::Renew { ids } => self.renew_grants(now_ms, ids),
         }
--- a/src/dispatcher/slots.rs
+++ b/src/dispatcher/slots.rs
@@ -180,7 +180,7 @@
         &mut self,
         now_ms: u64,
         id: &SlotRequestId,
-        request_id: &str,
+        run_id: &str,
         generated_tokens: u32,
         end: SlotEnd,
     ) -> Vec<Action> {
@@ -190,10 +190,9 @@
         let mut actions = Vec::new();
         if end == SlotEnd::Finished {
             let Engine { url, prefill_ms_per_token, .. } = &self.fleet.engines[engine];
-            let (engine_url, request_id, prefill_ms_per_token) =
-                (url.clone(), request_id.to_owned(), *prefill_ms_per_token);
-            let source =
-                ExportSource { slot_request, engine_url, request_id, prefill_ms_per_token };
+            let (engine_url, run_id, prefill_ms_per_token) =
+                (url.clone(), run_id.to_owned(), *prefill_ms_per_token);
+            let source = ExportSource { slot_request, engine_url, run_id, prefill_ms_per_token };
             actions.extend(self.context.plan_export(now_ms, source).map(Action::Export));
         }
         actions.extend(self.grant_queued(now_ms));
--- a/src/placing.rs
+++ b/src/placing.rs
@@ -46,6 +46,7 @@
 pub struct HeldSlot {
     /// Which engine the slot is on, and which context to import there.
     pub grant: Grant,
+    /// Peer address of the dispatcher that granted it.
     dispatcher: String,
     model: String,
     id: SlotRequestId,
@@ -64,9 +65,9 @@
     }
 
     /// Releases the slot.
-    pub fn release(self, kernel: &Arc<Kernel>, request: &str, generated_tokens: u32, end: SlotEnd) {
-        let (id, request) = (self.id.clone(), request.to_owned());
-        self.report(kernel, SlotReport::Done { id, request_id: request, generated_tokens, end });
+    pub fn release(self, kernel: &Arc<Kernel>, run_id: &str, generated_tokens: u32, end: SlotEnd) {
+        let (id, run_id) = (self.id.clone(), run_id.to_owned());
+        self.report(kernel, SlotReport::Done { id, run_id, generated_tokens, end });
         let held = (self.dispatcher, self.model, self.id);
         locked(&kernel.placements.held_slots).remove(&held);
     }
@@ -129,13 +130,13 @@
                 return Ok(slot);
             }
         }
-        let own = self.kernel.settings.advertise.clone();
-        if self.queued_at.is_none() && self.refusal.is_none() && !targets.contains(&own) {
+        let own_address = self.kernel.settings.advertise.clone();
+        if self.queued_at.is_none() && self.refusal.is_none() && !targets.contains(&own_address) {
             // No dispatcher responded: act as the dispatcher.
-            if let Some(slot) = self.request_slot_from(&own).await {
+            if let Some(slot) = self.request_slot_from(&own_address).await {
                 return Ok(slot);
             }
-            targets.push(own);
+            targets.push(own_address);
         }
         match self.queued_at.clone() {
             Some(target) => self.wait_in_queue(&target, &targets).await,
@@ -157,14 +158,14 @@
                 start_cooldown(self.kernel, target);
                 return None;
             };
-            let from_target = received.from == target;
+            let is_from_target = received.from == target;
             match received.response {
                 SlotResponse::Granted(grant) => return Some(self.hold_slot(received.from, grant)),
-                SlotResponse::Queued if from_target => {
+                SlotResponse::Queued if is_from_target => {
                     self.queued_at.get_or_insert(received.from);
                     return None;
                 }
-                SlotResponse::Refused(refusal) if from_target => {
+                SlotResponse::Refused(refusal) if is_from_target => {
                     self.record_refusal(refusal);
                     return None;
                 }
@@ -270,17 +271,18 @@
 fn target_dispatchers(kernel: &Kernel, slot_request: &SlotRequest) -> Vec<String> {
     let key = slot_request.prefix.root.to_string();
     let membership = kernel.membership();
-    let own = &kernel.settings;
+    let settings = &kernel.settings;
     let mut same_region = BTreeSet::new();
     let mut other_regions = BTreeSet::new();
     for member in membership.view().members().filter(|member| member.takes_work()) {
-        let halls = if member.region == own.region { &mut same_region } else { &mut other_regions };
+        let halls =
+            if member.region == settings.region { &mut same_region } else { &mut other_regions };
         halls.insert(member.hall.as_str());
     }
     let mut halls = ranked(&key, same_region.iter().copied(), same_region.len());
     if slot_request.prefix.is_empty() {
         // Without a cacheable prefix there is no home hall: prefer the own hall as the nearest.
-        halls.sort_by_key(|hall| *hall != own.hall);
+        halls.sort_by_key(|hall| *hall != settings.hall);
     }
     halls.extend(other_regions.difference(&same_region));
     let cooldowns = locked(&kernel.placements.dispatcher_cooldowns);
@@ -325,11 +327,10 @@
     let delivered =
         response_sender.is_some_and(|response_sender| response_sender.try_send(received).is_ok());
     let held = (from.to_owned(), model.to_owned(), id.clone());
-    let in_use = locked(&kernel.placements.held_slots).contains(&held);
-    if granted && !delivered && !in_use {
-        let request = String::new();
-        let done =
-            SlotReport::Done { id, request_id: request, generated_tokens: 0, end: SlotEnd::Unused };
+    let is_in_use = locked(&kernel.placements.held_slots).contains(&held);
+    if granted && !delivered && !is_in_use {
+        let run_id = String::new();
+        let done = SlotReport::Done { id, run_id, generated_tokens: 0, end: SlotEnd::Unused };
         send_report(kernel, from, model, done);
     }
 }
--- a/src/slot_guard.rs
+++ b/src/slot_guard.rs
@@ -11,14 +11,14 @@
 pub struct SlotGuard<'a> {
     kernel: &'a Arc<Kernel>,
     slot: Option<HeldSlot>,
-    run: &'a str,
+    run_id: &'a str,
 }
 
 impl<'a> SlotGuard<'a> {
-    /// Holds a slot for the run with id `run`.
+    /// Holds a slot for the run with id `run_id`.
     #[must_use]
-    pub fn new(kernel: &'a Arc<Kernel>, slot: HeldSlot, run: &'a str) -> Self {
-        Self { kernel, slot: Some(slot), run }
+    pub fn new(kernel: &'a Arc<Kernel>, slot: HeldSlot, run_id: &'a str) -> Self {
+        Self { kernel, slot: Some(slot), run_id }
     }
 
     /// The slot.
@@ -36,11 +36,11 @@
             return;
         };
         if end == SlotEnd::Cancelled {
-            let (kernel, run) = (self.kernel.clone(), self.run.to_owned());
+            let (kernel, run_id) = (self.kernel.clone(), self.run_id.to_owned());
             let url = slot.grant.url.clone();
-            tokio::spawn(async move { kernel.upstreams.cancel(&url, &run).await });
+            tokio::spawn(async move { kernel.upstreams.cancel(&url, &run_id).await });
         }
-        slot.release(self.kernel, self.run, generated_tokens, end);
+        slot.release(self.kernel, self.run_id, generated_tokens, end);
     }
 }
 
--- a/src/slot_request.rs
+++ b/src/slot_request.rs
@@ -141,7 +141,7 @@
     /// The engine has generated the first token, so that the prefill has ended.
     FirstToken { id: SlotRequestId, cached_tokens: u32, took_ms: u32 },
     /// The slot is no longer in use.
-    Done { id: SlotRequestId, request_id: String, generated_tokens: u32, end: SlotEnd },
+    Done { id: SlotRequestId, run_id: String, generated_tokens: u32, end: SlotEnd },
     /// Renews the grants of slots in use.
     Renew { ids: Vec<SlotRequestId> },
 }
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -239,7 +239,7 @@
     async fn export(&self, export: &Export) -> ExportResult {
         let body = json!({
             "block_id": export.block, "store": export.store_url,
-            "request_id": export.request_id, "meta": export.meta,
+            "request_id": export.run_id, "meta": export.meta,
         });
         let client = self.pools.client(&export.engine_url);
         let call = client.http.post(format!("{}/kv/export", export.engine_url));
--- a/tests/dispatcher.rs
+++ b/tests/dispatcher.rs
@@ -72,7 +72,7 @@
     };
     let request = "r".to_owned();
     let done =
-        SlotReport::Done { id, request_id: request, generated_tokens: 5, end: SlotEnd::Finished };
+        SlotReport::Done { id, run_id: request, generated_tokens: 5, end: SlotEnd::Finished };
     dispatcher.record_slot_report(NOW_MS, &done);
     grant.engine.clone()
 }
--- a/tests/keeping.rs
+++ b/tests/keeping.rs
@@ -53,7 +53,7 @@
     let source = ExportSource {
         slot_request: request.clone(),
         engine_url,
-        request_id: id,
+        run_id: id,
         prefill_ms_per_token: 0.03,
     };
     let Some(export) = manager.plan_export(now_ms, source) else {
