--- a/src/call_state.rs
+++ b/src/call_state.rs
@@ -79,8 +79,8 @@
 /// Calls that this box forwards to others, and calls that others forward to it.
 #[derive(Default)]
 pub struct ForwardedCalls {
-    /// Channels for the answers to calls that this box forwards, by call number.
-    pub(crate) answer_senders: Mutex<HashMap<u64, mpsc::Sender<CallEnd>>>,
+    /// Channels for the ends of calls that this box forwards, by call number.
+    pub(crate) end_senders: Mutex<HashMap<u64, mpsc::Sender<CallEnd>>>,
     /// Calls that other boxes have forwarded to this one, by box and call number.
     pub(crate) received: Mutex<HashMap<(BoxRef, u64), ReceivedCall>>,
 }
@@ -94,11 +94,11 @@
 }
 
 impl ForwardedCalls {
-    /// Delivers the answer to a forwarded call.
-    pub fn deliver_answer(&self, number: u64, end: CallEnd) {
-        if let Some(sender) = locked(&self.answer_senders).get(&number) {
-            // Fails if the call was answered already or has timed out; the answer is not
-            // needed then.
+    /// Delivers the end of a forwarded call to the task that waits for it.
+    pub fn deliver_end(&self, number: u64, end: CallEnd) {
+        if let Some(sender) = locked(&self.end_senders).get(&number) {
+            // Fails if the task has an earlier message about the end or has timed out; this one
+            // is not needed then.
             let _ = sender.try_send(end);
         }
     }
@@ -113,7 +113,7 @@
 /// Availability of workers, by name.
 #[derive(Default)]
 pub struct WorkerStates {
-    /// Time until which a worker that could not be reached is not called.
+    /// Time until which a worker that could not be reached is tried last.
     pub(crate) cooldown_until_ms: Mutex<BTreeMap<String, u64>>,
     /// Time until which a worker that refused a call has asked not to be called.
     pub(crate) unavailable_until_ms: Mutex<BTreeMap<String, u64>>,
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -106,7 +106,7 @@
             ));
         }
         Message::CallEnd { number, end } => {
-            kernel.calls.forwarded.deliver_answer(number, end);
+            kernel.calls.forwarded.deliver_end(number, end);
         }
         Message::Handover { of, ledger } => {
             info!(target: "calls", "Took over the ledger of {of} with {} keys.", ledger.len());
--- a/src/forwarding.rs
+++ b/src/forwarding.rs
@@ -32,17 +32,17 @@
 const HEIR_QUERY_PERIOD_MS: u64 = 400;
 /// How often the view is checked for the heir.
 const HEIR_POLL_PERIOD: Duration = Duration::from_millis(100);
-/// Unread answers that are buffered per call.
-const ANSWER_BUFFER_LEN: usize = 4;
+/// Unread messages about the end of a call that are buffered per call.
+const END_BUFFER_LEN: usize = 4;
 
 /// Forwards a call to the box `spender`, which issued its ticket, or to its heir.
 pub async fn forward_call(kernel: &Arc<Kernel>, spender: &BoxRef, call: Call) -> CallEnd {
     let (started_at_us, trace) = (now_us(), call.trace);
     let number = kernel.unique_number();
-    let (answer_sender, answers) = mpsc::channel(ANSWER_BUFFER_LEN);
-    locked(&kernel.calls.forwarded.answer_senders).insert(number, answer_sender);
-    let end = forward_until_answered(kernel, spender, &call, number, answers).await;
-    locked(&kernel.calls.forwarded.answer_senders).remove(&number);
+    let (end_sender, ends) = mpsc::channel(END_BUFFER_LEN);
+    locked(&kernel.calls.forwarded.end_senders).insert(number, end_sender);
+    let end = forward_until_answered(kernel, spender, &call, number, ends).await;
+    locked(&kernel.calls.forwarded.end_senders).remove(&number);
     kernel.span(trace, Hop::Spender, started_at_us, spender.to_string());
     end
 }
@@ -52,15 +52,15 @@
     spender: &BoxRef,
     call: &Call,
     number: u64,
-    mut answers: mpsc::Receiver<CallEnd>,
+    mut ends: mpsc::Receiver<CallEnd>,
 ) -> CallEnd {
     let unreachable = CallEnd::unknown(Reason::SpenderUnreachable);
     let lookup_deadline_ms = now_ms() + HEIR_LOOKUP_TIMEOUT_MS;
     let mut resend_after_ms = FIRST_RESEND_AFTER_MS;
     let mut query_at_ms = now_ms();
     while now_ms() < call.deadline_ms {
-        let found = kernel.membership().view().ledger_holder(spender).cloned();
-        let end = match found {
+        let ledger_holder = kernel.membership().view().ledger_holder(spender).cloned();
+        let end = match ledger_holder {
             Some(member) if member.id == kernel.box_id => {
                 answer_from_inherited_ledger(kernel, spender, call)
             }
@@ -69,8 +69,8 @@
                 let resend_at_ms = call.deadline_ms.min(now_ms() + resend_after_ms);
                 kernel.send(&member.address, Message::Call { number, spender, call });
                 resend_after_ms *= 2;
-                let answer = tokio::time::timeout_at(instant_at(resend_at_ms), answers.recv());
-                match answer.await {
+                let received = tokio::time::timeout_at(instant_at(resend_at_ms), ends.recv());
+                match received.await {
                     Ok(end) => end,
                     Err(_) => continue,
                 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -32,9 +32,9 @@
 pub async fn hand_over(kernel: &Arc<Kernel>) {
     let mut ledgers = std::mem::take(&mut *locked(&kernel.calls.inherited_ledgers));
     {
-        let mut own = kernel.calls.ledger();
-        own.close();
-        ledgers.insert(kernel.box_id.clone(), own.handover_copy());
+        let mut own_ledger = kernel.calls.ledger();
+        own_ledger.close();
+        ledgers.insert(kernel.box_id.clone(), own_ledger.handover_copy());
     }
     ledgers.retain(|_, ledger| !ledger.is_empty());
     if ledgers.is_empty() {
@@ -53,7 +53,7 @@
 }
 
 /// Announces the heir to all boxes. A box that first learns of this box's next incarnation
-/// would not hear of the heir by gossip any more.
+/// would no longer get the heir by gossip.
 async fn announce_heir(kernel: &Arc<Kernel>) {
     for _ in 0..HEIR_ANNOUNCEMENTS {
         let (me, addresses): (Member, Vec<String>) = {
--- a/src/member.rs
+++ b/src/member.rs
@@ -33,7 +33,7 @@
     pub refutations: u32,
     /// Health of the box.
     pub health: Health,
-    /// The box that keeps its ledger after a planned stop.
+    /// The box that holds its ledger after a planned stop.
     pub heir: Option<BoxRef>,
 }
 
@@ -85,7 +85,7 @@
     Joined { members: Vec<Member> },
     /// A part of the members.
     Table { members: Vec<Member> },
-    /// Asks which box keeps the ledger of a box; answered by a [`Gossip::Table`].
+    /// Asks which box holds the ledger of a box; answered by a [`Gossip::Table`].
     Heirs { of: BoxRef },
 }
 
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -163,11 +163,11 @@
         let holder = serde_json::from_slice(&value.bytes).ok();
         LeaseRecord { session, holder }
     });
-    let own = lease_state.session.as_ref().map(|session| session.id.as_str());
+    let own_session = lease_state.session.as_ref().map(|session| session.id.as_str());
     // Only engines that check the fencing token refuse a late order of a holder that is gone.
     let all_check_orders = engines(kernel).all(|(_, engine)| engine.checks_orders);
     let is_gone = |holder: &BoxRef| all_check_orders && kernel.membership().view().is_gone(holder);
-    lease_status(record, &kernel.box_id, own, is_gone)
+    lease_status(record, &kernel.box_id, own_session, is_gone)
 }
 
 /// Releases the lease, so that the next holder need not wait until it expires.
@@ -264,8 +264,8 @@
     if !lease.allows_order(now_ms(), engine.checks_orders) {
         return warn!(target: "orders", "Sent no order to {}: the lease expires too soon.", load.engine);
     }
-    let in_force = now_ms() < lease.valid_until_ms;
-    if !check(Invariant::OrderUnderLease, in_force, || load.engine.clone()) {
+    let is_valid = now_ms() < lease.valid_until_ms;
+    if !check(Invariant::OrderUnderLease, is_valid, || load.engine.clone()) {
         return;
     }
     let (expect_version, version) = (load.expect_version.as_str(), load.version.as_str());
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -362,8 +362,8 @@
         if call.deadline_ms <= now_ms() {
             return Outcome::NotRun.into();
         }
-        let answer = tokio::time::timeout_at(instant_at(call.deadline_ms), request.send()).await;
-        match answer {
+        let response = tokio::time::timeout_at(instant_at(call.deadline_ms), request.send()).await;
+        match response {
             Ok(Ok(response)) => {
                 let retry_after_ms = retry_after_ms(&response);
                 let answer = read_answer(response).await;
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -102,8 +102,8 @@
         UpstreamKind::Service { service: name, .. } => name == service,
         UpstreamKind::Engine(_) | UpstreamKind::Store(_) => false,
     });
-    let staying = of_service.filter(|upstream| !config.state.leaving.contains(&upstream.name));
-    let all: Vec<_> = staying.map(|worker| (worker.name.clone(), worker.url.clone())).collect();
+    let not_leaving = of_service.filter(|upstream| !config.state.leaving.contains(&upstream.name));
+    let all: Vec<_> = not_leaving.map(|worker| (worker.name.clone(), worker.url.clone())).collect();
     let unavailable = locked(&kernel.calls.workers.unavailable_until_ms);
     let unavailable_until_ms =
         |name: &str| unavailable.get(name).copied().filter(|until_ms| now_ms < *until_ms);
@@ -114,8 +114,8 @@
     let (mut ready, on_cooldown): (Vec<_>, Vec<_>) =
         all.into_iter().partition(|(name, _)| is_available(name));
     if !ready.is_empty() {
-        let turn = kernel.calls.workers.round_robin.fetch_add(1, Ordering::Relaxed) % ready.len();
-        ready.rotate_left(turn);
+        let offset = kernel.calls.workers.round_robin.fetch_add(1, Ordering::Relaxed) % ready.len();
+        ready.rotate_left(offset);
     }
     ready.extend(on_cooldown);
     let retry_at_ms = skipped.iter().filter_map(|(name, _)| unavailable_until_ms(name)).min();
