--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -19,15 +19,16 @@
 pub struct BlockId(pub String);
 
 impl BlockId {
-    /// Creates an id. A `writer` must never reuse a `nonce`.
+    /// Creates the id of a block that the box incarnation `writer` exports. The writer must never reuse a
+    /// `nonce`.
     #[must_use]
-    pub fn new(scope: &Scope, mark: PrefixHash, writer: &str, nonce: u64) -> Self {
+    pub fn new(scope: &Scope, prefix_end: PrefixHash, writer: &str, nonce: u64) -> Self {
         let scope = &crate::context::cache_salt(scope)[..16];
         let mut hasher = blake3::Hasher::new();
         hasher.update(writer.as_bytes());
         hasher.update(&nonce.to_le_bytes());
         let nonce = &hasher.finalize().to_hex()[..24];
-        Self(format!("{scope}-{:016x}-{}-{nonce}", mark.hash, mark.tokens))
+        Self(format!("{scope}-{:016x}-{}-{nonce}", prefix_end.hash, prefix_end.tokens))
     }
 }
 
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -111,7 +111,7 @@
         check(Invariant::NotRunIsTrue, is_true, || stream.id.clone());
     }
     let note = match &end {
-        StreamEnd::Finished(_) => format!("whole after {} attempts", task.attempts),
+        StreamEnd::Finished(_) => format!("complete after {} attempts", task.attempts),
         StreamEnd::Refused(refusal) => format!("{}: {}", refusal.ran, refusal.reason),
     };
     kernel.span(trace, Hop::Caller, started_at_us, note);
@@ -343,8 +343,8 @@
     }
 
     fn accept_piece(&mut self, run_id: &str, piece: EnginePiece) -> Result<(), EngineError> {
-        let is_own = piece.request_id == run_id;
-        if !check(Invariant::PieceOfOwnRequest, is_own, || piece.request_id.clone()) {
+        let is_own = piece.run_id == run_id;
+        if !check(Invariant::PieceOfOwnRequest, is_own, || piece.run_id.clone()) {
             return Err(EngineError::Broken("received a piece of another request".to_owned()));
         }
         let (version, cached_tokens) = (piece.version, piece.cached_tokens);
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -148,10 +148,10 @@
     let mut addresses = Vec::new();
     {
         let membership = kernel.membership();
-        let own = &kernel.settings.hall;
+        let own_hall = &kernel.settings.hall;
         let others = membership.view().members().skip(1).filter(|member| member.takes_work());
         let (mut same_hall, mut other_halls): (Vec<_>, Vec<_>) =
-            others.partition(|member| member.hall == *own);
+            others.partition(|member| member.hall == *own_hall);
         fastrand::shuffle(&mut same_hall);
         fastrand::shuffle(&mut other_halls);
         let chosen = same_hall.into_iter().take(FANOUT - 1).chain(other_halls.into_iter().take(1));
--- a/src/dispatch.rs
+++ b/src/dispatch.rs
@@ -113,7 +113,9 @@
 fn describe(response: &SlotResponse) -> String {
     match response {
         SlotResponse::Granted(Grant { engine, import: None, .. }) => format!("run on {engine}"),
-        SlotResponse::Granted(Grant { engine, .. }) => format!("run on {engine} with kept context"),
+        SlotResponse::Granted(Grant { engine, .. }) => {
+            format!("run on {engine} with stored context")
+        }
         SlotResponse::Refused(refusal) => format!("refused: {}", refusal.reason),
         SlotResponse::Queued => "wait".to_owned(),
     }
--- a/src/external.rs
+++ b/src/external.rs
@@ -94,8 +94,8 @@
 /// A piece of an answer as an engine sends it.
 #[derive(Clone, Debug)]
 pub struct EnginePiece {
-    /// Run that it belongs to.
-    pub request_id: String,
+    /// Id of the run that it belongs to.
+    pub run_id: String,
     /// Weight version that the engine ran.
     pub version: String,
     /// Prompt tokens found in the engine's prefix cache.
@@ -161,14 +161,14 @@
     fn resume(
         &self,
         url: &str,
-        request_id: &str,
+        run_id: &str,
         attempt: u32,
         from: u64,
         first_seq: u64,
     ) -> impl Future<Output = std::result::Result<PieceStream, EngineError>> + Send;
 
     /// Cancels a run.
-    fn cancel(&self, url: &str, request_id: &str) -> impl Future<Output = ()> + Send;
+    fn cancel(&self, url: &str, run_id: &str) -> impl Future<Output = ()> + Send;
 
     /// Fetches the engine's status report.
     fn report(&self, url: &str) -> impl Future<Output = Option<EngineReport>> + Send;
--- a/src/import.rs
+++ b/src/import.rs
@@ -59,8 +59,8 @@
             StageResult::NotFound => return ImportResult::NotFound,
             StageResult::Failed => return ImportResult::TimedOut,
         };
-        let in_time = now_ms() < *pinned_until_ms;
-        if staged_seal != *seal || !in_time {
+        let is_pinned = now_ms() < *pinned_until_ms;
+        if staged_seal != *seal || !is_pinned {
             upstreams.commit(url, block, 0).await;
             return ImportResult::NotFound;
         }
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -201,9 +201,9 @@
                 return warn!(target: "kernel", "Message from a peer dropped: {error}.");
             }
         };
-        let for_this_box = envelope.to == self.settings.advertise;
-        let recent = envelope.sent_at_ms + MAX_MESSAGE_AGE_MS > now_ms();
-        if !for_this_box || !recent {
+        let is_for_this_box = envelope.to == self.settings.advertise;
+        let is_recent = envelope.sent_at_ms + MAX_MESSAGE_AGE_MS > now_ms();
+        if !is_for_this_box || !is_recent {
             return debug!(target: "kernel", "Stale or misaddressed message from {} dropped.", envelope.from);
         }
         if envelope.message.is_answer() {
@@ -221,9 +221,9 @@
     /// Sends heartbeats to peers that have not answered lately, and reconnects to those
     /// that do not answer heartbeats.
     pub fn send_heartbeats(&self) {
-        let steps = locked(&self.heartbeats).tick(now_ms());
-        for step in steps {
-            let peer = match step {
+        let actions = locked(&self.heartbeats).tick(now_ms());
+        for action in actions {
+            let peer = match action {
                 HeartbeatAction::SendHeartbeat(peer) => peer,
                 HeartbeatAction::Redial(peer) => {
                     info!(target: "kernel", "Peer {peer} is silent: reconnecting.");
--- a/src/upstream.rs
+++ b/src/upstream.rs
@@ -109,7 +109,7 @@
     let seq = first_seq + chunk.seq;
     let piece = Piece { attempt, seq, text: choice.text, finish: choice.finish_reason };
     Ok(EnginePiece {
-        request_id: chunk.id,
+        run_id: chunk.id,
         version: chunk.system_fingerprint,
         cached_tokens: details.map_or(0, |details| details.cached_tokens),
         piece,
@@ -209,20 +209,20 @@
     async fn resume(
         &self,
         url: &str,
-        request_id: &str,
+        run_id: &str,
         attempt: u32,
         from: u64,
         first_seq: u64,
     ) -> Result<PieceStream, EngineError> {
         let client = self.pools.client(url);
-        let url = format!("{url}/v1/completions/{request_id}?from={from}");
+        let url = format!("{url}/v1/completions/{run_id}?from={from}");
         let response = await_response(&client, client.http.get(url), CALL_TIMEOUT).await?;
         Ok(read_stream(response, client, attempt, first_seq))
     }
 
-    async fn cancel(&self, url: &str, request_id: &str) {
+    async fn cancel(&self, url: &str, run_id: &str) {
         let client = self.pools.client(url);
-        let url = format!("{url}/v1/completions/{request_id}");
+        let url = format!("{url}/v1/completions/{run_id}");
         // An error is ignored: an engine that cannot be reached has no run to cancel.
         let _ = client.send(client.http.delete(url).timeout(CALL_TIMEOUT)).await;
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -95,7 +95,7 @@
     PullConfig { after_revision: u64 },
     /// Configuration changes, oldest first.
     ConfigEntries(Vec<ConfigEntry>),
-    /// A whole configuration, for a box whose missing changes are no longer all kept.
+    /// A whole configuration, for a box that lacks changes which the sender no longer has.
     ConfigState(Box<ConfigState>),
     /// Requests a slot for a request.
     SlotRequest(Box<SlotRequest>),
