--- a/src/assembler.rs
+++ b/src/assembler.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// Maximum number of pieces buffered while an earlier one is missing.
-pub const MAX_HELD_PIECES: usize = 4096;
+pub const MAX_BUFFERED_PIECES: usize = 4096;
 
 /// A piece of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -78,7 +78,7 @@
         if piece.seq < self.next_seq || self.buffered.contains_key(&piece.seq) {
             return Err(Dropped::Repeated);
         }
-        if self.buffered.len() >= MAX_HELD_PIECES {
+        if self.buffered.len() >= MAX_BUFFERED_PIECES {
             return Err(Dropped::TooManyHeld);
         }
         self.buffered.insert(piece.seq, piece);
--- a/src/bin/coursestile/change.rs
+++ b/src/bin/coursestile/change.rs
@@ -120,13 +120,13 @@
 
 /// Asks a box to stop as planned.
 pub async fn drain_box(address: &str) -> Result<()> {
-    let answer = reqwest::Client::new().post(format!("http://{address}/drain")).send().await;
-    match answer {
-        Ok(answer) if answer.status().is_success() => {
+    let response = reqwest::Client::new().post(format!("http://{address}/drain")).send().await;
+    match response {
+        Ok(response) if response.status().is_success() => {
             println!("{address} stops as planned");
             Ok(())
         }
-        Ok(answer) => Err(Error::Usage(format!("{address}: {}", answer.status()))),
+        Ok(response) => Err(Error::Usage(format!("{address}: {}", response.status()))),
         Err(error) => Err(Error::Usage(format!("{address}: {error}"))),
     }
 }
--- a/src/bin/coursestile/show.rs
+++ b/src/bin/coursestile/show.rs
@@ -167,13 +167,15 @@
 pub async fn trace(args: &Args, id: &str) -> Result<()> {
     let mut spans: Vec<Span> = Vec::new();
     for address in box_addresses(args)? {
-        let answer = fetch_json(address, &format!("/traces/{id}")).await;
-        spans.extend(answer.and_then(|answer| serde_json::from_value(answer).ok()).unwrap_or_else(
-            || {
-                eprintln!("{address}: no answer");
-                Vec::new()
-            },
-        ));
+        let response = fetch_json(address, &format!("/traces/{id}")).await;
+        spans.extend(
+            response.and_then(|response| serde_json::from_value(response).ok()).unwrap_or_else(
+                || {
+                    eprintln!("{address}: no answer");
+                    Vec::new()
+                },
+            ),
+        );
     }
     spans.sort_by_key(|span| (span.started_at_us, span.hop));
     if args.json {
--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -19,8 +19,8 @@
 pub struct BlockId(pub String);
 
 impl BlockId {
-    /// Creates the id of a block that the box incarnation `writer` exports. The writer must never reuse a
-    /// `nonce`.
+    /// Creates the id of a block that the box incarnation `writer` exports. The writer must never
+    /// reuse a `nonce`.
     #[must_use]
     pub fn new(scope: &Scope, prefix_end: PrefixHash, writer: &str, nonce: u64) -> Self {
         let scope = &crate::context::cache_salt(scope)[..16];
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -161,7 +161,7 @@
             calls: Calls::default(),
             streams: AnswerStreams::default(),
             quarantine: Mutex::default(),
-            peer_sockets: PeerSockets::new(settings.routes.clone()),
+            peer_sockets: PeerSockets::new(settings.dial_addresses.clone()),
             heartbeats: Mutex::default(),
             membership: Mutex::new(membership),
             phase: watch::Sender::new(BoxPhase::Serving),
--- a/src/peer_sockets.rs
+++ b/src/peer_sockets.rs
@@ -32,7 +32,7 @@
 /// Push sockets to peers, with metrics of what is sent.
 pub struct PeerSockets {
     /// Addresses to dial instead of a peer's own address, for example those of proxies.
-    routes: BTreeMap<String, String>,
+    dial_addresses: BTreeMap<String, String>,
     peers: Mutex<HashMap<String, PeerSocket>>,
 }
 
@@ -63,11 +63,11 @@
 }
 
 impl PeerSockets {
-    /// Creates the sockets' state; a peer whose address is in `routes` is dialled at the
+    /// Creates the sockets' state; a peer whose address is in `dial_addresses` is dialled at the
     /// address given there.
     #[must_use]
-    pub fn new(routes: BTreeMap<String, String>) -> Self {
-        Self { routes, peers: Mutex::default() }
+    pub fn new(dial_addresses: BTreeMap<String, String>) -> Self {
+        Self { dial_addresses, peers: Mutex::default() }
     }
 
     /// Sends bytes to a peer; drops them if they cannot be sent at once.
@@ -76,7 +76,7 @@
         let mut peers = locked(&self.peers);
         if !peers.contains_key(address) {
             close_least_recently_used(&mut peers);
-            let target = self.routes.get(address).map_or(address, String::as_str);
+            let target = self.dial_addresses.get(address).map_or(address, String::as_str);
             let Some(peer) = dial(target) else {
                 return;
             };
--- a/src/placement_state.rs
+++ b/src/placement_state.rs
@@ -22,7 +22,7 @@
     pub(crate) response_senders: Mutex<BTreeMap<SlotRequestId, mpsc::Sender<ReceivedResponse>>>,
     /// Slots in use: dispatcher, model and slot request.
     pub(crate) held_slots: Mutex<BTreeSet<(String, String, SlotRequestId)>>,
-    /// Time until which a dispatcher that did not answer is not asked.
+    /// Time until which a dispatcher that did not respond is skipped.
     pub(crate) dispatcher_cooldowns: Mutex<BTreeMap<String, u64>>,
     /// Budget for retries.
     pub retries: Mutex<RetryBudget>,
--- a/src/route.rs
+++ b/src/route.rs
@@ -80,7 +80,7 @@
     /// Whether to import stored context first.
     pub import: bool,
     /// Estimated prefill time, in milliseconds.
-    pub recompute_ms: f64,
+    pub prefill_ms: f64,
 }
 
 /// Selects one of `candidates`; `selections` counts the previous selections, for the round robin.
@@ -120,28 +120,28 @@
 /// The cheaper of the two ways to run on an engine: with or without the import.
 fn plan(request: &RoutingRequest, candidate: &EngineCandidate) -> Plan {
     let weights = &request.weights;
-    let full_ms = recompute_ms(request, candidate, candidate.cached_tokens);
-    let first_token_ms = candidate.wait_ms + full_ms;
-    let cost = weights.first_token * first_token_ms + weights.recompute * full_ms;
+    let full_prefill_ms = prefill_ms(request, candidate, candidate.cached_tokens);
+    let first_token_ms = candidate.wait_ms + full_prefill_ms;
+    let cost = weights.first_token * first_token_ms + weights.recompute * full_prefill_ms;
     let engine = candidate.engine;
     let without_import =
-        Plan { choice: RoutingChoice { engine, import: false, recompute_ms: full_ms }, cost };
+        Plan { choice: RoutingChoice { engine, import: false, prefill_ms: full_prefill_ms }, cost };
     let Some(estimate) =
         request.import.filter(|estimate| estimate.tokens > candidate.cached_tokens)
     else {
         return without_import;
     };
-    let rest_ms = recompute_ms(request, candidate, estimate.tokens);
+    let rest_prefill_ms = prefill_ms(request, candidate, estimate.tokens);
     // The import runs while the engine still works on other requests.
-    let first_token_ms = candidate.wait_ms.max(estimate.link_ms) + rest_ms;
+    let first_token_ms = candidate.wait_ms.max(estimate.link_ms) + rest_prefill_ms;
     let cost = weights.first_token * first_token_ms
-        + weights.recompute * rest_ms
+        + weights.recompute * rest_prefill_ms
         + weights.link * estimate.transfer_ms;
     let with_import =
-        Plan { choice: RoutingChoice { engine, import: true, recompute_ms: rest_ms }, cost };
+        Plan { choice: RoutingChoice { engine, import: true, prefill_ms: rest_prefill_ms }, cost };
     if with_import.cost < without_import.cost { with_import } else { without_import }
 }
 
-fn recompute_ms(request: &RoutingRequest, candidate: &EngineCandidate, cached_tokens: u32) -> f64 {
+fn prefill_ms(request: &RoutingRequest, candidate: &EngineCandidate, cached_tokens: u32) -> f64 {
     f64::from(request.prompt_tokens.saturating_sub(cached_tokens)) * candidate.prefill_ms_per_token
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -84,7 +84,7 @@
     /// Address at which peers reach this box, as announced to them.
     pub advertise: String,
     /// Addresses to dial instead of those that peers advertise, by advertised address.
-    pub routes: BTreeMap<String, String>,
+    pub dial_addresses: BTreeMap<String, String>,
     /// Addresses of the peers to contact first, from which this box learns of the others.
     pub seeds: Vec<String>,
     /// Key shared by all boxes.
@@ -136,7 +136,7 @@
             operators: self.0.optional("box", "operators", local),
             peers,
             advertise: self.0.optional("box", "advertise", peers.to_string()),
-            routes: self.routes(),
+            dial_addresses: self.dial_addresses(),
             seeds: self.0.list("box", "seeds"),
             cluster_key: self.cluster_key(&key),
             platform_url: self.url("platform"),
@@ -209,17 +209,17 @@
         })
     }
 
-    fn routes(&mut self) -> BTreeMap<String, String> {
-        let mut routes = BTreeMap::new();
+    fn dial_addresses(&mut self) -> BTreeMap<String, String> {
+        let mut dial_addresses = BTreeMap::new();
         for pair in self.0.list("box", "routes") {
             if let Some((address, target)) = pair.split_once('>') {
-                routes.insert(address.to_owned(), target.to_owned());
+                dial_addresses.insert(address.to_owned(), target.to_owned());
             } else {
                 let text = format!("routes: '{pair}' is not of the form address>target");
                 self.0.add_finding("box", "routes", text);
             }
         }
-        routes
+        dial_addresses
     }
 
     fn url(&mut self, section: &str) -> String {
