--- a/src/blocks.rs
+++ b/src/blocks.rs
@@ -43,7 +43,7 @@
 
 /// State of a block.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum BlockPhase {
     /// Being written; the write fails at the deadline.
     Writing { deadline_ms: u64 },
     /// Complete and readable.
@@ -64,7 +64,7 @@
     /// Size on the link and in the store.
     pub size_bytes: u64,
     /// State of the block.
-    pub phase: Phase,
+    pub phase: BlockPhase,
     /// End of the latest pin, in Unix milliseconds; readers may access the block until then.
     pub pinned_until_ms: u64,
 }
@@ -84,7 +84,7 @@
 
     /// Adds a sealed block that a store lists.
     pub fn adopt(&mut self, id: &BlockId, block: Block) {
-        if matches!(block.phase, Phase::Sealed(_)) {
+        if matches!(block.phase, BlockPhase::Sealed(_)) {
             self.by_id.entry(id.clone()).or_insert(block);
         }
     }
@@ -92,8 +92,8 @@
     /// Seals a block after its write; returns false if the write has expired.
     pub fn seal(&mut self, id: &BlockId, seal: Seal, size_bytes: u64) -> bool {
         match self.by_id.get_mut(id) {
-            Some(block) if matches!(block.phase, Phase::Writing { .. }) => {
-                block.phase = Phase::Sealed(seal);
+            Some(block) if matches!(block.phase, BlockPhase::Writing { .. }) => {
+                block.phase = BlockPhase::Sealed(seal);
                 block.size_bytes = size_bytes;
                 true
             }
@@ -108,19 +108,19 @@
         if !check(Invariant::ContextStaysInScope, is_in_scope, || id.0.clone()) {
             return None;
         }
-        if matches!(block.phase, Phase::Sealed(_)) {
+        if matches!(block.phase, BlockPhase::Sealed(_)) {
             block.pinned_until_ms = block.pinned_until_ms.max(until_ms);
         }
         match &block.phase {
-            Phase::Sealed(seal) => Some((block, seal)),
-            Phase::Writing { .. } | Phase::Freeing => None,
+            BlockPhase::Sealed(seal) => Some((block, seal)),
+            BlockPhase::Writing { .. } | BlockPhase::Freeing => None,
         }
     }
 
     /// Makes a block unreadable and marks it for deletion.
     pub fn free(&mut self, id: &BlockId) {
         if let Some(block) = self.by_id.get_mut(id) {
-            block.phase = Phase::Freeing;
+            block.phase = BlockPhase::Freeing;
         }
     }
 
@@ -128,15 +128,15 @@
     #[must_use]
     pub fn deletable(&self, now_ms: u64) -> Vec<BlockId> {
         let is_unpinned = |block: &Block| now_ms >= block.pinned_until_ms + PIN_MARGIN_MS;
-        let freeing = self.by_id.iter().filter(|(_, block)| block.phase == Phase::Freeing);
+        let freeing = self.by_id.iter().filter(|(_, block)| block.phase == BlockPhase::Freeing);
         freeing.filter(|(_, block)| is_unpinned(block)).map(|(id, _)| id.clone()).collect()
     }
 
     /// Marks blocks for deletion whose write has exceeded its deadline.
     pub fn expire_writes(&mut self, now_ms: u64) {
         for block in self.by_id.values_mut() {
-            if matches!(block.phase, Phase::Writing { deadline_ms } if deadline_ms <= now_ms) {
-                block.phase = Phase::Freeing;
+            if matches!(block.phase, BlockPhase::Writing { deadline_ms } if deadline_ms <= now_ms) {
+                block.phase = BlockPhase::Freeing;
             }
         }
     }
@@ -161,7 +161,7 @@
     #[must_use]
     pub fn live_bytes(&self, store: &str) -> u64 {
         let in_store = self.by_id.values().filter(|block| block.store == store);
-        let live = in_store.filter(|block| block.phase != Phase::Freeing);
+        let live = in_store.filter(|block| block.phase != BlockPhase::Freeing);
         live.map(|block| block.size_bytes).sum()
     }
 
--- a/src/context_manager/eviction.rs
+++ b/src/context_manager/eviction.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::blocks::{Block, BlockId, Phase};
+use crate::blocks::{Block, BlockId, BlockPhase};
 use crate::context_manager::ContextManager;
 use crate::directory::PromptRecord;
 use crate::owner::owner;
@@ -61,7 +61,7 @@
         let records = self.directory.iter().filter_map(|record| {
             let id = record.block.as_ref()?;
             let block = self.blocks.get(id).filter(|block| block.store == name)?;
-            let is_sealed = matches!(block.phase, Phase::Sealed(_));
+            let is_sealed = matches!(block.phase, BlockPhase::Sealed(_));
             is_sealed
                 .then(|| EvictionCandidate::new(id, record, block, is_over_share(&record.account)))
         });
--- a/src/context_manager/mod.rs
+++ b/src/context_manager/mod.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::blocks::{Block, BlockId, Blocks, Phase, Seal};
+use crate::blocks::{Block, BlockId, BlockPhase, Blocks, Seal};
 use crate::context::{PrefixChain, Scope};
 use crate::directory::Directory;
 use crate::retention::{self, BlockStats, RetentionPolicy};
@@ -160,8 +160,8 @@
                 let block =
                     self.blocks.get(id).filter(|block| block.scope == slot_request.scope)?;
                 let store = self.stores.get(&block.store)?;
-                let is_usable =
-                    matches!(block.phase, Phase::Sealed(_)) && now_ms >= store.cooldown_until_ms;
+                let is_usable = matches!(block.phase, BlockPhase::Sealed(_))
+                    && now_ms >= store.cooldown_until_ms;
                 is_usable.then(|| (id.clone(), store.estimate_import(now_ms, block, common)))
             });
         estimates.max_by_key(|(_, estimate)| estimate.tokens)
@@ -289,7 +289,7 @@
             store: store_name.to_owned(),
             prefix_end,
             size_bytes,
-            phase: Phase::Writing { deadline_ms: now_ms + EXPORT_TIMEOUT_MS },
+            phase: BlockPhase::Writing { deadline_ms: now_ms + EXPORT_TIMEOUT_MS },
             pinned_until_ms: 0,
         };
         self.blocks.begin_write(&id, block);
@@ -329,7 +329,7 @@
             store: store.to_owned(),
             prefix_end,
             size_bytes: stored.size_bytes,
-            phase: Phase::Sealed(stored.seal),
+            phase: BlockPhase::Sealed(stored.seal),
             pinned_until_ms: now_ms,
         };
         self.blocks.adopt(&stored.id, block);
--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -2,18 +2,18 @@
 //!
 //! Sockets between boxes carry messages in one direction only, so that a socket whose connection
 //! has died still accepts messages and reports no error. Each message to a peer must therefore be
-//! followed by some answer of that peer. If there is none, a heartbeat requests an answer, and if
+//! followed by some reply of that peer. If there is none, a heartbeat requests a reply, and if
 //! the heartbeat is not answered either, the connection is redialled. Most messages are answered
 //! anyway, so that few heartbeats are needed.
 
 use std::collections::HashMap;
 
-/// Time to wait for an answer before a heartbeat is sent.
-const ANSWER_WAIT_MS: u64 = 300;
-/// Time limit for the answer to a heartbeat. It equals that of a handover, since a long handover
+/// Time to wait for a reply before a heartbeat is sent.
+const REPLY_WAIT_MS: u64 = 300;
+/// Time limit for the reply to a heartbeat. It equals that of a handover, since a long handover
 /// message may be ahead of the heartbeat.
 const HEARTBEAT_TIMEOUT_MS: u64 = 1500;
-/// Time after an answer in which further messages need no answer. An answer to a heartbeat is
+/// Time after a reply in which further messages need no reply. A reply to a heartbeat is
 /// itself a message: it falls into this period, so that two boxes do not exchange heartbeats
 /// forever.
 const CONFIRMED_FOR_MS: u64 = 1500;
@@ -29,10 +29,10 @@
 
 /// State of the connection to a peer.
 enum PeerState {
-    /// The peer has answered; messages need no further answer until then.
+    /// The peer has answered; messages need no further reply until then.
     Confirmed { until_ms: u64 },
     /// A message has not been answered yet.
-    AwaitingAnswer { heartbeat_at_ms: u64 },
+    AwaitingReply { heartbeat_at_ms: u64 },
     /// A heartbeat has not been answered yet.
     HeartbeatSent { deadline_ms: u64, redialled: bool },
 }
@@ -47,17 +47,17 @@
     /// Records a message to the peer at `to`.
     pub fn record_sent(&mut self, now_ms: u64, to: &str) {
         match self.peers.get(to) {
-            Some(PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. }) => {}
+            Some(PeerState::AwaitingReply { .. } | PeerState::HeartbeatSent { .. }) => {}
             Some(PeerState::Confirmed { until_ms }) if now_ms < *until_ms => {}
             Some(PeerState::Confirmed { .. }) | None => {
-                let state = PeerState::AwaitingAnswer { heartbeat_at_ms: now_ms + ANSWER_WAIT_MS };
+                let state = PeerState::AwaitingReply { heartbeat_at_ms: now_ms + REPLY_WAIT_MS };
                 self.peers.insert(to.to_owned(), state);
             }
         }
     }
 
-    /// Records an answer of the peer at `from`.
-    pub fn record_answer(&mut self, now_ms: u64, from: &str) {
+    /// Records a reply of the peer at `from`.
+    pub fn record_reply(&mut self, now_ms: u64, from: &str) {
         if let Some(state) = self.peers.get_mut(from) {
             *state = PeerState::Confirmed { until_ms: now_ms + CONFIRMED_FOR_MS };
         }
@@ -69,7 +69,7 @@
         let mut actions = Vec::new();
         self.peers.retain(|peer, state| match state {
             PeerState::Confirmed { until_ms } => now_ms < *until_ms,
-            PeerState::AwaitingAnswer { heartbeat_at_ms } if now_ms >= *heartbeat_at_ms => {
+            PeerState::AwaitingReply { heartbeat_at_ms } if now_ms >= *heartbeat_at_ms => {
                 actions.push(HeartbeatAction::SendHeartbeat(peer.clone()));
                 *state = PeerState::HeartbeatSent {
                     deadline_ms: now_ms + HEARTBEAT_TIMEOUT_MS,
@@ -88,7 +88,7 @@
                 }
                 can_redial
             }
-            PeerState::AwaitingAnswer { .. } | PeerState::HeartbeatSent { .. } => true,
+            PeerState::AwaitingReply { .. } | PeerState::HeartbeatSent { .. } => true,
         });
         actions
     }
--- a/src/kernel.rs
+++ b/src/kernel.rs
@@ -77,7 +77,7 @@
 impl Message {
     /// Whether this answers an earlier message, and so proves that messages reach the peer.
     #[must_use]
-    pub fn is_answer(&self) -> bool {
+    pub fn is_reply(&self) -> bool {
         matches!(
             self,
             Self::Gossip(Gossip::Ack { .. } | Gossip::Joined { .. })
@@ -206,8 +206,8 @@
         if !is_for_this_box || !is_recent {
             return debug!(target: "kernel", "Stale or misaddressed message from {} dropped.", envelope.from);
         }
-        if envelope.message.is_answer() {
-            locked(&self.heartbeats).record_answer(now_ms(), &envelope.reply_to);
+        if envelope.message.is_reply() {
+            locked(&self.heartbeats).record_reply(now_ms(), &envelope.reply_to);
         }
         if envelope.config_revision > self.configuration.revision() {
             let after_revision = self.configuration.revision();
--- a/tests/blocks_model.rs
+++ b/tests/blocks_model.rs
@@ -7,7 +7,7 @@
 
 use std::collections::HashMap;
 
-use coursestile::blocks::{Block, BlockId, Blocks, PIN_MARGIN_MS, Phase, Seal};
+use coursestile::blocks::{Block, BlockId, BlockPhase, Blocks, PIN_MARGIN_MS, Seal};
 use coursestile::context::{PrefixHash, Scope};
 use proptest::prelude::*;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -101,7 +101,7 @@
     fn write(&mut self, now_ms: u64, account: u8) {
         let prefix = PrefixHash { tokens: 512, hash: 7 };
         let id = BlockId::new(&scope(account), prefix, "box", self.ids.len() as u64);
-        let phase = Phase::Writing { deadline_ms: now_ms + WRITE_TIMEOUT_MS };
+        let phase = BlockPhase::Writing { deadline_ms: now_ms + WRITE_TIMEOUT_MS };
         let block = Block {
             scope: scope(account),
             store: "s".to_owned(),
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -47,7 +47,7 @@
     let mut heartbeats = Heartbeats::default();
     for now_ms in (0..10_000).step_by(1000) {
         heartbeats.record_sent(now_ms, PEER);
-        heartbeats.record_answer(now_ms + 100, PEER);
+        heartbeats.record_reply(now_ms + 100, PEER);
         assert_eq!(tick_until(&mut heartbeats, now_ms, now_ms + 1000), []);
     }
 }
@@ -63,11 +63,11 @@
             (first_box.tick(now_ms).len(), second_box.tick(now_ms).len());
         if first_actions > 0 {
             second_box.record_sent(now_ms, PEER);
-            first_box.record_answer(now_ms, PEER);
+            first_box.record_reply(now_ms, PEER);
         }
         if second_actions > 0 {
             first_box.record_sent(now_ms, PEER);
-            second_box.record_answer(now_ms, PEER);
+            second_box.record_reply(now_ms, PEER);
         }
         heartbeat_count += first_actions + second_actions;
     }
